--- /dev/null
+++ b/addresses/tests/golden.rs
@@ -0,0 +1,17 @@
+//! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
+
+use maplehook_addresses::order::Order;
+use maplehook_addresses::state::{Phase, SiteRecord, Standing, State};
+use maplehook_addresses::{Address, Announce};
+use maplehook_golden::golden_types;
+
+golden_types! {
+    announce: Json Announce;
+    announce_by_position: Postcard Announce;
+    address: Postcard Address;
+    order: Json Order;
+    phase: Json Phase;
+    site: Postcard SiteRecord;
+    address_state: Postcard Standing;
+    state: Postcard State;
+}
--- /dev/null
+++ b/failover/tests/golden.rs
@@ -0,0 +1,29 @@
+//! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
+
+use maplehook_failover::document::{Document, PlaceState};
+use maplehook_failover::trips::{Measured, Way};
+use maplehook_failover::{Report, digest};
+use maplehook_golden::{assert_text, golden_types, hex, samples};
+
+golden_types! {
+    document: Postcard Document;
+    zone_state: Postcard PlaceState;
+    round_trips: Postcard Measured;
+    way: Postcard Way;
+    report: Postcard Report;
+}
+
+#[test]
+fn reports_are_written_with_their_round_trips() {
+    let reports: Vec<Report> = samples(maplehook_golden::TEXTS);
+    let lines: String = reports.iter().map(|report| hex(&report.encode()) + "\n").collect();
+    assert_text("report-encoded.txt", &lines);
+}
+
+#[test]
+fn the_digest_of_a_topology_is_as_it_was() {
+    let topology =
+        maplehook_locality::Topology::new([("north", vec!["a", "b"]), ("south", vec!["c"])]).unwrap();
+    let rules = samples::<maplehook_locality::Rules>(maplehook_golden::TEXTS).remove(0);
+    assert_text("digest.txt", &format!("{:016x}\n", digest(&topology, &rules)));
+}
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -27,6 +27,8 @@
 mod daemon;
 mod entrance;
 mod framing;
+#[cfg(test)]
+mod golden_tests;
 mod handover;
 mod hearsay;
 mod inbound;
--- a/places/src/lib.rs
+++ b/places/src/lib.rs
@@ -6,6 +6,8 @@
 mod act;
 pub mod board;
 pub mod config;
+#[cfg(test)]
+mod golden_tests;
 mod history;
 pub mod lead;
 mod probe;
--- a/quorum/src/lib.rs
+++ b/quorum/src/lib.rs
@@ -9,6 +9,8 @@
 mod common;
 mod follow;
 mod founding;
+#[cfg(test)]
+mod golden_tests;
 mod join;
 mod leader;
 mod local;
--- a/staging/src/lib.rs
+++ b/staging/src/lib.rs
@@ -7,6 +7,8 @@
 
 pub mod board;
 pub mod document;
+#[cfg(test)]
+mod golden_tests;
 pub mod judging;
 pub mod lead;
 mod machine;
--- /dev/null
+++ b/verdict/tests/golden.rs
@@ -0,0 +1,14 @@
+//! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
+
+use maplehook_golden::golden_types;
+use maplehook_verdict::bounds::{Bounds, Measure};
+use maplehook_verdict::report::{Cell, Key, Report, Side};
+
+golden_types! {
+    measure: Postcard Measure;
+    bounds: Postcard Bounds;
+    side: Postcard Side;
+    key: Postcard Key;
+    cell: Postcard Cell;
+    report: Postcard Report;
+}
