--- a/addresses/tests/answer.rs
+++ b/crates/address-announcement/tests/answer.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{Run, address, ms, s};
-use maplehook_addresses::answer::{ALONE_FOR, FLOOR};
-use maplehook_addresses::{Announce, Answer, Order, Own, State};
+use maplehook_address_announcement::answer::{ALONE_FOR, FLOOR};
+use maplehook_address_announcement::{Announce, Answer, Order, Own, State};
 
 fn state(announce: Announce) -> State {
     let mut run = Run::new(address(announce, 2, 1));
--- a/addresses/tests/common/mod.rs
+++ b/crates/address-announcement/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
-use maplehook_addresses::{Address, Announce, Decider, SiteHealth, Standing, State};
+use maplehook_address_announcement::{Address, Announce, Decider, SiteHealth, Standing, State};
 use maplehook_locality::Region;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/addresses/tests/drift.rs
+++ b/crates/address-announcement/tests/drift.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Run, address, ms, s};
-use maplehook_addresses::{Announce, Answer, Order, Own, State};
+use maplehook_address_announcement::{Announce, Answer, Order, Own, State};
 use maplehook_locality::Region;
 use std::time::Duration;
 
--- a/addresses/tests/first.rs
+++ b/crates/address-announcement/tests/first.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Run, address, ms, s};
-use maplehook_addresses::{Announce, Order};
+use maplehook_address_announcement::{Announce, Order};
 
 /// Three sites, of which those that are named are silent as yet.
 fn without(silent: &[usize]) -> Run {
--- a/addresses/tests/golden.rs
+++ b/crates/address-announcement/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
 
-use maplehook_addresses::order::Order;
-use maplehook_addresses::state::{Phase, SiteRecord, Standing, State};
-use maplehook_addresses::{Address, Announce};
+use maplehook_address_announcement::order::Order;
+use maplehook_address_announcement::state::{Phase, SiteRecord, Standing, State};
+use maplehook_address_announcement::{Address, Announce};
 use maplehook_golden::golden_types;
 
 golden_types! {
--- a/addresses/tests/health.rs
+++ b/crates/address-announcement/tests/health.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Run, address, ms, names, s};
-use maplehook_addresses::{Announce, Answer, Decider, Own, Phase};
+use maplehook_address_announcement::{Announce, Answer, Decider, Own, Phase};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
--- a/addresses/tests/many.rs
+++ b/crates/address-announcement/tests/many.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Run, address, ms, names, s};
-use maplehook_addresses::{Announce, Decider, Order, Phase, Refusal};
+use maplehook_address_announcement::{Announce, Decider, Order, Phase, Refusal};
 use maplehook_locality::Region;
 
 fn three(keep: usize) -> Run {
--- a/addresses/tests/net.rs
+++ b/crates/address-announcement/tests/net.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{address, ms, names, s};
-use maplehook_addresses::{Address, Announce, Answer, Decider, Order, Own, SiteHealth, State};
+use maplehook_address_announcement::{Address, Announce, Answer, Decider, Order, Own, SiteHealth, State};
 use maplehook_locality::Region;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/addresses/tests/one.rs
+++ b/crates/address-announcement/tests/one.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Run, address, ms, names, s};
-use maplehook_addresses::{Announce, Decider, Order, Refusal};
+use maplehook_address_announcement::{Announce, Decider, Order, Refusal};
 use maplehook_locality::Region;
 
 /// Three sites, of which the first holds it.
@@ -264,7 +264,7 @@
         run.now += ms(100);
     }
     assert!((8..=13).contains(&offers.len()), "{}", offers.len());
-    let next = |state: &maplehook_addresses::State| {
+    let next = |state: &maplehook_address_announcement::State| {
         let front = &state.addresses["front"];
         front.holder.is_none() && front.next.as_deref() == Some("b")
     };
--- a/addresses/tests/same_state.rs
+++ b/crates/address-announcement/tests/same_state.rs
@@ -1,6 +1,6 @@
 //! A body that is agreed on for another matter brings the same state of addresses again.
 
-use maplehook_addresses::{Address, Announce, Decider, SiteHealth};
+use maplehook_address_announcement::{Address, Announce, Decider, SiteHealth};
 use maplehook_locality::Region;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/addresses/tests/state.rs
+++ b/crates/address-announcement/tests/state.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Run, address, ms, names, s};
-use maplehook_addresses::{Announce, Decider, Order, Standing, State};
+use maplehook_address_announcement::{Announce, Decider, Order, Standing, State};
 use maplehook_locality::Region;
 
 fn run(announce: Announce) -> Run {
@@ -148,7 +148,8 @@
 #[test]
 fn a_penalty_has_a_ceiling_and_a_name_has_an_end() {
     let mut run = run(Announce::Many);
-    let slow = maplehook_addresses::Address { return_after: s(10_000), ..address(Announce::Many, 2, 1) };
+    let slow =
+        maplehook_address_announcement::Address { return_after: s(10_000), ..address(Announce::Many, 2, 1) };
     run.decider.retune(vec![slow], names(&["a", "b"]), run.now);
     for _ in 0..100 {
         run.serves(0, 0.0);
--- a/verdict/src/ending.rs
+++ b/crates/canary/src/ending.rs
@@ -3,7 +3,7 @@
 use crate::bounds::{Measure, Verdict};
 use crate::judge::{APART_MOST, GROSS_INTERVALS, GROSS_REQUESTS, Judge, Of, Test};
 use crate::report::Side;
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
 use std::collections::VecDeque;
 
 impl Judge {
--- a/verdict/src/judge.rs
+++ b/crates/canary/src/judge.rs
@@ -8,7 +8,7 @@
 use crate::report::{Cell, Key, Report, Reports, Side};
 use crate::sequence::Sequence;
 use crate::strata::{difference, pairs};
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
--- a/verdict/src/report.rs
+++ b/crates/canary/src/report.rs
@@ -1,7 +1,7 @@
 //! What a balancer tells of an interval: counts by class and tenant, times, and what its process has used.
 
 use hdrhistogram::Histogram;
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/verdict/tests/golden.rs
+++ b/crates/canary/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
 
+use maplehook_canary::bounds::{Bounds, Measure};
+use maplehook_canary::report::{Cell, Key, Report, Side};
 use maplehook_golden::golden_types;
-use maplehook_verdict::bounds::{Bounds, Measure};
-use maplehook_verdict::report::{Cell, Key, Report, Side};
 
 golden_types! {
     measure: Postcard Measure;
--- a/verdict/tests/judge.rs
+++ b/crates/canary/tests/judge.rs
@@ -1,9 +1,9 @@
 //! The judge of a stage, fed with reports of both sides: what goes on, what stops, what holds.
 
-use maplehook_tier::Name;
-use maplehook_verdict::judge::Outside;
-use maplehook_verdict::report::Reports;
-use maplehook_verdict::{Bounds, Cell, Judge, Report, Side, Verdict};
+use maplehook_canary::judge::Outside;
+use maplehook_canary::report::Reports;
+use maplehook_canary::{Bounds, Cell, Judge, Report, Side, Verdict};
+use maplehook_cluster::Name;
 use std::collections::BTreeMap;
 
 fn name(n: usize) -> Name {
--- a/tier/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -4,7 +4,7 @@
 //! upstreams, [`care::Care`] what one makes of it. `docs/design/tier.md` has the reasons.
 //!
 //! ```
-//! use maplehook_tier::{Name, Output, Settings, Tier};
+//! use maplehook_cluster::{Name, Output, Settings, Tier};
 //! use std::time::Duration;
 //!
 //! let name = |text| Name::new(text).unwrap();
--- a/tier/tests/garbage.rs
+++ b/crates/cluster/tests/garbage.rs
@@ -1,7 +1,7 @@
 //! Bytes from anybody with the secret, and from a program that has gone wrong: no panic, nothing unbounded.
 
-use maplehook_tier::words::Word;
-use maplehook_tier::{DATAGRAM_MOST, MAC, Name, Output, Settings, Tier};
+use maplehook_cluster::words::Word;
+use maplehook_cluster::{DATAGRAM_MOST, MAC, Name, Output, Settings, Tier};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
         for tier in &mut tiers {
             tier.poll(now);
             if ms == 1000 {
-                let claim = maplehook_tier::words::Claim { upstream: 4, boot_ms: 7, drained: true };
+                let claim = maplehook_cluster::words::Claim { upstream: 4, boot_ms: 7, drained: true };
                 tier.claim(now, 5, vec![claim]);
             }
             sent.extend(tier.take());
--- a/tier/tests/golden.rs
+++ b/crates/cluster/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
 
+use maplehook_cluster::words::{Claim, Word, fnv};
+use maplehook_cluster::{Name, Output, Settings, Tier, start};
 use maplehook_golden::{assert_text, hex, recorded, unhex};
-use maplehook_tier::words::{Claim, Word, fnv};
-use maplehook_tier::{Name, Output, Settings, Tier, start};
 use std::time::Duration;
 
 fn name(text: &str) -> Name {
--- a/follow/src/lib.rs
+++ b/crates/config-follower/src/lib.rs
@@ -8,12 +8,12 @@
 use maplehook::lists::Lists;
 use maplehook::source::Fixed;
 use maplehook::{AdoptError, Engine, Handle, Lease, StartError, Version};
-use maplehook_agreement::numbers::Numbers;
-use maplehook_agreement::strict::careful;
 use maplehook_config::{Faults, Proxy};
-use maplehook_link::Member;
-use maplehook_quorum::{Acting, Agreeing, Mode, Wishes};
-use maplehook_routes::Rules;
+use maplehook_consensus::{Acting, Agreeing, Mode, Wishes};
+use maplehook_http_semantics::Rules;
+use maplehook_transport::Member;
+use maplehook_versions::numbers::Numbers;
+use maplehook_versions::strict::careful;
 use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -130,8 +130,9 @@
         .bodies(begins.bodies)
         .start()
         .map_err(FollowError::Engine)?;
-    let mut member = maplehook_quorum::join(&tier, env!("CARGO_PKG_VERSION")).map_err(FollowError::Tier)?;
-    let agreeing = maplehook_quorum::agree(&tier, &agreement, file.to_owned(), &mut member);
+    let mut member =
+        maplehook_consensus::join(&tier, env!("CARGO_PKG_VERSION")).map_err(FollowError::Tier)?;
+    let agreeing = maplehook_consensus::agree(&tier, &agreement, file.to_owned(), &mut member);
     let mut agreeing = agreeing.map_err(FollowError::Tier)?;
     // It makes no common document, and acts by none.
     agreeing.places = None;
--- a/config/src/class.rs
+++ b/crates/config/src/class.rs
@@ -3,8 +3,8 @@
 use crate::reader::{Reader, Table};
 use crate::values::ranged;
 use http::{HeaderValue, Method, StatusCode};
-use lapisroute::{Class, ClassId, DedupGroup, Effect};
-use maplehook_routes::{Answers, Passage, Pattern, Route};
+use maplehook_core::{Class, ClassId, DedupGroup, Effect};
+use maplehook_http_semantics::{Answers, Passage, Pattern, Route};
 use std::time::Duration;
 
 /// Reads a class: what the decisions know of it, and how its messages pass.
--- a/config/src/places.rs
+++ b/crates/config/src/places.rs
@@ -2,7 +2,7 @@
 
 use crate::reader::{Reader, Table};
 use crate::values::ranged;
-use maplehook_addresses::{Address, Announce};
+use maplehook_address_announcement::{Address, Announce};
 use maplehook_locality::language::{self, Names};
 use maplehook_locality::{Region, Rules, Topology, Zone};
 use std::collections::BTreeSet;
--- a/config/src/tests.rs
+++ b/crates/config/src/tests.rs
@@ -5,7 +5,7 @@
 /// Guards the commented example: each of its keys is one that is read, and none is missing.
 #[test]
 fn the_example_shows_every_key_with_its_default() {
-    let example = include_str!("../../deploy/maplehook.toml");
+    let example = include_str!("../../../deploy/maplehook.toml");
     let operator = parse(example).unwrap();
     assert_eq!(operator, Operator::default());
     let uncommented: String =
--- a/config/src/tier.rs
+++ b/crates/config/src/tier.rs
@@ -2,7 +2,7 @@
 
 use crate::reader::{Reader, Table};
 use crate::values::ranged;
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -3,7 +3,7 @@
 use maplehook_config::{parse, parse_embedded, shared};
 use maplehook_golden::assert_text;
 
-const FILE: &str = include_str!("../../deploy/maplehook.toml");
+const FILE: &str = include_str!("../../../deploy/maplehook.toml");
 
 /// The file with every key that it shows as a comment set.
 fn whole() -> String {
--- a/quorum/src/acting.rs
+++ b/crates/consensus/src/acting.rs
@@ -1,9 +1,9 @@
 //! By what a balancer acts, and how it stands there.
 
-use maplehook_agreement::grants::CutOff;
-use maplehook_agreement::steps::Step;
-use maplehook_agreement::strict::careful;
 use maplehook_config::Proxy;
+use maplehook_versions::grants::CutOff;
+use maplehook_versions::steps::Step;
+use maplehook_versions::strict::careful;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
--- a/quorum/src/checks.rs
+++ b/crates/consensus/src/checks.rs
@@ -5,9 +5,9 @@
 
 use crate::run::{CHECK, Part, Runner, Wisher};
 use crate::talk::{Op, Reply, Say};
-use maplehook_agreement::steps::{Command, Step, digest};
-use maplehook_link::unix_ms;
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
+use maplehook_transport::unix_ms;
+use maplehook_versions::steps::{Command, Step, digest};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
--- a/quorum/src/common.rs
+++ b/crates/consensus/src/common.rs
@@ -8,18 +8,18 @@
 //! granted. What it has compacted it lacks when it is upgraded: its log says so ([`Document::gap`]), goes on with the next entry,
 //! and while it leads before that it waits for the longest lease and puts on the highest number that members say.
 //!
-//! [`Document::gap`]: maplehook_agreement::common::Document::gap
+//! [`Document::gap`]: maplehook_versions::common::Document::gap
 
 use crate::agreeing::Setup;
 use crate::run::{Part, Runner, Wisher};
 use crate::shelf::{PART_MOST, Shelf, Topic};
 use crate::talk::Say;
 use bytes::Bytes;
-use maplehook_agreement::common::{Given, Holding};
-use maplehook_agreement::grants::Times;
-use maplehook_agreement::steps::Command;
-use maplehook_link::frames::Message;
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
+use maplehook_transport::frames::Message;
+use maplehook_versions::common::{Given, Holding};
+use maplehook_versions::grants::Times;
+use maplehook_versions::steps::Command;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/quorum/src/founding.rs
+++ b/crates/consensus/src/founding.rs
@@ -4,7 +4,7 @@
 use crate::store::{self, Store, Unfit};
 use crate::talk::Say;
 use crate::voter::{Voter, begins, id, seat_id};
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
--- a/quorum/src/golden_tests.rs
+++ b/crates/consensus/src/golden_tests.rs
@@ -3,8 +3,8 @@
 use crate::log::{Agreed, id, keep, parse, seat_id};
 use crate::shelf::{Shelf, Topic};
 use crate::talk::{Op, Reply, Say};
+use maplehook_cluster::Name;
 use maplehook_golden::{assert_text, golden_types, hex, recorded, samples, unhex};
-use maplehook_tier::Name;
 
 golden_types! {
     message: Postcard Say;
--- a/quorum/src/join.rs
+++ b/crates/consensus/src/join.rs
@@ -1,10 +1,10 @@
 //! From what a file says to a part in a tier, and in what it agrees on.
 
 use crate::agreeing::{Agreeing, Setup};
-use maplehook_agreement::grants::{CutOff, Times};
+use maplehook_cluster::Program;
 use maplehook_config::{Agreement, Tier};
-use maplehook_link::{Member, Part, Secret};
-use maplehook_tier::Program;
+use maplehook_transport::{Member, Part, Secret};
+use maplehook_versions::grants::{CutOff, Times};
 
 /// Begins to agree with the others, over what a member has to say; `file` is the balancer's own.
 pub fn agree(
--- a/quorum/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -2,9 +2,9 @@
 
 use crate::run::{CHECK, Part, Reading, Runner, Seating, WISH, WISHES_MOST, Wisher};
 use crate::talk::{Op, Overview, Reply, Say, Stands};
-use maplehook_agreement::steps::{Command, Step, Steps, Version};
-use maplehook_link::unix_ms;
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
+use maplehook_transport::unix_ms;
+use maplehook_versions::steps::{Command, Step, Steps, Version};
 use std::collections::BTreeMap;
 use std::time::Instant;
 
--- a/quorum/src/local.rs
+++ b/crates/consensus/src/local.rs
@@ -2,9 +2,9 @@
 
 use crate::acting::Local;
 use crate::run::{Part, Runner};
-use maplehook_agreement::grants::CutOff;
-use maplehook_agreement::steps::Step;
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
+use maplehook_versions::grants::CutOff;
+use maplehook_versions::steps::Step;
 
 impl Runner {
     /// Whom it takes for the leader, by its own vote or by the word of others.
--- a/quorum/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,9 +1,9 @@
 //! A voter's log in memory, what it has come to, and how that is kept.
 
-use maplehook_agreement::common::Document;
-use maplehook_agreement::steps::Steps;
-use maplehook_tier::Name;
-use maplehook_tier::words::fnv;
+use maplehook_cluster::Name;
+use maplehook_cluster::words::fnv;
+use maplehook_versions::common::Document;
+use maplehook_versions::steps::Steps;
 use raft::eraftpb::{Entry, Snapshot};
 use raft::storage::MemStorage;
 use raft::{GetEntriesContext, RaftState, Storage};
@@ -112,7 +112,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use maplehook_agreement::steps::Command;
+    use maplehook_versions::steps::Command;
 
     /// What the program of before knew of it.
     #[derive(Serialize, Deserialize)]
--- a/quorum/src/settle.rs
+++ b/crates/consensus/src/settle.rs
@@ -3,7 +3,7 @@
 use crate::log::{keep, parse, size};
 use crate::store::{Batch, Unfit};
 use crate::voter::{Ended, Settled, Voter, votes};
-use maplehook_agreement::steps::{Command, Refused};
+use maplehook_versions::steps::{Command, Refused};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChangeV2, Entry, EntryType, HardState, Message, MessageType, Snapshot};
 use raft::{GetEntriesContext, Storage};
--- a/quorum/src/standing.rs
+++ b/crates/consensus/src/standing.rs
@@ -3,7 +3,7 @@
 use crate::common::{Behind, Standing};
 use crate::run::{Part, Runner};
 use crate::shelf::{Shelf, Topic};
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
 
 impl Runner {
     /// Says how it stands, where that has changed.
--- a/quorum/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -273,7 +273,7 @@
     use super::*;
 
     fn directory(name: &str) -> PathBuf {
-        let path = std::env::temp_dir().join(format!("maplehook-quorum-{}-{name}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("maplehook-consensus-{}-{name}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
         path
     }
--- a/quorum/src/talk.rs
+++ b/crates/consensus/src/talk.rs
@@ -1,7 +1,7 @@
 //! What balancers say to one another of versions.
 
-use maplehook_agreement::holder::Told;
-use maplehook_agreement::steps::{Step, Version};
+use maplehook_versions::holder::Told;
+use maplehook_versions::steps::{Step, Version};
 use serde::{Deserialize, Serialize};
 
 /// The topics, on links.
--- a/quorum/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -6,8 +6,8 @@
 use crate::log::{Agreed, Log, parse, size};
 pub use crate::log::{begins, id, seat_id};
 use crate::store::Kept;
-use maplehook_agreement::steps::{Command, Refused, Steps};
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
+use maplehook_versions::steps::{Command, Refused, Steps};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Message};
 use raft::storage::MemStorage;
--- a/quorum/tests/cluster.rs
+++ b/crates/consensus/tests/cluster.rs
@@ -2,8 +2,8 @@
 
 mod voters;
 
-use maplehook_agreement::steps::{Command, Refused};
-use maplehook_quorum::voter::Ended;
+use maplehook_consensus::voter::Ended;
+use maplehook_versions::steps::{Command, Refused};
 use voters::Cluster;
 
 fn storm(n: usize, seed: u64, lies: bool) -> Result<usize, String> {
@@ -114,7 +114,7 @@
         let epoch = voter.steps().epoch;
         let text = format!("{ticket} {long}");
         let command = match voter.steps().step {
-            maplehook_agreement::steps::Step::Strictest { .. } => Command::Advance { epoch },
+            maplehook_versions::steps::Step::Strictest { .. } => Command::Advance { epoch },
             _ => Command::Propose { epoch, expect: None, text: text.clone(), by: "b0".into(), at_ms: 0 },
         };
         let newest = voter.steps().versions.last().map(|v| v.text.clone());
--- a/quorum/tests/common.rs
+++ b/crates/consensus/tests/common.rs
@@ -3,9 +3,9 @@
 mod fleet;
 
 use fleet::{FILE, Fleet, begin_put, until};
-use maplehook_agreement::grants::CutOff;
-use maplehook_link::frames::Message;
-use maplehook_quorum::PLACES;
+use maplehook_consensus::PLACES;
+use maplehook_transport::frames::Message;
+use maplehook_versions::grants::CutOff;
 use std::time::{Duration, Instant};
 
 fn all_hold(fleet: &Fleet, number: u64) -> bool {
--- a/quorum/tests/fleet/mod.rs
+++ b/crates/consensus/tests/fleet/mod.rs
@@ -2,14 +2,14 @@
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
-use maplehook_agreement::grants::{CutOff, Times};
-use maplehook_link::Talk;
-use maplehook_link::frames::Message;
-use maplehook_quorum::store::{Batch, Store};
-use maplehook_quorum::talk::{Op, Reply, Say};
-use maplehook_quorum::voter::{Voter, id};
-use maplehook_quorum::{Agreeing, Local, PLACES, Put, Setup, Standing, Ways as Maker};
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
+use maplehook_consensus::store::{Batch, Store};
+use maplehook_consensus::talk::{Op, Reply, Say};
+use maplehook_consensus::voter::{Voter, id};
+use maplehook_consensus::{Agreeing, Local, PLACES, Put, Setup, Standing, Ways as Maker};
+use maplehook_transport::Talk;
+use maplehook_transport::frames::Message;
+use maplehook_versions::grants::{CutOff, Times};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
--- a/quorum/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,9 +1,9 @@
 //! The store on disk, as an earlier program wrote it: it is opened, and holds what was written.
 
-use maplehook_golden::{assert_text, hex};
-use maplehook_quorum::store::{
+use maplehook_consensus::store::{
     Batch, Kept, Store, founders, founding, has_voted, keep_founders, seat, take_seat,
 };
+use maplehook_golden::{assert_text, hex};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, HardState};
 use std::path::{Path, PathBuf};
--- a/quorum/tests/killed.rs
+++ b/crates/consensus/tests/killed.rs
@@ -1,10 +1,10 @@
 //! A voter that is killed (SIGKILL) at each point of its writing, again and again over one directory: what it had acknowledged is
 //! there afterwards, whole, and nothing is half in force.
 
-use maplehook_agreement::steps::{Command, Step, digest};
-use maplehook_quorum::store::{self, Kept, Store, WRITE_POINTS};
-use maplehook_quorum::voter::{Ended, Voter, begins, id, seat_id};
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
+use maplehook_consensus::store::{self, Kept, Store, WRITE_POINTS};
+use maplehook_consensus::voter::{Ended, Voter, begins, id, seat_id};
+use maplehook_versions::steps::{Command, Step, digest};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
--- a/quorum/tests/lost.rs
+++ b/crates/consensus/tests/lost.rs
@@ -3,9 +3,9 @@
 mod fleet;
 
 use fleet::{FILE, Fleet, shared, until};
-use maplehook_agreement::grants::CutOff;
-use maplehook_quorum::Mode;
-use maplehook_quorum::talk::{Op, Reply};
+use maplehook_consensus::Mode;
+use maplehook_consensus::talk::{Op, Reply};
+use maplehook_versions::grants::CutOff;
 use std::time::{Duration, Instant};
 
 fn label(fleet: &Fleet, n: usize) -> String {
--- a/quorum/tests/seats.rs
+++ b/crates/consensus/tests/seats.rs
@@ -2,9 +2,9 @@
 
 mod voters;
 
-use maplehook_agreement::steps::Command;
-use maplehook_quorum::store::Kept;
-use maplehook_quorum::voter::{Ended, begins};
+use maplehook_consensus::store::Kept;
+use maplehook_consensus::voter::{Ended, begins};
+use maplehook_versions::steps::Command;
 use voters::Cluster;
 
 /// Three voters; the fourth is a member and no voter: its disk has no log.
--- a/quorum/tests/voters/mod.rs
+++ b/crates/consensus/tests/voters/mod.rs
@@ -2,10 +2,10 @@
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
-use maplehook_agreement::steps::{Command, Steps};
-use maplehook_quorum::store::{Batch, Kept};
-use maplehook_quorum::voter::{Ended, Voter, begins, id, seat_id};
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
+use maplehook_consensus::store::{Batch, Kept};
+use maplehook_consensus::voter::{Ended, Voter, begins, id, seat_id};
+use maplehook_versions::steps::{Command, Steps};
 use protobuf::Message as _;
 use raft::eraftpb::{MessageType, Snapshot};
 use std::collections::BTreeMap;
@@ -160,7 +160,7 @@
         let epoch = voter.steps().epoch;
         let text = format!("text {ticket}");
         let command = match voter.steps().step {
-            maplehook_agreement::steps::Step::Strictest { .. } => Command::Advance { epoch },
+            maplehook_versions::steps::Step::Strictest { .. } => Command::Advance { epoch },
             _ => Command::Propose { epoch, expect: None, text: text.clone(), by: "b0".into(), at_ms: 0 },
         };
         if matches!(command, Command::Propose { .. }) {
--- a/benches/decision.rs
+++ b/crates/core/benches/decision.rs
@@ -5,7 +5,7 @@
 #![allow(missing_docs, reason = "criterion makes functions of its own")]
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use lapisroute::*;
+use maplehook_core::*;
 use std::time::Duration;
 
 const FLEETS: [u64; 4] = [10, 120, 4000, 10_000];
--- a/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,7 +6,7 @@
 //! same actions.
 //!
 //! ```
-//! use lapisroute::*;
+//! use maplehook_core::*;
 //! use std::time::Duration;
 //! let ms = Duration::from_millis;
 //!
@@ -109,6 +109,6 @@
 pub use state::Balancer;
 
 /// README's embedding example, kept honest by the tests.
-#[doc = include_str!("../README.md")]
+#[doc = include_str!("../../../README.md")]
 #[cfg(doctest)]
 struct Readme;
--- a/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use lapisroute::*;
+use maplehook_core::*;
 
 fn settings(balancers: u32, allowances: &[f64]) -> Settings {
     Settings {
--- a/tests/aims.rs
+++ b/crates/core/tests/aims.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use lapisroute::*;
+use maplehook_core::*;
 
 /// Guards aims shorter than two ticks: an answer is learned from, and nothing panics.
 #[test]
--- a/tests/asking.rs
+++ b/crates/core/tests/asking.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
-use lapisroute::asking::{CALL_LONGEST, RESERVE, SILENCE_LONGEST, TOLD_AFTER, call_again};
-use lapisroute::*;
+use maplehook_core::asking::{CALL_LONGEST, RESERVE, SILENCE_LONGEST, TOLD_AFTER, call_again};
+use maplehook_core::*;
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -11,7 +11,7 @@
 use common::{Bench, class, listed, ms};
 use day::{Day, FIGURES, START};
 use fleet::{Seen, play};
-use lapisroute::*;
+use maplehook_core::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/tests/common/day.rs
+++ b/crates/core/tests/common/day.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use super::common::{class, ms};
-use lapisroute::*;
+use maplehook_core::*;
 
 /// Seconds after which upstreams start cold.
 pub const START: f64 = 6.0;
--- a/tests/common/fleet.rs
+++ b/crates/core/tests/common/fleet.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use super::day::{Cold, Day, START};
-use lapisroute::*;
+use maplehook_core::*;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
--- a/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small embedder for tests: it keeps what a balancer did for each request.
 #![allow(dead_code)]
 
-use lapisroute::*;
+use maplehook_core::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/tests/dark.rs
+++ b/crates/core/tests/dark.rs
@@ -10,7 +10,7 @@
 
 use day::{Day, Outage, START};
 use fleet::play;
-use lapisroute::Outcome;
+use maplehook_core::Outcome;
 
 /// Share of the balancers that may: the operators allow one in ten.
 const DARK_MOST: f64 = 0.1;
--- a/tests/failures.rs
+++ b/crates/core/tests/failures.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use lapisroute::*;
+use maplehook_core::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -226,7 +226,7 @@
     let waits: Vec<Duration> = bench.list_calls.windows(2).map(|w| w[1] - w[0]).collect();
     assert!((40..=60).contains(&waits.len()), "{} calls in a minute", waits.len());
     for (n, wait) in waits.into_iter().enumerate() {
-        let most = ms(500 << n.min(4)).min(lapisroute::asking::WAIT_LONGEST);
+        let most = ms(500 << n.min(4)).min(maplehook_core::asking::WAIT_LONGEST);
         assert!((most / 2..=most + ms(40)).contains(&wait), "wait {n}: {wait:?} of {most:?}");
     }
     let id = bench.request(0, 0, ms(1000));
--- a/tests/growth.rs
+++ b/crates/core/tests/growth.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use lapisroute::*;
+use maplehook_core::*;
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -31,7 +31,7 @@
 
 /// The files that the deploy file names under `policy`.
 fn policy() -> Vec<String> {
-    let deploy = include_str!("../deploy/balancer.toml");
+    let deploy = include_str!("../../../deploy/balancer.toml");
     let line = deploy.lines().find(|l| l.starts_with("policy = [")).expect("a line for the policy");
     let list = line.split_once('[').and_then(|(_, rest)| rest.split_once(']')).expect("a list").0;
     list.split(',').map(|name| name.trim().trim_matches('"').to_owned()).collect()
--- a/tests/reach.rs
+++ b/crates/core/tests/reach.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{class, listed, ms};
-use lapisroute::*;
+use maplehook_core::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::{class, listed, ms};
-use lapisroute::*;
+use maplehook_core::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/tests/shares.rs
+++ b/crates/core/tests/shares.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Bench, class, listed, ms};
-use lapisroute::*;
+use maplehook_core::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
--- a/tests/subset.rs
+++ b/crates/core/tests/subset.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use lapisroute::*;
+use maplehook_core::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const BALANCERS: u32 = 240;
--- a/tests/windows.rs
+++ b/crates/core/tests/windows.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Bench, class, listed, ms};
-use lapisroute::*;
+use maplehook_core::*;
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/membership/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -11,7 +11,7 @@
 //! An error says nothing of the fleet at all.
 //!
 //! ```
-//! use maplehook_membership::{Bounds, Instance, Membership, Origin, Standing, Word};
+//! use maplehook_endpoints::{Bounds, Instance, Membership, Origin, Standing, Word};
 //! use std::time::Duration;
 //!
 //! let at = Duration::from_secs;
--- a/membership/tests/fleet.rs
+++ b/crates/endpoints/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! What is promised of the fleet, whatever sources say and in whatever order: words act at once, losses are held
 //! within their bounds, and once sources are sane the truth is followed.
 
-use maplehook_membership::{Bounds, Instance, Membership, Origin, Standing, Word};
+use maplehook_endpoints::{Bounds, Instance, Membership, Origin, Standing, Word};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/engine/src/call.rs
+++ b/crates/engine/src/call.rs
@@ -5,8 +5,8 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::{HeaderMap, Method, StatusCode, Uri};
-use lapisroute::{ClassId, TenantId, UpstreamId};
-use maplehook_routes::Peer;
+use maplehook_core::{ClassId, TenantId, UpstreamId};
+use maplehook_http_semantics::Peer;
 use std::fmt;
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -16,9 +16,9 @@
 /// A request to be balanced.
 #[derive(Debug)]
 pub struct Call {
-    /// Its class: a position in [`Settings::classes`](lapisroute::Settings::classes).
+    /// Its class: a position in [`Settings::classes`](maplehook_core::Settings::classes).
     pub class: ClassId,
-    /// Its tenant: a position in [`Settings::tenants`](lapisroute::Settings::tenants).
+    /// Its tenant: a position in [`Settings::tenants`](maplehook_core::Settings::tenants).
     pub tenant: TenantId,
     /// How long the caller waits, from now. The class's deadline is the most.
     pub wait: Duration,
--- a/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -23,8 +23,8 @@
 use crate::tally::{Counting, Tally};
 use hyper::Uri;
 use hyper::body::Body;
-use lapisroute::{Balancer, Effect, FleetScope, Settings, TenantId};
-use maplehook_routes::{Forwarding, Passage};
+use maplehook_core::{Balancer, Effect, FleetScope, Settings, TenantId};
+use maplehook_http_semantics::{Forwarding, Passage};
 use std::cell::{Cell, RefCell};
 use std::error::Error;
 use std::fmt;
@@ -366,7 +366,7 @@
 
 fn classes(settings: &Settings, passages: Vec<Passage>) -> Vec<Class> {
     let classes = settings.classes.iter().zip(passages);
-    let class = |(class, passage): (&lapisroute::Class, Passage)| Class {
+    let class = |(class, passage): (&maplehook_core::Class, Passage)| Class {
         effect: class.effect,
         deadline: class.deadline,
         passage: Rc::new(passage),
--- a/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,9 +1,9 @@
-//! A load balancer to embed. Decisions are the `lapisroute` library's; this crate is what carries them out:
+//! A load balancer to embed. Decisions are the `maplehook_core` library's; this crate is what carries them out:
 //! attempts, connections, discovery behind one trait, and a ledger, so that every call gets exactly one final
 //! answer and no effect ever happens twice.
 //!
 //! ```
-//! use lapisroute::{Class, ClassId, Effect, Settings, Tenant, TenantId};
+//! use maplehook_core::{Class, ClassId, Effect, Settings, Tenant, TenantId};
 //! use maplehook::source::Fixed;
 //! use maplehook::{Call, Engine, Outcome};
 //! use std::time::Duration;
--- a/engine/src/lists.rs
+++ b/crates/engine/src/lists.rs
@@ -1,7 +1,7 @@
 //! A list of upstreams that is set while the engine runs.
 
 use crate::source::{Entry, News, Source, Task};
-use lapisroute::FleetScope;
+use maplehook_core::FleetScope;
 use std::time::Instant;
 use tokio::sync::watch;
 
--- a/engine/src/parts/answer.rs
+++ b/crates/engine/src/parts/answer.rs
@@ -7,7 +7,7 @@
 use http_body_util::LengthLimitError;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::{HeaderMap, StatusCode};
-use lapisroute::Outcome;
+use maplehook_core::Outcome;
 use std::collections::VecDeque;
 use std::fmt;
 use std::future::Future;
--- a/engine/src/parts/attempt/reply.rs
+++ b/crates/engine/src/parts/attempt/reply.rs
@@ -9,7 +9,7 @@
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
-use maplehook_routes::{Answers, Means, Passage};
+use maplehook_http_semantics::{Answers, Means, Passage};
 use std::collections::VecDeque;
 use std::fmt;
 use std::future::Future;
--- a/engine/src/parts/attempt/tests.rs
+++ b/crates/engine/src/parts/attempt/tests.rs
@@ -4,8 +4,8 @@
 use crate::parts::room::Room;
 use crate::parts::upstream::Place;
 use http_body_util::BodyExt;
-use lapisroute::ZoneId;
-use lapisroute::{Availability, Settings};
+use maplehook_core::ZoneId;
+use maplehook_core::{Availability, Settings};
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -33,7 +33,7 @@
         &settings,
         crate::parts::pool::tests::descriptors(most_open),
         Room::new(ROOM),
-        maplehook_routes::Forwarding::platform(),
+        maplehook_http_semantics::Forwarding::platform(),
         Arc::default(),
     ));
     let endpoint = Some(listener.local_addr().unwrap());
--- a/engine/src/parts/body/gather.rs
+++ b/crates/engine/src/parts/body/gather.rs
@@ -5,7 +5,7 @@
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::Body;
-use maplehook_routes::Passage;
+use maplehook_http_semantics::Passage;
 use std::time::Duration;
 use tokio::task::spawn_local;
 
--- a/engine/src/parts/discovery.rs
+++ b/crates/engine/src/parts/discovery.rs
@@ -2,7 +2,7 @@
 //!
 //! A call is given up when its time is up, and a watch when it has been silent for too long; both end with
 //! [`News::failed`], and the decision module asks again. The figures, and why a change is known in time whatever
-//! hangs or is refused, stand in [`lapisroute::asking`].
+//! hangs or is refused, stand in [`maplehook_core::asking`].
 
 mod documents;
 mod patience;
@@ -20,8 +20,8 @@
 use hyper::body::Incoming;
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
-use lapisroute::{Availability, CellId, FleetScope, KindId, ZoneId};
-use lapisroute_settings::Names;
+use maplehook_core::{Availability, CellId, FleetScope, KindId, ZoneId};
+use maplehook_platform_settings::Names;
 pub use patience::Patience;
 use patience::Silence;
 use serde::Deserialize;
--- a/engine/src/parts/discovery/patience.rs
+++ b/crates/engine/src/parts/discovery/patience.rs
@@ -1,6 +1,6 @@
 //! How long discovery may be silent, at each step of a call and of the watch that it becomes.
 
-use lapisroute::asking::{CALL_LONGEST, SILENCE_LONGEST};
+use maplehook_core::asking::{CALL_LONGEST, SILENCE_LONGEST};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/engine/src/parts/discovery/tests.rs
+++ b/crates/engine/src/parts/discovery/tests.rs
@@ -3,7 +3,7 @@
 use super::documents::{Documents, Malformed, Said};
 use super::patience::{Patience, Silence};
 use super::*;
-use lapisroute::asking::{CALL_LONGEST, FIRST_WAIT, SILENCE_LONGEST, TOLD_AFTER};
+use maplehook_core::asking::{CALL_LONGEST, FIRST_WAIT, SILENCE_LONGEST, TOLD_AFTER};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
--- a/engine/src/parts/driver.rs
+++ b/crates/engine/src/parts/driver.rs
@@ -21,8 +21,8 @@
 use crate::parts::terms::Presence;
 use crate::parts::upstream::Upstreams;
 use crate::source::{Heard, News, Source};
-use lapisroute::heritage::Heritage;
-use lapisroute::{
+use maplehook_core::heritage::Heritage;
+use maplehook_core::{
     Action, AttemptNo, Balancer, ClassId, Event, FleetScope, Outcome, RequestId, Settings, Shares, TenantId,
     TimerId, UpstreamId,
 };
--- a/engine/src/parts/driver/deeds.rs
+++ b/crates/engine/src/parts/driver/deeds.rs
@@ -5,7 +5,7 @@
 use crate::parts::answer::{AnswerBody, Served};
 use crate::parts::body::Payload;
 use crate::source::News;
-use lapisroute::{Action, AttemptNo, FleetScope, Listed, Outcome, RequestId, UpstreamId};
+use maplehook_core::{Action, AttemptNo, FleetScope, Listed, Outcome, RequestId, UpstreamId};
 use rustc_hash::FxHashSet;
 use std::rc::Rc;
 use std::time::Duration;
--- a/engine/src/parts/driver/held.rs
+++ b/crates/engine/src/parts/driver/held.rs
@@ -3,7 +3,7 @@
 use super::{Answer, Asked, Trace};
 use crate::parts::answer::Served;
 use crate::parts::terms::Terms;
-use lapisroute::{Outcome, UpstreamId};
+use maplehook_core::{Outcome, UpstreamId};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
--- a/engine/src/parts/driver/pending.rs
+++ b/crates/engine/src/parts/driver/pending.rs
@@ -1,7 +1,7 @@
 //! A request between the module and whoever asked it.
 
 use super::{Answer, Driver, Happening, Trace};
-use lapisroute::RequestId;
+use maplehook_core::RequestId;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
--- a/engine/src/parts/driver/places.rs
+++ b/crates/engine/src/parts/driver/places.rs
@@ -1,7 +1,7 @@
 //! Shares for the module, and what is seen of zones from here.
 
 use super::{Driver, Happening};
-use lapisroute::{GroupSight, Shares, SharesError, ZoneId, ZoneSight};
+use maplehook_core::{GroupSight, Shares, SharesError, ZoneId, ZoneSight};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 }
 
 impl Driver {
-    /// Which zones each group of requests goes to from now on; see [`Event::Shares`](lapisroute::Event::Shares).
+    /// Which zones each group of requests goes to from now on; see [`Event::Shares`](maplehook_core::Event::Shares).
     pub fn share(self: &Rc<Self>, shares: Option<Shares>) -> Result<(), SharesError> {
         shares.as_ref().map_or(Ok(()), Shares::check)?;
         self.happened(Happening::Shared(shares.map(Box::new)));
--- a/engine/src/parts/headers.rs
+++ b/crates/engine/src/parts/headers.rs
@@ -1,8 +1,8 @@
 //! Names and forms of the headers that pass between a balancer and its upstreams.
 
 use hyper::header::HeaderName;
-use lapisroute::LoadField;
-pub use maplehook_routes::names::*;
+use maplehook_core::LoadField;
+pub use maplehook_http_semantics::names::*;
 
 /// A load report.
 pub const LOAD: HeaderName = HeaderName::from_static("x-backend-load");
@@ -12,7 +12,7 @@
 pub fn load_report(text: &str, fields: &[LoadField]) -> Option<Vec<f32>> {
     let mut values = vec![f32::NAN; fields.len()];
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
-        let field = lapisroute_settings::load_field(name.trim());
+        let field = maplehook_platform_settings::load_field(name.trim());
         let value = value.trim().parse().ok().filter(|v: &f32| v.is_finite());
         if let (Some(k), Some(value)) = (fields.iter().position(|f| *f == field), value) {
             values[k] = value;
--- a/engine/src/parts/pool.rs
+++ b/crates/engine/src/parts/pool.rs
@@ -3,8 +3,8 @@
 use crate::parts::connection::{Connection, Unasked};
 use crate::parts::descriptors::Descriptors;
 use crate::parts::seldom::Seldom;
-use lapisroute::UpstreamId;
 use maplehook_admission::Part;
+use maplehook_core::UpstreamId;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
--- a/engine/src/parts/upstream.rs
+++ b/crates/engine/src/parts/upstream.rs
@@ -8,8 +8,10 @@
 use crate::parts::room::Room;
 use crate::parts::seldom::Seldom;
 use crate::tally::Tally;
-use lapisroute::{Availability, ClassId, Effect, LoadField, Outcome, Reports, Settings, UpstreamId, ZoneId};
-use maplehook_routes::{Forwarding, Passage};
+use maplehook_core::{
+    Availability, ClassId, Effect, LoadField, Outcome, Reports, Settings, UpstreamId, ZoneId,
+};
+use maplehook_http_semantics::{Forwarding, Passage};
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/engine/src/source.rs
+++ b/crates/engine/src/source.rs
@@ -1,7 +1,7 @@
 //! Where the list of upstreams comes from. Every kind of discovery stands behind [`Source`].
 
 pub use crate::parts::upstream::Place;
-use lapisroute::{Availability, CellId, FleetScope, KindId, UpstreamId, ZoneId};
+use maplehook_core::{Availability, CellId, FleetScope, KindId, UpstreamId, ZoneId};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -50,7 +50,7 @@
 
 /// A source of the list. It is asked when the decision module wants the list, and asked again, after a while,
 /// when it has failed; it keeps no time of its own for that. What bounds a call and a watch stands in
-/// [`lapisroute::asking`].
+/// [`maplehook_core::asking`].
 pub trait Source {
     /// The whole list, or [`News::failed`].
     fn fetch(&self) -> Task<'_, News>;
--- a/engine/src/tally.rs
+++ b/crates/engine/src/tally.rs
@@ -9,7 +9,7 @@
 
 use crate::parts::answer::{AnswerBody, Served};
 use crate::parts::driver::Answer;
-use lapisroute::{ClassId, Outcome, TenantId};
+use maplehook_core::{ClassId, Outcome, TenantId};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
--- a/engine/tests/attempt_states.rs
+++ b/crates/engine/tests/attempt_states.rs
@@ -5,12 +5,12 @@
 mod common;
 
 use common::{BOOK, ERROR, KEYED, LOOK, Peer, TURNED_AWAY, WINDOW, asked, entry, ok, settings, upstreams};
-use lapisroute::{Availability, Balancer, FleetScope, Settings, ZoneId};
 use maplehook::parts::answer::AnswerBody;
 use maplehook::parts::driver::{Answer, Driver};
 use maplehook::source::{Entry, News, Source, Task};
-use maplehook_routes::Passage;
-use maplehook_standins::LONG;
+use maplehook_core::{Availability, Balancer, FleetScope, Settings, ZoneId};
+use maplehook_http_semantics::Passage;
+use maplehook_test_servers::LONG;
 use proptest::prelude::*;
 use std::cell::RefCell;
 use std::collections::HashSet;
--- a/engine/tests/client_gone.rs
+++ b/crates/engine/tests/client_gone.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{BOOK, ERROR, LOOK, Peer, asked, driver, name, pass, settings, settle, turn, upstreams};
-use lapisroute::{Class, Settings};
 use maplehook::parts::driver::Pending;
+use maplehook_core::{Class, Settings};
 use std::time::Duration;
 use tokio::task::spawn_local;
 
--- a/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -4,10 +4,6 @@
 
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
-use lapisroute::{
-    Availability, Balancer, CellId, Class, ClassId, DedupGroup, Effect, FleetScope, KindId, Settings, Tenant,
-    TenantId, UpstreamId, ZoneId,
-};
 use maplehook::label::Label;
 use maplehook::parts::attempt::Outgoing;
 use maplehook::parts::body::Payload;
@@ -17,8 +13,12 @@
 use maplehook::parts::upstream::{Place, Upstreams};
 use maplehook::source::{Entry, Fixed, News};
 use maplehook_admission::Part;
-use maplehook_routes::{Forwarding, Passage};
-use maplehook_standins::LONG;
+use maplehook_core::{
+    Availability, Balancer, CellId, Class, ClassId, DedupGroup, Effect, FleetScope, KindId, Settings, Tenant,
+    TenantId, UpstreamId, ZoneId,
+};
+use maplehook_http_semantics::{Forwarding, Passage};
+use maplehook_test_servers::LONG;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
--- a/engine/tests/descriptors_short.rs
+++ b/crates/engine/tests/descriptors_short.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{BOOK, Peer, asked, driver, name, pass, settings, settle, upstreams};
-use lapisroute::Settings;
-use maplehook_standins::LONG;
+use maplehook_core::Settings;
+use maplehook_test_servers::LONG;
 
 /// Guards those that wait for a connection: one that falls idle is room, for the same upstream and for others. Before, only a
 /// connection that closed woke them, and they waited until their time was over beside one that stood idle.
--- a/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -3,12 +3,12 @@
 
 use bytes::Bytes;
 use http_body_util::Full;
-use lapisroute::{Class, ClassId, DedupGroup, Effect, Settings, Tenant, TenantId};
 use maplehook::ledger::Bounds;
 use maplehook::source::Fixed;
 use maplehook::{Call, CallBody, Engine, Handle, Outcome, Why};
-use maplehook_routes::Passage;
-use maplehook_standins::{LONG, OK, Then, Upstream, until};
+use maplehook_core::{Class, ClassId, DedupGroup, Effect, Settings, Tenant, TenantId};
+use maplehook_http_semantics::Passage;
+use maplehook_test_servers::{LONG, OK, Then, Upstream, until};
 use proptest::prelude::*;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -124,7 +124,7 @@
         assert_eq!(name(&host.block_on(handle.call(other))), outcome);
         assert_eq!(with("one"), 2);
     }
-    let engine = engine_for(&[maplehook_standins::nobody()], LONG);
+    let engine = engine_for(&[maplehook_test_servers::nobody()], LONG);
     for _ in 0..2 {
         assert_eq!(name(&host.block_on(engine.handle().call(call(BOOK, Some("one"))))), "refused");
     }
--- a/engine/tests/known.rs
+++ b/crates/engine/tests/known.rs
@@ -1,8 +1,8 @@
 //! Lists of upstreams that are none: nothing of what discovery may say panics, and what can't be read says nothing.
 
-use lapisroute_settings::Names;
 use maplehook::parts::descriptors::Descriptors;
 use maplehook::parts::discovery::Discovery;
+use maplehook_platform_settings::Names;
 use proptest::prelude::*;
 
 const GOOD: &str = r#"{"rev":41,"all":true,"targets":[
--- a/engine/tests/moment_of_writing.rs
+++ b/crates/engine/tests/moment_of_writing.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use common::{BOOK, Peer, driver, entry, outgoing, settings, settle, upstreams};
-use lapisroute::{Availability, Outcome, UpstreamId, ZoneId};
 use maplehook::Lease;
 use maplehook::parts::attempt::Ended;
 use maplehook::parts::terms::{Presence, Terms};
 use maplehook::parts::upstream::Upstreams;
-use maplehook_standins::LONG;
+use maplehook_core::{Availability, Outcome, UpstreamId, ZoneId};
+use maplehook_test_servers::LONG;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/engine/tests/places.rs
+++ b/crates/engine/tests/places.rs
@@ -2,10 +2,6 @@
 
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
-use lapisroute::{
-    Availability, Balancer, CellId, Class, ClassId, Effect, FleetScope, GroupShares, GroupSight, KindId,
-    Settings, Shares, SharesError, Tenant, TenantId, UpstreamId, ZoneId,
-};
 use maplehook::label::Label;
 use maplehook::parts::attempt::Outgoing;
 use maplehook::parts::body::Payload;
@@ -14,8 +10,12 @@
 use maplehook::parts::room::Room;
 use maplehook::parts::upstream::{Place, Upstreams};
 use maplehook::source::{Entry, Fixed, News};
-use maplehook_routes::{Forwarding, Passage};
-use maplehook_standins::{LONG, OK, Then, Upstream};
+use maplehook_core::{
+    Availability, Balancer, CellId, Class, ClassId, Effect, FleetScope, GroupShares, GroupSight, KindId,
+    Settings, Shares, SharesError, Tenant, TenantId, UpstreamId, ZoneId,
+};
+use maplehook_http_semantics::{Forwarding, Passage};
+use maplehook_test_servers::{LONG, OK, Then, Upstream};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
--- a/engine/tests/second_copies.rs
+++ b/crates/engine/tests/second_copies.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{LOOK, Peer, asked, driver, settings, settle, upstreams};
-use lapisroute::{Class, Settings};
-use maplehook_standins::LONG;
+use maplehook_core::{Class, Settings};
+use maplehook_test_servers::LONG;
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
 
--- a/eureka/src/lib.rs
+++ b/crates/eureka/src/lib.rs
@@ -3,7 +3,7 @@
 //! - [`model`] reads its documents, JSON and XML, with the quirks that real servers have. Pure.
 //! - [`Mirror`] keeps the list: the whole of it, the changes since, the hash of both. Pure.
 //! - [`Eureka`] follows a registry of several replicas and is a [`Source`](maplehook::source::Source): what it hears
-//!   goes through [`maplehook_membership`], so that neither an error nor an empty list empties the fleet.
+//!   goes through [`maplehook_endpoints`], so that neither an error nor an empty list empties the fleet.
 //! - [`Registrar`] registers the balancer itself.
 
 mod client;
--- a/eureka/src/model.rs
+++ b/crates/eureka/src/model.rs
@@ -5,7 +5,7 @@
 //! instance that can't be read is skipped and counted, and says nothing against the others.
 
 use crate::tree::{Node, TreeError};
-use maplehook_membership::{Instance, Word};
+use maplehook_endpoints::{Instance, Word};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
--- a/eureka/tests/common/mod.rs
+++ b/crates/eureka/tests/common/mod.rs
@@ -2,10 +2,10 @@
 
 #![allow(dead_code, reason = "each file of tests uses its part")]
 
-pub use maplehook_node::Daemon;
-pub use maplehook_standins::app::App;
-pub use maplehook_standins::eureka::Eureka;
-pub use maplehook_standins::{LONG, until};
+pub use maplehook_proxy::Daemon;
+pub use maplehook_test_servers::app::App;
+pub use maplehook_test_servers::eureka::Eureka;
+pub use maplehook_test_servers::{LONG, until};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -44,7 +44,7 @@
     if stream.write_all(b"GET /day HTTP/1.1\r\nHost: app\r\nConnection: close\r\n\r\n").is_err() {
         return 0;
     }
-    maplehook_standins::Message::read(&mut BufReader::new(stream)).map_or(0, |message| message.status())
+    maplehook_test_servers::Message::read(&mut BufReader::new(stream)).map_or(0, |message| message.status())
 }
 
 /// Clients that ask all the time, and what they got.
--- a/eureka/tests/documents.rs
+++ b/crates/eureka/tests/documents.rs
@@ -1,9 +1,9 @@
 //! Documents of registries: golden ones as the public pages show them, in both notations and with the quirks that
 //! real servers have; and any text at all.
 
+use maplehook_endpoints::Word;
 use maplehook_eureka::model::{Action, Mapping, Notation, hash, read};
 use maplehook_eureka::{Mirror, Node, Step};
-use maplehook_membership::Word;
 use proptest::prelude::*;
 
 /// As servers write it: ports as objects, numbers as texts, one instance as an object.
--- a/eureka/tests/registry.rs
+++ b/crates/eureka/tests/registry.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use maplehook_standins::eureka::Mode;
+use maplehook_test_servers::eureka::Mode;
 use std::net::TcpStream;
 use std::time::Duration;
 
--- a/places/src/act.rs
+++ b/crates/failover-agent/src/act.rs
@@ -6,8 +6,8 @@
 use crate::shown::{ShownRow, ShownShare};
 use crate::taking::Acted;
 use maplehook_failover::{Acts, Shares, WHOLE};
-use maplehook_histories::What;
-use maplehook_histories::record::ActedRow;
+use maplehook_history_checker::What;
+use maplehook_history_checker::record::ActedRow;
 use std::sync::Arc;
 use std::time::Instant;
 
--- a/places/src/board.rs
+++ b/crates/failover-agent/src/board.rs
@@ -4,9 +4,9 @@
 use crate::history::{Writer, unix_us};
 use crate::shown::{Shown, ShownRow, trips};
 use crate::talk::{Agreed, Reply, Wish};
-use maplehook_addresses::{Announce, Answer, Own};
-use maplehook_histories::What;
-use maplehook_quorum::Standing;
+use maplehook_address_announcement::{Announce, Answer, Own};
+use maplehook_consensus::Standing;
+use maplehook_history_checker::What;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -147,7 +147,7 @@
         let stands = self.stands.borrow().clone();
         let Some(config) = &stands.config else { return Vec::new() };
         let agreed = stands.agreed.as_ref().map(|(agreed, _)| &agreed.addresses);
-        let shown = |address: &maplehook_addresses::Address| {
+        let shown = |address: &maplehook_address_announcement::Address| {
             let standing = agreed.and_then(|state| state.addresses.get(&address.name));
             let site = |region: &maplehook_locality::Region| {
                 let site = config.topology.region_name(*region).to_owned();
--- a/places/src/config.rs
+++ b/crates/failover-agent/src/config.rs
@@ -1,6 +1,6 @@
 //! What a balancer's part rests on, as the version in force has it.
 
-use maplehook_addresses::Address;
+use maplehook_address_announcement::Address;
 use maplehook_config::{Places, Proxy, Upstream};
 use maplehook_failover::{Bounds, digest};
 use maplehook_locality::{Rules, Topology, Zone};
--- a/places/src/history.rs
+++ b/crates/failover-agent/src/history.rs
@@ -3,7 +3,7 @@
 //! A thread of its own writes: neither plans nor answers wait for a disk. What does not fit in the queue, or comes after the file
 //! has reached its bound, is left out and counted, and that is said in the file.
 
-use maplehook_histories::{Record, What};
+use maplehook_history_checker::{Record, What};
 use std::fs::File;
 use std::io::{BufWriter, Write};
 use std::path::Path;
--- a/places/src/lead.rs
+++ b/crates/failover-agent/src/lead.rs
@@ -3,11 +3,11 @@
 
 use crate::config::Config;
 use crate::talk::{Agreed, Reply, Wish};
-use maplehook_addresses::{self as addresses, SiteHealth};
+use maplehook_address_announcement::{self as addresses, SiteHealth};
+use maplehook_cluster::words::fnv;
 use maplehook_failover::trips::{Measured, Measuring, Way};
 use maplehook_failover::{self as failover, Report};
 use maplehook_locality::{Region, Zone};
-use maplehook_tier::words::fnv;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/places/src/run.rs
+++ b/crates/failover-agent/src/run.rs
@@ -10,11 +10,11 @@
 use crate::taking::{Acted, Link, Setup};
 use crate::talk::{Agreed, Reply};
 use bytes::Bytes;
+use maplehook_cluster::Name;
+use maplehook_consensus::{Put, Standing};
 use maplehook_failover::Acting;
-use maplehook_histories::What;
+use maplehook_history_checker::What;
 use maplehook_locality::Zone;
-use maplehook_quorum::{Put, Standing};
-use maplehook_tier::Name;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -259,7 +259,7 @@
     fn note_agreed(&self, agreed: &Agreed) {
         let plan = &agreed.places.plan;
         if plan.epoch > 0 && self.board.writer.is_on() {
-            let digest = maplehook_agreement::steps::digest(&format!("{:?}", plan.rows));
+            let digest = maplehook_versions::steps::digest(&format!("{:?}", plan.rows));
             self.board.writer.note(What::Agreed { epoch: plan.epoch, digest: digest[..16].to_owned() });
         }
     }
--- a/places/src/talk.rs
+++ b/crates/failover-agent/src/talk.rs
@@ -1,6 +1,6 @@
 //! What balancers say to one another of places, and what operators want.
 
-use maplehook_addresses::State;
+use maplehook_address_announcement::State;
 use maplehook_failover::Document;
 use maplehook_failover::trips::{Measured, Way};
 use serde::{Deserialize, Serialize};
--- a/places/src/tell.rs
+++ b/crates/failover-agent/src/tell.rs
@@ -4,12 +4,12 @@
 use crate::taking::WISHES_MOST;
 use crate::talk::{Reply, Say, Wish};
 use bytes::Bytes;
+use maplehook_cluster::Name;
+use maplehook_cluster::words::fnv;
+use maplehook_consensus::PLACES;
 use maplehook_failover::trips::{PEERS_MOST, Way};
 use maplehook_failover::{Acting, Report, Sight};
-use maplehook_link::frames::Message;
-use maplehook_quorum::PLACES;
-use maplehook_tier::Name;
-use maplehook_tier::words::fnv;
+use maplehook_transport::frames::Message;
 use std::time::Instant;
 
 impl Runner {
--- a/places/tests/leading.rs
+++ b/crates/failover-agent/tests/leading.rs
@@ -1,10 +1,10 @@
 //! The leader's part, without its thread: what it has agreed on, one body at a time, and operators' wishes by name.
 
 use maplehook_failover::{Demand, PlaceState, Report, Sight};
+use maplehook_failover_agent::Config;
+use maplehook_failover_agent::lead::Leading;
+use maplehook_failover_agent::talk::{Agreed, Reply, Wish};
 use maplehook_locality::Zone;
-use maplehook_places::Config;
-use maplehook_places::lead::Leading;
-use maplehook_places::talk::{Agreed, Reply, Wish};
 use std::time::Duration;
 
 fn config() -> Config {
@@ -167,7 +167,7 @@
 /// What one says of its ways: 2 ms to its own region, so long to the other one.
 fn ways(own: usize, far_ms: f32) -> Vec<maplehook_failover::trips::Way> {
     let way = |zone: usize| maplehook_failover::trips::Way {
-        peer: maplehook_tier::words::fnv(format!("b{zone}0").as_bytes()),
+        peer: maplehook_cluster::words::fnv(format!("b{zone}0").as_bytes()),
         ms: if zone / 2 == own / 2 { 2.0 } else { far_ms },
     };
     (0..4).map(way).collect()
@@ -215,7 +215,7 @@
     let mut led = Led::new();
     measured(&mut led, 30, 12.0).expect("a table");
     let body = led.agreed.encode();
-    let before: (maplehook_failover::Document, maplehook_addresses::State) =
+    let before: (maplehook_failover::Document, maplehook_address_announcement::State) =
         postcard::from_bytes(&body).unwrap();
     assert_eq!((&before.0, &before.1), (&led.agreed.places, &led.agreed.addresses));
     let old = postcard::to_allocvec(&before).unwrap();
--- a/histories/tests/corpus.rs
+++ b/crates/history-checker/tests/corpus.rs
@@ -1,8 +1,8 @@
 //! Every history of the corpus shows what its header says, and nothing else.
 
-use maplehook_histories::file::read;
-use maplehook_histories::judge::{RULES, judge};
-use maplehook_histories::report;
+use maplehook_history_checker::file::read;
+use maplehook_history_checker::judge::{RULES, judge};
+use maplehook_history_checker::report;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
@@ -53,7 +53,7 @@
 
 #[test]
 fn the_short_part_is_written_beside_its_file() {
-    let at = std::env::temp_dir().join(format!("maplehook-histories-{}", std::process::id()));
+    let at = std::env::temp_dir().join(format!("maplehook-history-checker-{}", std::process::id()));
     std::fs::create_dir_all(&at).unwrap();
     let from = corpus().into_iter().find(|file| file.ends_with("ran-twice.jsonl")).unwrap();
     let to = at.join("run.jsonl");
--- a/histories/tests/golden.rs
+++ b/crates/history-checker/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
 
 use maplehook_golden::{Format, compare, golden_types, recorded};
-use maplehook_histories::record::{Address, Bounds, Header, Outcome, Record, Upstream};
+use maplehook_history_checker::record::{Address, Bounds, Header, Outcome, Record, Upstream};
 use std::path::Path;
 
 golden_types! {
--- a/histories/tests/judge/any.rs
+++ b/crates/history-checker/tests/judge/any.rs
@@ -2,10 +2,10 @@
 
 use crate::draw::{BEGIN, S, header, run};
 use fastrand::Rng;
-use maplehook_histories::file::{History, merge, read_from, write_to};
-use maplehook_histories::judge::{RULES, judge};
-use maplehook_histories::record::{Record, What};
-use maplehook_histories::shrink;
+use maplehook_history_checker::file::{History, merge, read_from, write_to};
+use maplehook_history_checker::judge::{RULES, judge};
+use maplehook_history_checker::record::{Record, What};
+use maplehook_history_checker::shrink;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::path::Path;
--- a/histories/tests/judge/draw.rs
+++ b/crates/history-checker/tests/judge/draw.rs
@@ -2,8 +2,8 @@
 //! addresses, a balancer that is killed and one that is stopped, a drain.
 
 use fastrand::Rng;
-use maplehook_histories::file::{History, merge};
-use maplehook_histories::record::{
+use maplehook_history_checker::file::{History, merge};
+use maplehook_history_checker::record::{
     ActedRow, Address, Bounds, Header, Outcome, Record, SCHEMA, Upstream, What,
 };
 use std::collections::BTreeMap;
--- a/histories/tests/judge/kept.rs
+++ b/crates/history-checker/tests/judge/kept.rs
@@ -6,10 +6,10 @@
     skip_epoch, stay, swing,
 };
 use fastrand::Rng;
-use maplehook_histories::file::{History, write};
-use maplehook_histories::judge::judge;
-use maplehook_histories::record::{Record, What};
-use maplehook_histories::shrink;
+use maplehook_history_checker::file::{History, write};
+use maplehook_history_checker::judge::judge;
+use maplehook_history_checker::record::{Record, What};
+use maplehook_history_checker::shrink;
 use std::collections::BTreeMap;
 use std::path::Path;
 
--- a/histories/tests/judge/mutated.rs
+++ b/crates/history-checker/tests/judge/mutated.rs
@@ -2,9 +2,9 @@
 
 use crate::draw::{BEGIN, GOOD, MS, Run, S, acts, agreed, announces, rec, rows, run};
 use fastrand::Rng;
-use maplehook_histories::file::History;
-use maplehook_histories::judge::{RULES, judge, named};
-use maplehook_histories::record::{Outcome, Record, What};
+use maplehook_history_checker::file::History;
+use maplehook_history_checker::judge::{RULES, judge, named};
+use maplehook_history_checker::record::{Outcome, Record, What};
 
 /// Runs that are drawn for each kind.
 const RUNS: u64 = 16;
--- a/histories/tests/judge/planted.rs
+++ b/crates/history-checker/tests/judge/planted.rs
@@ -3,9 +3,9 @@
 use crate::draw::{
     BEGIN, MS, S, acts, agreed, announces, did, ended, header, health, history, ran, rec, rows, sent,
 };
-use maplehook_histories::file::History;
-use maplehook_histories::judge::named;
-use maplehook_histories::record::{Outcome, Record, What};
+use maplehook_history_checker::file::History;
+use maplehook_history_checker::judge::named;
+use maplehook_history_checker::record::{Outcome, Record, What};
 
 /// Breaches of a rule, each by its text.
 pub fn found(rule: &str, history: &History) -> Vec<String> {
@@ -31,7 +31,7 @@
     assert!((named(rule).unwrap().judge)(&history).judged > 0, "nothing was judged");
 }
 
-fn calm() -> Vec<maplehook_histories::record::ActedRow> {
+fn calm() -> Vec<maplehook_history_checker::record::ActedRow> {
     rows(&[("a", &[("a", 10_000)]), ("b", &[("b", 10_000)])])
 }
 
--- a/histories/tests/judge/planted_addresses.rs
+++ b/crates/history-checker/tests/judge/planted_addresses.rs
@@ -2,7 +2,7 @@
 
 use crate::draw::{MS, S, announces, did, health, history, rec, withdraws};
 use crate::planted::{found, none, one};
-use maplehook_histories::record::{Record, What};
+use maplehook_history_checker::record::{Record, What};
 
 /// Someone announces an address for its site twice a second, each time for two seconds, in `from..until`.
 fn says(address: &str, by: &str, site: &str, from: u64, until: u64) -> Vec<Record> {
--- a/histories/tests/judge/planted_requests.rs
+++ b/crates/history-checker/tests/judge/planted_requests.rs
@@ -2,7 +2,7 @@
 
 use crate::draw::{MS, S, did, ended, ran, rec, sent};
 use crate::planted::{found, none, one};
-use maplehook_histories::record::{Outcome, Record, What};
+use maplehook_history_checker::record::{Outcome, Record, What};
 
 /// Request 7, sent at 1 s to `b-a1`, ended with this after that.
 fn request(after: u64, outcome: Outcome) -> Vec<Record> {
--- a/histories/tests/judge/shrinking.rs
+++ b/crates/history-checker/tests/judge/shrinking.rs
@@ -1,10 +1,10 @@
 //! What is left of a broken run is short and shows the same.
 
 use crate::draw::{BEGIN, MS, S, announces, ended, rec, run};
-use maplehook_histories::file::History;
-use maplehook_histories::judge::{Breach, named};
-use maplehook_histories::record::{Outcome, What};
-use maplehook_histories::shrink;
+use maplehook_history_checker::file::History;
+use maplehook_history_checker::judge::{Breach, named};
+use maplehook_history_checker::record::{Outcome, What};
+use maplehook_history_checker::shrink;
 use std::time::Instant;
 
 fn breaches(rule: &str, history: &History) -> Vec<Breach> {
--- a/handover/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -3,8 +3,8 @@
 //! The text is a line that names the format, its version, a checksum and a length, and JSON of that length. Whatever is
 //! wrong with it, nothing of it is taken; whatever is too old may be a lie.
 
-use lapisroute::heritage::{ClassHeritage, Heritage, TenantHeritage, UpstreamHeritage};
-use lapisroute::{Availability, UpstreamId};
+use maplehook_core::heritage::{ClassHeritage, Heritage, TenantHeritage, UpstreamHeritage};
+use maplehook_core::{Availability, UpstreamId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
--- a/handover/tests/golden.rs
+++ b/crates/hot-restart/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
 
 use maplehook_golden::{assert_text, golden_types, hex, recorded, samples, unhex};
-use maplehook_handover::{Known, Learned, Snapshot};
+use maplehook_hot_restart::{Known, Learned, Snapshot};
 
 golden_types! {
     known: Json Known;
--- a/routes/src/classify.rs
+++ b/crates/http-semantics/src/classify.rs
@@ -4,7 +4,7 @@
 use crate::pattern::{Pattern, Segments};
 use http::header::{COOKIE, Entry, HOST};
 use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode, Uri};
-use lapisroute::{ClassId, Effect, TenantId};
+use maplehook_core::{ClassId, Effect, TenantId};
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
--- a/routes/src/lib.rs
+++ b/crates/http-semantics/src/lib.rs
@@ -10,8 +10,8 @@
 //!
 //! ```
 //! use http::{HeaderMap, Method, Uri};
-//! use lapisroute::{ClassId, Effect};
-//! use maplehook_routes::{Headers, Pattern, Route, Rules};
+//! use maplehook_core::{ClassId, Effect};
+//! use maplehook_http_semantics::{Headers, Pattern, Route, Rules};
 //! use std::time::Duration;
 //!
 //! let route = |class, pattern: &str, methods: &[Method], effect| Route {
--- a/routes/src/meaning.rs
+++ b/crates/http-semantics/src/meaning.rs
@@ -2,7 +2,7 @@
 
 use crate::names::UNPROCESSED;
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
-use lapisroute::Effect;
+use maplehook_core::Effect;
 use std::time::Duration;
 
 /// What an answer means.
--- a/routes/tests/rules.rs
+++ b/crates/http-semantics/tests/rules.rs
@@ -2,8 +2,8 @@
 //! is what the operators' page says.
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode, Uri};
-use lapisroute::{ClassId, DedupGroup, Effect, TenantId};
-use maplehook_routes::{Headers, Meaning, Means, Passage, Pattern, Route, Rules, names};
+use maplehook_core::{ClassId, DedupGroup, Effect, TenantId};
+use maplehook_http_semantics::{Headers, Meaning, Means, Passage, Pattern, Route, Rules, names};
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/middleware/src/layer.rs
+++ b/crates/middleware/src/layer.rs
@@ -7,7 +7,7 @@
 use http_body::Body;
 use http_body_util::Either;
 use maplehook::{ReplyBody, Why};
-use maplehook_routes::Unfit;
+use maplehook_http_semantics::Unfit;
 use std::error::Error;
 use std::future::Future;
 use std::pin::Pin;
--- a/middleware/src/lib.rs
+++ b/crates/middleware/src/lib.rs
@@ -55,10 +55,10 @@
 pub use client::{CallError, Client, Trace};
 pub use layer::{Balance, Balanced};
 pub use maplehook::{Refusal, ReplyBody, Why};
-pub use maplehook_routes::{Peer, Unfit};
+pub use maplehook_http_semantics::{Peer, Unfit};
 pub use setup::{Balancing, SetupError};
 
 /// The hosts' page, its example kept honest by the tests.
-#[doc = include_str!("../../docs/LIBRARY.md")]
+#[doc = include_str!("../../../docs/LIBRARY.md")]
 #[cfg(doctest)]
 struct Guide;
--- a/middleware/src/setup.rs
+++ b/crates/middleware/src/setup.rs
@@ -3,7 +3,7 @@
 use maplehook::source::Fixed;
 use maplehook::{Engine, Handle, StartError};
 use maplehook_config::{Faults, Proxy};
-use maplehook_routes::{Own, Rules};
+use maplehook_http_semantics::{Own, Rules};
 use std::fmt;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::sync::Arc;
--- a/settings/src/check.rs
+++ b/crates/platform-settings/src/check.rs
@@ -3,7 +3,7 @@
 
 use crate::tuned::MOST;
 use crate::{Raw, Site};
-use lapisroute::SettingsError;
+use maplehook_core::SettingsError;
 use serde_json::Value;
 use std::fmt;
 
--- a/settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -9,7 +9,9 @@
 pub use check::{Wrong, missing};
 pub use tuned::Tuned;
 
-use lapisroute::{Class, DedupGroup, Effect, LoadField, Prices, Reports, Settings, Tenant, Weights, ZoneId};
+use maplehook_core::{
+    Class, DedupGroup, Effect, LoadField, Prices, Reports, Settings, Tenant, Weights, ZoneId,
+};
 use serde::Deserialize;
 use std::time::Duration;
 
--- a/settings/src/tuned.rs
+++ b/crates/platform-settings/src/tuned.rs
@@ -5,7 +5,7 @@
 
 use crate::check::{self, missing, wrong};
 use crate::{Names, Site, Wrong};
-use lapisroute::{Class, ClassId, Settings, Tenant, TenantId};
+use maplehook_core::{Class, ClassId, Settings, Tenant, TenantId};
 use serde_json::Value;
 use std::time::Duration;
 
@@ -134,7 +134,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use lapisroute::Effect;
+    use maplehook_core::Effect;
 
     const CLASS: &str = r#"{"name": "NAME", "aim_ms": 200, "hard_limit_ms": 400, "effect": "idempotent"}"#;
 
--- a/settings/tests/bad_input.rs
+++ b/crates/platform-settings/tests/bad_input.rs
@@ -1,11 +1,11 @@
 //! Settings that are none: each slip is named by its key, at the start and at a retuning alike, and nothing panics, whatever
 //! bytes come.
 
-use lapisroute::{
+use maplehook_core::{
     Action, AttemptNo, Availability, Balancer, CellId, ClassId, Event, FleetScope, KindId, Listed, Outcome,
     RequestId, TenantId, TimerId, UpstreamId, ZoneId,
 };
-use lapisroute_settings::Tuned;
+use maplehook_platform_settings::Tuned;
 use proptest::prelude::*;
 use serde_json::Value;
 use std::time::Duration;
--- a/settings/tests/golden.rs
+++ b/crates/platform-settings/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Errors of the settings object, as an earlier program said them.
 
-use lapisroute_settings::{Tuned, parse};
 use maplehook_golden::assert_text;
+use maplehook_platform_settings::{Tuned, parse};
 use serde_json::{Value, json};
 
 const GOOD: &str = r#"{"balancers": 3, "me": 1, "locality": 0, "classes": [
--- a/settings/tests/sites.rs
+++ b/crates/platform-settings/tests/sites.rs
@@ -3,13 +3,13 @@
 
 mod site;
 
-use lapisroute_settings::Tuned;
+use maplehook_platform_settings::Tuned;
 use site::{Draw, draws, settings};
 use std::fs;
 use std::path::{Path, PathBuf};
 
 fn folder() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/sites")
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/sites")
 }
 
 /// The texts of all sites in a folder, by name.
--- a/node/src/command.rs
+++ b/crates/proxy/src/command.rs
@@ -16,7 +16,7 @@
 /// A load balancer for services that must keep their promises while things break. Without a command it reads the
 /// platform's configuration from the file that NODE_CONFIG names; `run` needs the operator's file alone.
 #[derive(Parser)]
-#[command(version)]
+#[command(version, name = "maplehook-node")]
 pub struct Line {
     /// The operator's file, TOML; see deploy/maplehook.toml. Without one, the defaults hold.
     #[arg(long, value_name = "FILE", global = true)]
--- a/node/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,8 +1,8 @@
 //! What the platform tells a balancer at its start: the JSON file that `NODE_CONFIG` names.
 
 use crate::command::text_of;
-use lapisroute_settings::{Tuned, Wrong, missing};
 use maplehook_admission::budget::{LEAST, TooFew};
+use maplehook_platform_settings::{Tuned, Wrong, missing};
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
--- a/node/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -19,7 +19,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use maplehook::tally::{self, Tally};
-use maplehook_link::Asks;
+use maplehook_transport::Asks;
 use std::collections::VecDeque;
 use std::convert::Infallible;
 use std::io;
--- a/node/src/counts.rs
+++ b/crates/proxy/src/counts.rs
@@ -1,10 +1,10 @@
 //! What becomes of requests, counted on the thread that serves while a change in stages runs, and handed over each interval.
 
 use crate::nearness::Names;
-use lapisroute::{ClassId, TenantId};
 use maplehook::tally::{Counting, End, Looks};
-use maplehook_staging::taking::Serving;
-use maplehook_verdict::Report;
+use maplehook_canary::Report;
+use maplehook_core::{ClassId, TenantId};
+use maplehook_rollout_agent::taking::Serving;
 use std::cell::RefCell;
 use std::mem;
 use std::rc::Rc;
--- a/node/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -1,16 +1,16 @@
 //! Leaves what this process knows to the next one on the same socket, and takes what the one before has left: a file in
-//! `$TMPDIR`. What of it is taken, `maplehook_handover` decides.
+//! `$TMPDIR`. What of it is taken, `maplehook_hot_restart` decides.
 
-use lapisroute::heritage::Heritage;
-use lapisroute::{Availability, CellId, FleetScope, KindId, UpstreamId, ZoneId};
-use lapisroute_settings::Names;
 use maplehook::parts::descriptors::Descriptors;
 use maplehook::parts::discovery::Discovery;
 use maplehook::parts::driver::Driver;
 use maplehook::parts::seldom::Seldom;
 use maplehook::parts::upstream::Place;
 use maplehook::source::{Entry, News, Source, Task};
-use maplehook_handover::{Known, LENGTH_MOST, Learned, Reader, Snapshot};
+use maplehook_core::heritage::Heritage;
+use maplehook_core::{Availability, CellId, FleetScope, KindId, UpstreamId, ZoneId};
+use maplehook_hot_restart::{Known, LENGTH_MOST, Learned, Reader, Snapshot};
+use maplehook_platform_settings::Names;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::fs::{self, File};
--- a/node/src/hearsay.rs
+++ b/crates/proxy/src/hearsay.rs
@@ -1,13 +1,13 @@
 //! What other balancers say of upstreams, laid over what the own discovery says: a source round a source.
 //!
-//! What it comes to, `maplehook_tier::care` decides. Here it is taken to and fro: the own list goes to the tier as claims,
+//! What it comes to, `maplehook_cluster::care` decides. Here it is taken to and fro: the own list goes to the tier as claims,
 //! the words of others come back as news of entries that are treated with more care than the own list asks for.
 
-use lapisroute::{Availability, FleetScope, UpstreamId};
 use maplehook::source::{Entry, Heard, News, Source, Task};
-use maplehook_link::{Member, Told, unix_ms};
-use maplehook_tier::care::{Care, Own, View};
-use maplehook_tier::words::Claim;
+use maplehook_cluster::care::{Care, Own, View};
+use maplehook_cluster::words::Claim;
+use maplehook_core::{Availability, FleetScope, UpstreamId};
+use maplehook_transport::{Member, Told, unix_ms};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -200,9 +200,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use lapisroute::{CellId, KindId, ZoneId};
     use maplehook::source::Place;
-    use maplehook_tier::words::Effect;
+    use maplehook_cluster::words::Effect;
+    use maplehook_core::{CellId, KindId, ZoneId};
 
     /// A source that says what it is told to.
     #[derive(Default)]
--- a/node/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,7 @@
 //! The balancer as a program: the way in for HTTP/1.1, for the platform's protocol and for any application.
 //!
-//! Every decision is the `lapisroute` library's; who is let in is `maplehook-admission`'s; what a request is and what
-//! an answer means is `maplehook-routes`'. Other programs start one beside themselves with [`Daemon`]:
+//! Every decision is the `maplehook_core` library's; who is let in is `maplehook-admission`'s; what a request is and what
+//! an answer means is `maplehook-http-semantics`'. Other programs start one beside themselves with [`Daemon`]:
 //!
 //! ```
 //! let file = r#"
@@ -14,7 +14,7 @@
 //!     name = "desk-1"
 //!     address = "127.0.0.1:9"
 //! "#;
-//! let daemon = maplehook_node::Daemon::start(maplehook_config::parse(file)?)?;
+//! let daemon = maplehook_proxy::Daemon::start(maplehook_config::parse(file)?)?;
 //! assert!(std::net::TcpStream::connect(daemon.address).is_ok());
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
--- a/node/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,11 +1,11 @@
 //! `maplehook`: a load balancer on real sockets. See the library of this crate.
 
 use clap::Parser;
-use maplehook_node::command::{self, Command, Line};
-use maplehook_node::config::Config;
-use maplehook_node::settings::Outcome;
-use maplehook_node::supervised::Supervised;
-use maplehook_node::{inherited, retune, serve, supervise_command};
+use maplehook_proxy::command::{self, Command, Line};
+use maplehook_proxy::config::Config;
+use maplehook_proxy::settings::Outcome;
+use maplehook_proxy::supervised::Supervised;
+use maplehook_proxy::{inherited, retune, serve, supervise_command};
 use std::error::Error;
 use std::io;
 use std::net::TcpListener;
--- a/node/src/nearness.rs
+++ b/crates/proxy/src/nearness.rs
@@ -1,15 +1,15 @@
 //! Places on the thread that serves: what is seen goes out, shares come in, by this process's numbers of classes, tenants and zones.
 
 use crate::versions::PlacesOf;
-use lapisroute::{GroupShares, Shares, ZoneId};
 use maplehook::parts::driver::Driver;
-use maplehook_agreement::numbers::{Numbered, Numbers};
 use maplehook_config::Proxy;
-use maplehook_link::Measured;
+use maplehook_consensus::Agreeing;
+use maplehook_core::{GroupShares, Shares, ZoneId};
+use maplehook_failover_agent::rates::{RuleSeen, Seen, ZoneSeen};
+use maplehook_failover_agent::{Acted, Config, Link, Setup, TARGETS_MOST, Taking};
 use maplehook_locality::Zone;
-use maplehook_places::rates::{RuleSeen, Seen, ZoneSeen};
-use maplehook_places::{Acted, Config, Link, Setup, TARGETS_MOST, Taking};
-use maplehook_quorum::Agreeing;
+use maplehook_transport::Measured;
+use maplehook_versions::numbers::{Numbered, Numbers};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -103,7 +103,7 @@
             let (standing, acts) = (agreeing.standing.clone(), agreeing.acts.clone());
             Some(Link { standing, acts, places })
         });
-        let start = maplehook_link::unix_ms();
+        let start = maplehook_transport::unix_ms();
         let setup = Setup {
             name,
             start,
--- a/node/src/places.rs
+++ b/crates/proxy/src/places.rs
@@ -2,8 +2,8 @@
 
 use crate::signed::Seal;
 use hyper::StatusCode;
-use maplehook_places::Board;
-use maplehook_places::talk::{Reply, Wish};
+use maplehook_failover_agent::Board;
+use maplehook_failover_agent::talk::{Reply, Wish};
 use serde::Serialize;
 use std::sync::Arc;
 
--- a/node/src/places_command.rs
+++ b/crates/proxy/src/places_command.rs
@@ -5,9 +5,9 @@
 use crate::tier::ask;
 use crate::whom::Whom;
 use maplehook_config::Operator;
-use maplehook_places::board::{Past, ShownAddress};
-use maplehook_places::shown::{Shown, ShownRow};
-use maplehook_places::talk::Wish;
+use maplehook_failover_agent::board::{Past, ShownAddress};
+use maplehook_failover_agent::shown::{Shown, ShownRow};
+use maplehook_failover_agent::talk::Wish;
 use std::error::Error;
 use std::fmt::Write;
 use std::time::Duration;
@@ -81,7 +81,8 @@
                 let shown: Shown = serde_json::from_str(&text)?;
                 let text = if self.whom.json { text } else { table(&shown) };
                 if !watch {
-                    let serving = |place: &maplehook_places::shown::ShownPlace| place.state == "serving";
+                    let serving =
+                        |place: &maplehook_failover_agent::shown::ShownPlace| place.state == "serving";
                     let fine = shown.in_common && shown.places.iter().all(serving);
                     return Ok(Outcome { text, code: if fine { 0 } else { 2 } });
                 }
--- a/node/src/retune.rs
+++ b/crates/proxy/src/retune.rs
@@ -3,11 +3,11 @@
 use crate::config::Config;
 use crate::entrance::Entrance;
 use crate::requests::Requests;
-use lapisroute_settings::Tuned;
 use maplehook::parts::descriptors::Descriptors;
 use maplehook::parts::discovery::Discovery;
 use maplehook::parts::driver::Driver;
 use maplehook::tally::Counting;
+use maplehook_platform_settings::Tuned;
 use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
--- a/node/src/rollout.rs
+++ b/crates/proxy/src/rollout.rs
@@ -3,8 +3,8 @@
 
 use crate::signed::Seal;
 use hyper::StatusCode;
-use maplehook_staging::Board;
-use maplehook_staging::talk::{Reply, Wish};
+use maplehook_rollout_agent::Board;
+use maplehook_rollout_agent::talk::{Reply, Wish};
 use serde::Serialize;
 use std::sync::Arc;
 
--- a/node/src/serve/file.rs
+++ b/crates/proxy/src/serve/file.rs
@@ -9,12 +9,12 @@
 use crate::requests::Requests;
 use crate::supervised::{self, Led, Supervised};
 use crate::versions::Versions;
-use lapisroute::FleetScope;
 use maplehook::lists::Lists;
 use maplehook::parts::driver::Driver;
 use maplehook::parts::room::Room;
 use maplehook::source::{Fixed, News, Source};
 use maplehook_config::{CutOff, Operator};
+use maplehook_core::FleetScope;
 use maplehook_eureka::{self as eureka, Eureka, Registrar, Registration};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -45,7 +45,7 @@
     let agrees = agreement.is_some();
     if agrees {
         // Until it is known what the others act on.
-        proxy = maplehook_agreement::strict::careful(&proxy);
+        proxy = maplehook_versions::strict::careful(&proxy);
     }
     let longest = proxy.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
     let mut plan = Plan {
--- a/node/src/serve/parts.rs
+++ b/crates/proxy/src/serve/parts.rs
@@ -10,14 +10,14 @@
 use crate::supervised::{self, Led};
 use crate::tier;
 use crate::wishes::Guard;
-use lapisroute::Balancer;
 use maplehook::parts::descriptors::{self, Descriptors};
 use maplehook::parts::upstream::Upstreams;
 use maplehook_admission::{Door, Part};
 use maplehook_config::{Proxy, Tier};
-use maplehook_link::{Member, Secret};
-use maplehook_quorum::Agreeing;
-use maplehook_staging::{Link, Setup, Taking};
+use maplehook_consensus::Agreeing;
+use maplehook_core::Balancer;
+use maplehook_rollout_agent::{Link, Setup, Taking};
+use maplehook_transport::{Member, Secret};
 use std::error::Error;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -79,9 +79,9 @@
             .as_ref()
             .map(|tier| {
                 let join = if supervised.is_some() {
-                    maplehook_quorum::join_when_free
+                    maplehook_consensus::join_when_free
                 } else {
-                    maplehook_quorum::join
+                    maplehook_consensus::join
                 };
                 join(tier, env!("CARGO_PKG_VERSION"))
             })
@@ -93,7 +93,7 @@
         {
             let file =
                 plan.file.take().ok_or("[agreement] needs the file itself: maplehook run --config FILE")?;
-            let mut began = maplehook_quorum::agree(tier, agreement, file.clone(), member)?;
+            let mut began = maplehook_consensus::agree(tier, agreement, file.clone(), member)?;
             let secret = Secret::read(&tier.secret_file).map_err(|e| format!("tier.secret_file: {e}"))?;
             let sealed = Arc::new(Seal::new(&secret));
             staging = proxy.map(|proxy| stages(tier, proxy, file, &mut began)).transpose()?.flatten();
--- a/node/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -14,7 +14,7 @@
 use maplehook::parts::desk::Desk;
 use maplehook::parts::seldom::Seldom;
 use maplehook_admission::Reason;
-use maplehook_routes::Own;
+use maplehook_http_semantics::Own;
 use std::io;
 use std::net::IpAddr;
 use std::rc::Rc;
--- a/node/src/server/respond.rs
+++ b/crates/proxy/src/server/respond.rs
@@ -11,7 +11,7 @@
 use maplehook::parts::answer::AnswerBody;
 use maplehook::parts::body::{Fault, Upload, read_away};
 use maplehook::parts::driver::Answer;
-use maplehook_routes::Unfit;
+use maplehook_http_semantics::Unfit;
 use std::future::poll_fn;
 use std::net::IpAddr;
 use std::rc::Rc;
--- a/node/src/signed.rs
+++ b/crates/proxy/src/signed.rs
@@ -2,7 +2,7 @@
 //! body, good for a minute, once.
 
 use hyper::StatusCode;
-use maplehook_link::{Secret, unix_ms};
+use maplehook_transport::{Secret, unix_ms};
 use serde::de::DeserializeOwned;
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
--- a/node/src/supervise_command.rs
+++ b/crates/proxy/src/supervise_command.rs
@@ -2,9 +2,9 @@
 
 use crate::command;
 use maplehook_config::Operator;
-use maplehook_supervise::memory::Digest;
-use maplehook_supervise::shell::{self, Setup, Trial};
-use maplehook_supervise::words::Settings;
+use maplehook_supervisor::memory::Digest;
+use maplehook_supervisor::shell::{self, Setup, Trial};
+use maplehook_supervisor::words::Settings;
 use std::error::Error;
 use std::path::Path;
 use std::time::Duration;
--- a/node/src/supervised.rs
+++ b/crates/proxy/src/supervised.rs
@@ -4,9 +4,9 @@
 //! when that has let go, and lets go of first of all when it ends.
 
 use crate::control;
-use lapisroute::Settings;
 use maplehook::parts::driver::Driver;
-use maplehook_supervise::hand::{self, Shown, Word};
+use maplehook_core::Settings;
+use maplehook_supervisor::hand::{self, Shown, Word};
 use std::error::Error;
 use std::io;
 use std::net::SocketAddr;
--- a/node/src/tier.rs
+++ b/crates/proxy/src/tier.rs
@@ -6,9 +6,9 @@
 use hyper::header::HOST;
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
+use maplehook_cluster::Seen;
 use maplehook_config::Tier;
-use maplehook_link::Status;
-use maplehook_tier::Seen;
+use maplehook_transport::Status;
 use serde::{Deserialize, Serialize};
 use std::error::Error;
 use std::fmt::Write;
@@ -105,7 +105,7 @@
             incarnation: status.start,
             state: "alive".into(),
             program: status.program.to_string(),
-            wire: maplehook_tier::WIRE.version,
+            wire: maplehook_cluster::WIRE.version,
             since_ms: ms(status.since),
             apart: None,
         };
--- a/node/src/versions.rs
+++ b/crates/proxy/src/versions.rs
@@ -13,12 +13,12 @@
 use maplehook::parts::upstream::Upstreams;
 use maplehook::source::Fixed;
 use maplehook::tally::Counting;
-use maplehook_agreement::numbers::{Numbered, Numbers};
+use maplehook_canary::Side;
 use maplehook_config::Proxy;
-use maplehook_places::Config;
-use maplehook_quorum::{Acting, Mode};
-use maplehook_staging::{Acked, Staged};
-use maplehook_verdict::Side;
+use maplehook_consensus::{Acting, Mode};
+use maplehook_failover_agent::Config;
+use maplehook_rollout_agent::{Acked, Staged};
+use maplehook_versions::numbers::{Numbered, Numbers};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -116,7 +116,7 @@
             let stage =
                 told_staged.clone().filter(|stage| mode == Mode::Rules && stage.rests_on == wanted.label);
             let key = (wanted.epoch, mode, stage.as_ref().map(|stage| (stage.number, stage.side)));
-            self.upstreams.lease(maplehook_follow::lease(&wanted, mode, now.into_std()));
+            self.upstreams.lease(maplehook_config_follower::lease(&wanted, mode, now.into_std()));
             if present.replace(key) != Some(key) {
                 let before = *told.borrow_and_update();
                 if self.apply(&wanted, mode, stage.as_deref(), &driver, &counting) {
--- a/node/src/whom.rs
+++ b/crates/proxy/src/whom.rs
@@ -5,7 +5,7 @@
 use crate::tier::{Answered, ask_with};
 use hyper::StatusCode;
 use maplehook_config::Operator;
-use maplehook_link::Secret;
+use maplehook_transport::Secret;
 use serde::Serialize;
 use std::error::Error;
 use std::net::SocketAddr;
--- a/node/src/wishes.rs
+++ b/crates/proxy/src/wishes.rs
@@ -2,10 +2,10 @@
 
 use crate::signed::Seal;
 use hyper::StatusCode;
-use maplehook_agreement::steps::Step;
-use maplehook_quorum::talk::{Op, Overview, Reply};
-use maplehook_quorum::{Local, Wishes};
-use maplehook_staging::Board as Staging;
+use maplehook_consensus::talk::{Op, Overview, Reply};
+use maplehook_consensus::{Local, Wishes};
+use maplehook_rollout_agent::Board as Staging;
+use maplehook_versions::steps::Step;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 use std::sync::Arc;
@@ -152,7 +152,7 @@
     fn of(local: &Local, overview: Option<&Overview>) -> Self {
         let ms = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
         let members = overview.map(|overview| {
-            let member = |stands: &maplehook_quorum::talk::Stands| ShownMember {
+            let member = |stands: &maplehook_consensus::talk::Stands| ShownMember {
                 name: stands.name.clone(),
                 version: stands.epoch.filter(|epoch| *epoch == overview.epoch).map(|_| label(overview.step)),
                 epoch: stands.epoch,
--- a/node/src/words.rs
+++ b/crates/proxy/src/words.rs
@@ -8,7 +8,7 @@
 use maplehook::parts::answer::{AnswerBody, Served};
 use maplehook::parts::body::Failure;
 use maplehook::parts::driver::Answer;
-use maplehook_routes::Own;
+use maplehook_http_semantics::Own;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
--- a/node/tests/agreement.rs
+++ b/crates/proxy/tests/agreement.rs
@@ -1,9 +1,9 @@
 //! Several processes of the balancer that agree on versions, with faults between them.
 
-use maplehook_rig::balancer::Keeps;
-use maplehook_rig::check::longest_contradiction;
-use maplehook_rig::{Setup, World};
-use maplehook_standins::until;
+use maplehook_test_servers::until;
+use maplehook_testbed::balancer::Keeps;
+use maplehook_testbed::check::longest_contradiction;
+use maplehook_testbed::{Setup, World};
 use serde_json::Value;
 use std::path::Path;
 use std::process::{Command, Output};
@@ -271,7 +271,7 @@
     let history = world.end();
     let (longest, what) = longest_contradiction(&history);
     assert!(longest < Duration::from_millis(200), "{longest:?}: {what}");
-    assert!(maplehook_rig::check::no_effect_twice(&history).is_empty());
+    assert!(maplehook_testbed::check::no_effect_twice(&history).is_empty());
 }
 
 /// Links that drop, delay and come and go, and kills, while changes are proposed all the time.
--- a/node/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -16,7 +16,7 @@
 pub mod halfway;
 pub mod supervised;
 
-pub use maplehook_standins::*;
+pub use maplehook_test_servers::*;
 
 /// A configuration, to be changed before the start.
 pub struct Setup {
--- a/node/tests/common/supervised.rs
+++ b/crates/proxy/tests/common/supervised.rs
@@ -1,8 +1,8 @@
 //! A supervisor with its directories, programs that are scripts, and a client that never rests.
 
 use super::*;
-use maplehook_supervise::memory::{Digest, Memory, Role};
-use maplehook_supervise::process;
+use maplehook_supervisor::memory::{Digest, Memory, Role};
+use maplehook_supervisor::process;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::AtomicBool;
@@ -57,7 +57,7 @@
         let new = self.folder.join("new");
         std::fs::write(&new, bytes).unwrap();
         std::fs::set_permissions(&new, std::fs::Permissions::from_mode(0o755)).unwrap();
-        let digest = maplehook_supervise::programs::digest(&new).unwrap();
+        let digest = maplehook_supervisor::programs::digest(&new).unwrap();
         std::fs::rename(&new, self.folder.join("programs").join(digest.as_str())).unwrap();
         digest
     }
@@ -129,7 +129,7 @@
 
     /// An operator's call.
     pub fn call(&self, path: &str) -> Option<u16> {
-        maplehook_supervise::ask::ask(self.operators, "GET", path, LONG).ok().map(|answer| answer.status)
+        maplehook_supervisor::ask::ask(self.operators, "GET", path, LONG).ok().map(|answer| answer.status)
     }
 
     /// All that live of what was started here, by the arguments that they were started with.
--- a/node/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use maplehook_node::config::Config;
+use maplehook_proxy::config::Config;
 use std::path::PathBuf;
 use std::process::Command;
 
--- a/node/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use maplehook_standins::registry::{CHUNKED, Call, Registry, chunk};
+use maplehook_test_servers::registry::{CHUNKED, Call, Registry, chunk};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/node/tests/door/known.rs
+++ b/crates/proxy/tests/door/known.rs
@@ -68,7 +68,7 @@
     }
     std::fs::remove_file(&path).unwrap();
     let check = Command::new(env!("CARGO_BIN_EXE_maplehook"))
-        .args(["check", "--config", concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/maplehook.toml")])
+        .args(["check", "--config", concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/maplehook.toml")])
         .output()
         .unwrap();
     assert!(check.status.success(), "{}", String::from_utf8_lossy(&check.stderr));
--- a/node/tests/library.rs
+++ b/crates/proxy/tests/library.rs
@@ -1,13 +1,13 @@
 //! A program that embeds the engine, beside processes of the balancer: it acts on the versions on which they agree.
 
 use bytes::Bytes;
-use lapisroute::{ClassId, TenantId};
 use maplehook::{Call, Engine, Outcome};
-use maplehook_follow::Follower;
-use maplehook_quorum::Mode;
-use maplehook_rig::balancer::Keeps;
-use maplehook_rig::{Setup, World};
-use maplehook_standins::until;
+use maplehook_config_follower::Follower;
+use maplehook_consensus::Mode;
+use maplehook_core::{ClassId, TenantId};
+use maplehook_test_servers::until;
+use maplehook_testbed::balancer::Keeps;
+use maplehook_testbed::{Setup, World};
 use std::path::Path;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     let setup =
         Setup { balancers: 4, upstreams: 2, agreement, listed: true, ..Setup::new(Path::new(PROGRAM)) };
     let world = World::prepare(setup).unwrap();
-    let (engine, follower) = maplehook_follow::start(&world.file(3), 7).unwrap();
+    let (engine, follower) = maplehook_config_follower::start(&world.file(3), 7).unwrap();
     world.stands_in(3, follower.tier_address);
     world.start_all(&[0, 1, 2], Keeps::State).unwrap();
     until("the library acts on version 1", || follows(&follower, "1"));
--- a/node/tests/program.rs
+++ b/crates/proxy/tests/program.rs
@@ -4,8 +4,8 @@
 
 use common::supervised::*;
 use common::*;
-use maplehook_supervise::memory::Digest;
-use maplehook_supervise::words::POLL;
+use maplehook_supervisor::memory::Digest;
+use maplehook_supervisor::words::POLL;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -108,7 +108,7 @@
 
     /// A JSON that one answers to operators.
     fn asked(&self, n: usize, path: &str) -> Value {
-        let answer = maplehook_supervise::ask::ask(self.places[n].operators, "GET", path, LONG);
+        let answer = maplehook_supervisor::ask::ask(self.places[n].operators, "GET", path, LONG);
         answer.ok().and_then(|answer| serde_json::from_slice(&answer.body).ok()).unwrap_or_default()
     }
 
--- a/node/tests/proxy/answers.rs
+++ b/crates/proxy/tests/proxy/answers.rs
@@ -3,7 +3,7 @@
 use crate::common::*;
 use crate::{CLASSES, Rig};
 use futures_util::StreamExt;
-use maplehook_standins::app::patterned;
+use maplehook_test_servers::app::patterned;
 use std::io::Read;
 use std::time::Duration;
 
--- a/node/tests/proxy/main.rs
+++ b/crates/proxy/tests/proxy/main.rs
@@ -10,7 +10,7 @@
 mod uploads;
 
 use common::*;
-use maplehook_standins::app::{App, Echo};
+use maplehook_test_servers::app::{App, Echo};
 use reqwest::{Body, Client as Http, Method, Response, redirect};
 
 /// Every kind of class.
--- a/node/tests/proxy/passing.rs
+++ b/crates/proxy/tests/proxy/passing.rs
@@ -2,7 +2,7 @@
 
 use crate::{CLASSES, Rig};
 use futures_util::StreamExt;
-use maplehook_standins::app::{Echo, patterned};
+use maplehook_test_servers::app::{Echo, patterned};
 use reqwest::{Body, Method, StatusCode};
 use std::io::Read;
 use std::time::{Duration, Instant};
--- a/node/tests/proxy/uploads.rs
+++ b/crates/proxy/tests/proxy/uploads.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use crate::{CLASSES, Rig};
-use maplehook_standins::app::App;
+use maplehook_test_servers::app::App;
 use reqwest::{Client as Http, Method};
 use std::io::Write;
 
--- a/node/tests/readiness.rs
+++ b/crates/proxy/tests/readiness.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use maplehook_standins::registry::Registry;
+use maplehook_test_servers::registry::Registry;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
--- a/node/tests/rollout.rs
+++ b/crates/proxy/tests/rollout.rs
@@ -1,8 +1,8 @@
 //! Real processes that change settings in stages, with faults between them.
 
-use maplehook_rig::balancer::Keeps;
-use maplehook_rig::{Setup, World};
-use maplehook_standins::{LONG, until};
+use maplehook_test_servers::{LONG, until};
+use maplehook_testbed::balancer::Keeps;
+use maplehook_testbed::{Setup, World};
 use serde_json::Value;
 use std::path::Path;
 use std::process::{Command, Output};
--- a/node/tests/sockets.rs
+++ b/crates/proxy/tests/sockets.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use maplehook_standins::registry::Registry;
+use maplehook_test_servers::registry::Registry;
 use std::io::Write;
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
--- a/node/tests/supervise.rs
+++ b/crates/proxy/tests/supervise.rs
@@ -4,7 +4,7 @@
 
 use common::supervised::*;
 use common::*;
-use maplehook_supervise::memory::Digest;
+use maplehook_supervisor::memory::Digest;
 use std::net::TcpListener;
 use std::os::fd::OwnedFd;
 
--- a/node/tests/supervise_rollout.rs
+++ b/crates/proxy/tests/supervise_rollout.rs
@@ -4,8 +4,8 @@
 
 use common::supervised::*;
 use common::*;
-use maplehook_supervise::hand::{self, Shown, Word};
-use maplehook_supervise::memory::Digest;
+use maplehook_supervisor::hand::{self, Shown, Word};
+use maplehook_supervisor::memory::Digest;
 use std::io::{BufReader, Write};
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
@@ -29,7 +29,7 @@
     };
     let (operators, trial) = (answers(Some(own)), answers(None));
     let shown = Shown { digest: std::env::var(hand::DIGEST).unwrap(), operators, trial, accepts: false };
-    let socket = maplehook_node::inherited::take().unwrap().unwrap();
+    let socket = maplehook_proxy::inherited::take().unwrap().unwrap();
     socket.set_nonblocking(false).unwrap();
     let clients = socket.try_clone().unwrap();
     hand::offer(Path::new(&path), socket, shown, move |word| match word {
--- a/node/tests/tier.rs
+++ b/crates/proxy/tests/tier.rs
@@ -1,13 +1,13 @@
 //! Several processes of the balancer that know each other, with faults between them.
 
-use maplehook_rig::balancer::Keeps;
-use maplehook_rig::check::name;
-use maplehook_rig::flood::Flood;
-use maplehook_rig::measure::{quantile, times};
-use maplehook_rig::nemesis::Line;
-use maplehook_rig::relay::Trouble;
-use maplehook_rig::{Setup, World, storm};
-use maplehook_standins::until;
+use maplehook_test_servers::until;
+use maplehook_testbed::balancer::Keeps;
+use maplehook_testbed::check::name;
+use maplehook_testbed::flood::Flood;
+use maplehook_testbed::measure::{quantile, times};
+use maplehook_testbed::nemesis::Line;
+use maplehook_testbed::relay::Trouble;
+use maplehook_testbed::{Setup, World, storm};
 use std::path::Path;
 use std::process::Command;
 use std::time::Duration;
@@ -39,13 +39,13 @@
 /// kill -9, SIGSTOP, a cut, loss with doubles and reordering, and resets, under load; nothing of what is promised breaks.
 #[test]
 fn faults_of_five_kinds_break_no_promise() {
-    storms(include_str!("../../rig/storms/five.toml"), 5);
+    storms(include_str!("../../../tools/testbed/storms/five.toml"), 5);
 }
 
 /// Half of the tier at once and back within a second, with old and lost state directories.
 #[test]
 fn half_of_the_tier_goes_and_comes_back() {
-    storms(include_str!("../../rig/storms/half.toml"), 6);
+    storms(include_str!("../../../tools/testbed/storms/half.toml"), 6);
 }
 
 #[test]
@@ -124,7 +124,7 @@
         world.balancer(0).ask("/control/ready").is_some_and(|(status, _)| status == 200)
     });
     // With the same directory the later one knows at its start that somebody holds it.
-    let mut third = maplehook_rig::balancer::Balancer::new(
+    let mut third = maplehook_testbed::balancer::Balancer::new(
         "b1",
         Path::new(PROGRAM),
         &std::env::temp_dir().join(format!("maplehook-third-{}", std::process::id())),
@@ -177,7 +177,7 @@
     assert!(world.until(LONG, World::agrees).is_some(), "{:?}", world.views());
     world.quiet();
     let history = world.end();
-    let breaches = maplehook_rig::check::one_answer(&history, &storm::promised(3));
+    let breaches = maplehook_testbed::check::one_answer(&history, &storm::promised(3));
     assert!(breaches.is_empty(), "{breaches:?}");
     // Nothing of it is on the way of requests; the bound is wide since machines are busy.
     let (calm, flooded) = (times(&history, calm_from, flood_from), times(&history, flood_from, flood_to));
--- a/sharing/tests/bound.rs
+++ b/crates/quota/tests/bound.rs
@@ -1,7 +1,7 @@
 //! The sum over all balancers of what each may grant, under any order, loss, repeat, cut, restart and drift of clocks.
 
-use maplehook_sharing::split::{Settings, Split};
-use maplehook_sharing::{Ask, Grant, Key, Kind, Member, UNIT};
+use maplehook_quota::split::{Settings, Split};
+use maplehook_quota::{Ask, Grant, Key, Kind, Member, UNIT};
 use proptest::prelude::*;
 use std::collections::{BTreeSet, HashSet};
 
--- a/sharing/tests/emulation.rs
+++ b/crates/quota/tests/emulation.rs
@@ -3,8 +3,8 @@
 mod fleet;
 
 use fleet::{CALM, Fleet, Net, ROUGH};
-use maplehook_sharing::split::Settings;
-use maplehook_sharing::{Ask, Key, Kind, Member};
+use maplehook_quota::split::Settings;
+use maplehook_quota::{Ask, Key, Kind, Member};
 
 const KEY: Key = Key { kind: Kind::Tenant, subject: 5 };
 const COLD: Key = Key { kind: Kind::Cold, subject: 6 };
--- a/sharing/tests/fleet/mod.rs
+++ b/crates/quota/tests/fleet/mod.rs
@@ -1,9 +1,9 @@
 //! Many balancers on a network that delays, loses, reorders, repeats and cuts, every message as its bytes. Demand is a
 //! flow; what a balancer serves of it is the smaller of that and its share.
 
-use maplehook_sharing::split::{Settings, Split};
-use maplehook_sharing::wire::Message;
-use maplehook_sharing::{Key, Member, PERIOD, UNIT};
+use maplehook_quota::split::{Settings, Split};
+use maplehook_quota::wire::Message;
+use maplehook_quota::{Key, Member, PERIOD, UNIT};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
--- a/sharing/tests/told.rs
+++ b/crates/quota/tests/told.rs
@@ -1,8 +1,8 @@
 //! Figures converge, stay bounded, and fit into datagrams; no bytes upset their reader.
 
-use maplehook_sharing::told::{Digest, EACH_MOST, Figure, Figures, GOOD, TELLERS_MOST, TENANTS_MOST, Topic};
-use maplehook_sharing::wire::{Message, PAYLOAD_MOST, Refused, VERSION};
-use maplehook_sharing::{Ask, Grant, Key, Kind, Member, UNIT};
+use maplehook_quota::told::{Digest, EACH_MOST, Figure, Figures, GOOD, TELLERS_MOST, TENANTS_MOST, Topic};
+use maplehook_quota::wire::{Message, PAYLOAD_MOST, Refused, VERSION};
+use maplehook_quota::{Ask, Grant, Key, Kind, Member, UNIT};
 use proptest::prelude::*;
 
 fn member(id: u64, start: u64) -> Member {
--- a/staging/src/document.rs
+++ b/crates/rollout-agent/src/document.rs
@@ -1,8 +1,8 @@
 //! What is agreed on of changes in stages: one part of the common document.
 
-use maplehook_quorum::PART_MOST;
+use maplehook_canary::Report;
+use maplehook_consensus::PART_MOST;
 use maplehook_rollout::{Rollout, State};
-use maplehook_verdict::Report;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
--- a/staging/src/judging.rs
+++ b/crates/rollout-agent/src/judging.rs
@@ -2,10 +2,10 @@
 
 use crate::document::Change;
 use crate::talk::Stands;
+use maplehook_canary::report::{KEYS_MOST, Reports};
+use maplehook_canary::{Judge, Report, Side, Verdict};
+use maplehook_cluster::Name;
 use maplehook_rollout::{Judged, State};
-use maplehook_tier::Name;
-use maplehook_verdict::report::{KEYS_MOST, Reports};
-use maplehook_verdict::{Judge, Report, Side, Verdict};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
--- a/staging/src/lead.rs
+++ b/crates/rollout-agent/src/lead.rs
@@ -6,10 +6,10 @@
 use crate::judging::{Heard, Judging};
 use crate::parts::parts;
 use crate::talk::{Preview, Reply, Stands, What, Wish};
+use maplehook_canary::Side;
 use maplehook_config::Proxy;
 use maplehook_rollout::order::Member;
 use maplehook_rollout::{Command, Rollout, State};
-use maplehook_verdict::Side;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/staging/src/member.rs
+++ b/crates/rollout-agent/src/member.rs
@@ -1,9 +1,9 @@
 //! On which side a balancer is to be.
 
 use crate::document::{Content, Document, words};
+use maplehook_canary::Side;
 use maplehook_rollout::state::cut_off;
 use maplehook_rollout::{Rollout, State};
-use maplehook_verdict::Side;
 use std::time::Duration;
 
 /// Where a balancer is to be.
--- a/staging/src/parts.rs
+++ b/crates/rollout-agent/src/parts.rs
@@ -1,10 +1,10 @@
 //! What of new settings may differ between stages: what contradicts nothing by the agreement's table ([`strict`]). The rest holds in
 //! its strictest reading on both sides until the last stage has been judged.
 //!
-//! [`strict`]: maplehook_agreement::strict
+//! [`strict`]: maplehook_versions::strict
 
-use maplehook_agreement::strict::{contradictions, strictest};
 use maplehook_config::Proxy;
+use maplehook_versions::strict::{contradictions, strictest};
 use std::collections::BTreeMap;
 
 /// What one side acts on while the other acts on `other`: its own times, weights and guarantees, and for the rest the strictest
--- a/staging/src/shown.rs
+++ b/crates/rollout-agent/src/shown.rs
@@ -2,8 +2,8 @@
 
 use crate::document::{Change, Document, words};
 use crate::talk::Preview;
+use maplehook_canary::Side;
 use maplehook_rollout::State;
-use maplehook_verdict::Side;
 use serde::{Deserialize, Serialize};
 
 /// A balancer of a stage.
--- a/staging/src/taking.rs
+++ b/crates/rollout-agent/src/taking.rs
@@ -2,9 +2,9 @@
 
 use crate::board::{Board, Stands};
 use crate::run::Runner;
+use maplehook_canary::{Report, Side};
 use maplehook_config::Proxy;
-use maplehook_quorum::{Acting, Standing, Ways, Wishes};
-use maplehook_verdict::{Report, Side};
+use maplehook_consensus::{Acting, Standing, Ways, Wishes};
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::Duration;
--- a/staging/src/talk.rs
+++ b/crates/rollout-agent/src/talk.rs
@@ -1,6 +1,6 @@
 //! What balancers say to one another of changes in stages, and what operators want.
 
-use maplehook_verdict::{Report, Side};
+use maplehook_canary::{Report, Side};
 use serde::{Deserialize, Serialize};
 
 /// What is to change.
--- a/staging/src/tell.rs
+++ b/crates/rollout-agent/src/tell.rs
@@ -5,10 +5,10 @@
 use crate::taking::WISHES_MOST;
 use crate::talk::{Reply, Say, Stands, Wish};
 use bytes::Bytes;
-use maplehook_link::frames::Message;
-use maplehook_quorum::PLACES;
-use maplehook_tier::Name;
-use maplehook_verdict::Report;
+use maplehook_canary::Report;
+use maplehook_cluster::Name;
+use maplehook_consensus::PLACES;
+use maplehook_transport::frames::Message;
 use std::time::Instant;
 
 /// Lines that a leader tells, and how long each may be.
--- a/staging/tests/leading.rs
+++ b/crates/rollout-agent/tests/leading.rs
@@ -1,12 +1,12 @@
 //! A leader over members that are played: what it has agreed on, whoever leads.
 
+use maplehook_canary::{Report, Side};
 use maplehook_config::Proxy;
 use maplehook_rollout::State;
-use maplehook_staging::document::Document;
-use maplehook_staging::lead::{Ground, Leading};
-use maplehook_staging::member::wanted;
-use maplehook_staging::talk::{Reply, Stands, What, Wish};
-use maplehook_verdict::{Report, Side};
+use maplehook_rollout_agent::document::Document;
+use maplehook_rollout_agent::lead::{Ground, Leading};
+use maplehook_rollout_agent::member::wanted;
+use maplehook_rollout_agent::talk::{Reply, Stands, What, Wish};
 use std::time::Duration;
 
 const PLAN: &str = "[change]\nsettings = 'x'\ninterval_ms = 500\nshort_s = 60\n[[stage]]\nnames = ['b0']\nleast_s = 8\nleast_requests = 100\n\
--- a/rollout/src/command.rs
+++ b/crates/rollout/src/command.rs
@@ -1,6 +1,6 @@
 //! What is said to a change, and why it may change nothing.
 
-use maplehook_verdict::Side;
+use maplehook_canary::Side;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
--- a/rollout/src/explore/machine.rs
+++ b/crates/rollout/src/explore/machine.rs
@@ -3,7 +3,7 @@
 use crate::order::Member;
 use crate::plan::{self, Plan};
 use crate::state::{Command, Judged, Rollout, State, cut_off};
-use maplehook_verdict::Side;
+use maplehook_canary::Side;
 use rustc_hash::FxHashMap;
 
 /// What is broken on purpose.
--- a/rollout/src/explore/world.rs
+++ b/crates/rollout/src/explore/world.rs
@@ -3,7 +3,7 @@
 use super::acts::{Act, Faults, Truth};
 use super::machine::{Docs, Flaw, NAMES};
 use crate::state::{Command, Judged, State};
-use maplehook_verdict::Side;
+use maplehook_canary::Side;
 
 /// What a balancer was told last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -1,7 +1,7 @@
 //! Who is in which stage, and who may be changed now.
 
 use crate::plan::{Plan, Stage, Whom};
-use maplehook_tier::words::fnv;
+use maplehook_cluster::words::fnv;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -21,9 +21,9 @@
 //! false_stops = 0.01
 //! ```
 
+use maplehook_canary::{Bounds, Measure};
+use maplehook_cluster::Name;
 use maplehook_config::reader::{Fault, Faults, Form, Reader};
-use maplehook_tier::Name;
-use maplehook_verdict::{Bounds, Measure};
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -270,7 +270,7 @@
     /// The example says the defaults.
     #[test]
     fn the_example_is_good() {
-        let plan = read(include_str!("../../deploy/rollout.toml")).unwrap();
+        let plan = read(include_str!("../../../deploy/rollout.toml")).unwrap();
         assert_eq!(plan.bounds, Bounds { stages: 3, ..Bounds::default() });
         let bare = read("[change]\nsettings = 'x'\n[[stage]]\nshare = 1.0\n").unwrap();
         assert_eq!(
--- a/rollout/src/state.rs
+++ b/crates/rollout/src/state.rs
@@ -7,7 +7,7 @@
 pub use crate::command::{Command, Judged, Refused};
 use crate::order::{Member, Order};
 use crate::plan::{Plan, WhenCutOff};
-use maplehook_verdict::Side;
+use maplehook_canary::Side;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
--- a/rollout/tests/state.rs
+++ b/crates/rollout/tests/state.rs
@@ -1,9 +1,9 @@
 //! The state machine as voters play it: good changes, bad ones, words that come late, and whatever is said in whatever order.
 
+use maplehook_canary::Side;
 use maplehook_rollout::order::Member;
 use maplehook_rollout::plan::WhenCutOff;
 use maplehook_rollout::state::{Command, EVENTS_MOST, Judged, Refused, Rollout, State, cut_off};
-use maplehook_verdict::Side;
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/supervise/src/store.rs
+++ b/crates/supervisor/src/store.rs
@@ -102,7 +102,7 @@
 
     #[test]
     fn a_memory_outlives_its_writer_and_a_spoilt_one_is_told() {
-        let place = std::env::temp_dir().join(format!("maplehook-supervise-{}", std::process::id()));
+        let place = std::env::temp_dir().join(format!("maplehook-supervisor-{}", std::process::id()));
         let store = Store::open(&place).unwrap();
         assert_eq!(store.read(), Ok(None));
         assert!(Store::open(&place).unwrap_err().contains("another supervisor"));
--- a/supervise/tests/golden.rs
+++ b/crates/supervisor/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
 
 use maplehook_golden::{Format, assert_type};
-use maplehook_supervise::hand::Shown;
-use maplehook_supervise::memory::{Digest, Known, Memory, Role, Told};
+use maplehook_supervisor::hand::Shown;
+use maplehook_supervisor::memory::{Digest, Known, Memory, Role, Told};
 
 /// Digests of programs are 64 hexadecimal digits.
 const DIGESTS: &[&str] = &[
--- a/supervise/tests/machine.rs
+++ b/crates/supervisor/tests/machine.rs
@@ -2,9 +2,9 @@
 
 mod world;
 
-use maplehook_supervise::machine::Machine;
-use maplehook_supervise::memory::{Memory, Role, Told};
-use maplehook_supervise::words::{Action, Event, Found, Own, POLL, Phase};
+use maplehook_supervisor::machine::Machine;
+use maplehook_supervisor::memory::{Memory, Role, Told};
+use maplehook_supervisor::words::{Action, Event, Found, Own, POLL, Phase};
 use proptest::prelude::*;
 use std::time::Duration;
 use world::{World, ms, program, settings};
--- a/supervise/tests/world/mod.rs
+++ b/crates/supervisor/tests/world/mod.rs
@@ -1,8 +1,8 @@
 //! A world of processes round the machine: they start, die, answer, and are told things.
 
-use maplehook_supervise::machine::Machine;
-use maplehook_supervise::memory::{Digest, Memory};
-use maplehook_supervise::words::{Action, Event, Found, Settings};
+use maplehook_supervisor::machine::Machine;
+use maplehook_supervisor::memory::{Digest, Memory};
+use maplehook_supervisor::words::{Action, Event, Found, Settings};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/link/src/begun.rs
+++ b/crates/transport/src/begun.rs
@@ -2,7 +2,7 @@
 
 use crate::part::Part;
 use crate::state::{self, State};
-use maplehook_tier::start;
+use maplehook_cluster::start;
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/link/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -5,7 +5,7 @@
 use crate::secret::Secret;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
--- a/link/src/frames.rs
+++ b/crates/transport/src/frames.rs
@@ -12,7 +12,7 @@
 
 use crate::secret::Secret;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use maplehook_tier::{MAC, Name, WIRE, Wire};
+use maplehook_cluster::{MAC, Name, WIRE, Wire};
 use std::fmt;
 
 /// The longest greeting or proof.
--- a/link/src/hub.rs
+++ b/crates/transport/src/hub.rs
@@ -6,7 +6,7 @@
 use crate::connection::{self, Ended, Open, Us};
 use crate::frames::Message;
 use crate::queue::Queue;
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/link/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,6 +1,6 @@
 //! The way between two balancers, and the thread that runs it.
 //!
-//! [`Member`] takes part in a tier: datagrams carry the gossip of `maplehook_tier`, framed messages on connections what is
+//! [`Member`] takes part in a tier: datagrams carry the gossip of `maplehook_cluster`, framed messages on connections what is
 //! too long for one. Both bear a MAC under a secret that the tier shares. `docs/design/tier.md` has the reasons.
 
 mod begun;
--- a/link/src/part.rs
+++ b/crates/transport/src/part.rs
@@ -3,8 +3,8 @@
 use crate::frames::Message;
 use crate::hub;
 use crate::secret::Secret;
-use maplehook_tier::words::Effect;
-use maplehook_tier::{Name, Program, Seen};
+use maplehook_cluster::words::Effect;
+use maplehook_cluster::{Name, Program, Seen};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -58,7 +58,7 @@
     /// Those of its file that are not here.
     pub away: Vec<Name>,
     /// Datagrams.
-    pub datagrams: maplehook_tier::Counts,
+    pub datagrams: maplehook_cluster::Counts,
     /// Datagrams that nobody with the secret has sent.
     pub forged: u64,
     /// Connections.
--- a/link/src/secret.rs
+++ b/crates/transport/src/secret.rs
@@ -1,7 +1,7 @@
 //! What balancers of a tier share, and what it signs: HMAC-SHA256 (RFC 2104), cut to 128 bits (section 5 there).
 
 use hmac::{Hmac, Mac};
-use maplehook_tier::{DATAGRAM_MOST, MAC};
+use maplehook_cluster::{DATAGRAM_MOST, MAC};
 use sha2::Sha256;
 use std::fmt;
 use std::path::Path;
--- a/link/src/state.rs
+++ b/crates/transport/src/state.rs
@@ -4,7 +4,7 @@
 //! new one. What can't be read or written is told in the log; the balancer starts all the same, since the time makes
 //! its start later than any before it, as long as the clock goes forward.
 
-use maplehook_tier::{Name, start};
+use maplehook_cluster::{Name, start};
 use std::fs::{self, File, TryLockError};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
--- a/link/tests/golden.rs
+++ b/crates/transport/tests/golden.rs
@@ -1,10 +1,10 @@
 //! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
 
 use bytes::Bytes;
+use maplehook_cluster::Name;
 use maplehook_golden::{assert_text, hex, recorded, unhex};
-use maplehook_link::frames::{Agreed, Frame, Greeting, Message, Side};
-use maplehook_link::{Datagrams, Secret};
-use maplehook_tier::Name;
+use maplehook_transport::frames::{Agreed, Frame, Greeting, Message, Side};
+use maplehook_transport::{Datagrams, Secret};
 
 fn secret() -> Secret {
     Secret::new(b"the secret of the tier").unwrap()
--- a/link/tests/links.rs
+++ b/crates/transport/tests/links.rs
@@ -1,12 +1,12 @@
 //! Connections between two balancers, with a relay between them that does to them what ways do.
 
 use bytes::Bytes;
-use maplehook_link::Secret;
-use maplehook_link::connection::{self, Ended, Us};
-use maplehook_link::frames::{Broken, Message};
-use maplehook_link::queue::Queue;
-use maplehook_rig::relay::{Relay, Way};
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
+use maplehook_testbed::relay::{Relay, Way};
+use maplehook_transport::Secret;
+use maplehook_transport::connection::{self, Ended, Us};
+use maplehook_transport::frames::{Broken, Message};
+use maplehook_transport::queue::Queue;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/agreement/src/common.rs
+++ b/crates/versions/src/common.rs
@@ -5,7 +5,7 @@
 
 use crate::grants::{DRIFT, Times};
 use crate::steps::Refused;
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
--- a/agreement/src/grants.rs
+++ b/crates/versions/src/grants.rs
@@ -5,7 +5,7 @@
 //! knows nothing of the leases of the one before, and waits for the longest that there can be.
 
 use crate::steps::Steps;
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/agreement/src/numbers.rs
+++ b/crates/versions/src/numbers.rs
@@ -1,9 +1,9 @@
 //! Numbers of classes, tenants and zones for the life of a process: a request under way means the same before a change and after
 //! it, whatever a version puts first.
 
-use lapisroute::{Class, ClassId, Settings, Tenant, TenantId, ZoneId};
 use maplehook_config::Proxy;
-use maplehook_routes::{Passage, Route, Rules};
+use maplehook_core::{Class, ClassId, Settings, Tenant, TenantId, ZoneId};
+use maplehook_http_semantics::{Passage, Route, Rules};
 
 /// Names that have numbers.
 #[derive(Debug, Default)]
--- a/agreement/src/strict.rs
+++ b/crates/versions/src/strict.rs
@@ -2,7 +2,7 @@
 //!
 //! | rule | contradict when | strictest reading |
 //! | --- | --- | --- |
-//! | a class's effect, key window, group | they differ | [`lapisroute::Effect::stricter`]: fewer repeats, shorter windows, smaller groups |
+//! | a class's effect, key window, group | they differ | [`maplehook_core::Effect::stricter`]: fewer repeats, shorter windows, smaller groups |
 //! | attempts, second copies | they differ | fewer, none |
 //! | what proves that a request never ran | they differ | what both take for it |
 //! | paths and methods of classes | they differ, and the classes' effects do | every class has the strictest effect of all |
@@ -15,9 +15,9 @@
 //! | rules of nearness (`never`, `beyond region at most`, `when lost`) | they differ | see [`crate::places`] |
 //! | deadlines, aims, weights, limits on bodies, other headers | never: they say how well, not what may happen | the lesser time, the new one's otherwise |
 
-use lapisroute::{Class, Effect, Tenant};
 use maplehook_config::{Proxy, Upstream};
-use maplehook_routes::{Passage, Route};
+use maplehook_core::{Class, Effect, Tenant};
+use maplehook_http_semantics::{Passage, Route};
 use std::collections::BTreeMap;
 
 /// What of two versions may not be acted on at the same time, in words; empty: they may stand side by side.
--- a/agreement/tests/common.rs
+++ b/crates/versions/tests/common.rs
@@ -1,9 +1,9 @@
 //! The common document under any order of events: numbers rise by one, and nobody acts on an earlier body unknown to the leader.
 
-use maplehook_agreement::common::{BODY_MOST, Document, Given, Holding};
-use maplehook_agreement::grants::Times;
-use maplehook_agreement::steps::{Command, Refused, Steps};
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
+use maplehook_versions::common::{BODY_MOST, Document, Given, Holding};
+use maplehook_versions::grants::Times;
+use maplehook_versions::steps::{Command, Refused, Steps};
 use proptest::prelude::*;
 use std::sync::Arc;
 use std::time::Duration;
--- a/agreement/tests/golden.rs
+++ b/crates/versions/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
 
-use maplehook_agreement::common::Document;
-use maplehook_agreement::steps::{Command, Refused, Step, Steps, Version};
 use maplehook_golden::golden_types;
+use maplehook_versions::common::Document;
+use maplehook_versions::steps::{Command, Refused, Step, Steps, Version};
 
 golden_types! {
     version: Json Version;
@@ -16,7 +16,7 @@
 #[test]
 fn digests_are_as_they_were() {
     assert_eq!(
-        maplehook_agreement::steps::digest("one"),
+        maplehook_versions::steps::digest("one"),
         "7692c3ad3540bb803c020b3aee66cd8887123234ea0c6e7143c0add73ff431ed"
     );
     assert_eq!(Document::default().number, 0);
--- a/agreement/tests/strict.rs
+++ b/crates/versions/tests/strict.rs
@@ -1,8 +1,8 @@
 //! The strictest reading, over drawn versions: as strict as both, the same whichever comes first, and nothing new refused.
 
-use lapisroute::Effect;
-use maplehook_agreement::strict::{careful, contradictions, strictest};
 use maplehook_config::{Proxy, parse};
+use maplehook_core::Effect;
+use maplehook_versions::strict::{careful, contradictions, strictest};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/conformance/src/scenarios.rs
+++ b/tools/conformance/src/scenarios.rs
@@ -2,8 +2,8 @@
 
 use crate::ways::{Ask, BODY_MOST, Got, Open, Verdict, Way};
 use Verdict::{Broken, Failed, Refused, Served, Unfit};
-use maplehook_standins::app::{App, patterned};
-use maplehook_standins::{Then, Upstream, nobody, until};
+use maplehook_test_servers::app::{App, patterned};
+use maplehook_test_servers::{Then, Upstream, nobody, until};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/conformance/src/ways.rs
+++ b/tools/conformance/src/ways.rs
@@ -3,8 +3,8 @@
 use axum::Router;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
-use maplehook_node::Daemon;
-use maplehook_node::config::Config;
+use maplehook_proxy::Daemon;
+use maplehook_proxy::config::Config;
 use maplehook_tower::{Balance, Balancing, CallError, Client, Why};
 use std::fmt;
 use std::net::SocketAddr;
--- a/demo/src/fleet.rs
+++ b/tools/demo/src/fleet.rs
@@ -1,9 +1,9 @@
 //! The applications and the balancer before them.
 
 use comfy_table::{Table, presets};
-use maplehook_node::Daemon;
-use maplehook_standins::app::{App, Keys};
-use maplehook_standins::eureka::Eureka;
+use maplehook_proxy::Daemon;
+use maplehook_test_servers::app::{App, Keys};
+use maplehook_test_servers::eureka::Eureka;
 use std::collections::HashMap;
 use std::error::Error;
 use std::fmt::Write;
--- a/demo/src/main.rs
+++ b/tools/demo/src/main.rs
@@ -8,8 +8,8 @@
 
 use clap::Parser;
 use fleet::Fleet;
-use maplehook_standins::app::App;
-use maplehook_standins::until;
+use maplehook_test_servers::app::App;
+use maplehook_test_servers::until;
 use std::error::Error;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/golden/src/lib.rs
+++ b/tools/golden/src/lib.rs
@@ -2,7 +2,7 @@
 //! earlier program. A test decodes the recorded bytes with today's types and expects the same bytes when it encodes them again, so
 //! that renaming a serialized field, or moving a positional one, fails.
 //!
-//! A file lies in the folder `golden/` of the crate that is tested. With `MAPLEHOOK_GOLDEN=write` in the environment, a file that
+//! A file lies in the folder `tools/golden/` of the crate that is tested. With `MAPLEHOOK_GOLDEN=write` in the environment, a file that
 //! does not exist is written; an existing one is never overwritten.
 
 #![deny(missing_docs)]
--- a/bench/src/door.rs
+++ b/tools/load-test/src/door.rs
@@ -2,7 +2,7 @@
 
 use crate::load::{Booking, Does, Flood, Tally, connect};
 use crate::peers::Upstream;
-use maplehook_standins::process::{Process, Used};
+use maplehook_test_servers::process::{Process, Used};
 use std::net::Ipv4Addr;
 use std::path::Path;
 use std::time::{Duration, Instant};
--- a/bench/src/eureka.rs
+++ b/tools/load-test/src/eureka.rs
@@ -4,9 +4,9 @@
 use crate::proxy::load_small;
 use maplehook_eureka::model::Notation;
 use maplehook_eureka::{Client, Manner, Mirror};
-use maplehook_standins::app::App;
-use maplehook_standins::eureka::{Eureka, Mode};
-use maplehook_standins::process::Process;
+use maplehook_test_servers::app::App;
+use maplehook_test_servers::eureka::{Eureka, Mode};
+use maplehook_test_servers::process::Process;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::{Duration, Instant};
--- a/bench/src/main.rs
+++ b/tools/load-test/src/main.rs
@@ -1,7 +1,7 @@
 //! Rigs that flood, starve and measure a maplehook on loopback. Each starts its own balancer and upstream,
 //! ends by itself, and prints what it saw.
 //!
-//! `cargo build --release`, then `cargo run --release -p maplehook-bench -- door`.
+//! `cargo build --release`, then `cargo run --release -p maplehook-load-test -- door`.
 
 mod door;
 mod eureka;
@@ -168,7 +168,7 @@
     match ran {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("maplehook-bench: {e}");
+            eprintln!("maplehook-load-test: {e}");
             ExitCode::FAILURE
         }
     }
--- a/bench/src/near.rs
+++ b/tools/load-test/src/near.rs
@@ -3,7 +3,7 @@
 //! does falls on all of them alike.
 
 use crate::proxy::{desks, load_small_by};
-use maplehook_standins::process::Process;
+use maplehook_test_servers::process::Process;
 use serde::Serialize;
 use std::fmt::Write;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
--- a/bench/src/proxy.rs
+++ b/tools/load-test/src/proxy.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt, Empty, Full};
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
-use maplehook_standins::process::{Process, Used};
+use maplehook_test_servers::process::{Process, Used};
 use serde::Serialize;
 use std::fmt::Write;
 use std::net::SocketAddr;
--- a/bench/src/stopped.rs
+++ b/tools/load-test/src/stopped.rs
@@ -3,7 +3,7 @@
 
 use crate::peers::Upstream;
 use hdrhistogram::Histogram;
-use maplehook_standins::process::Process;
+use maplehook_test_servers::process::Process;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::{Duration, Instant};
--- a/benchlink/src/main.rs
+++ b/tools/simulator-adapter/src/main.rs
@@ -1,11 +1,11 @@
-//! `lapisroute-benchlink`: hosts many [`Balancer`]s and speaks the simulator's wire on standard input and output.
+//! `maplehook-simulator-adapter`: hosts many [`Balancer`]s and speaks the simulator's wire on standard input and output.
 //!
 //! It only translates; every decision is the library's. Anything malformed ends it with one line on
 //! standard error and exit code 1, and with no part of a reply written.
 
 mod wire;
 
-use lapisroute::{Action, Balancer, Event, FleetScope, Listed};
+use maplehook_core::{Action, Balancer, Event, FleetScope, Listed};
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
@@ -37,7 +37,7 @@
                 return Ok(());
             }
             Record::PowerOn { seed, settings } => {
-                let settings = lapisroute_settings::parse(settings).map_err(wrong)?.settings;
+                let settings = maplehook_platform_settings::parse(settings).map_err(wrong)?.settings;
                 let balancer = Balancer::new(settings, *seed).map_err(|e| wrong(e.to_string()))?;
                 self.instances.insert(instance, balancer);
                 self.pending.retain(|(owner, _)| *owner != instance);
@@ -137,7 +137,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("lapisroute-benchlink: {what}");
+            eprintln!("maplehook-simulator-adapter: {what}");
             ExitCode::FAILURE
         }
     }
--- a/benchlink/src/wire.rs
+++ b/tools/simulator-adapter/src/wire.rs
@@ -1,10 +1,10 @@
 //! The simulator's binary dialect: batches of events in, replies of actions out. No decisions.
 
-use lapisroute::{
+use maplehook_core::{
     Action, AttemptNo, Availability, CellId, ClassId, FleetScope, KindId, Listed, Outcome, RequestId,
     TenantId, TimerId, UpstreamId, ZoneId,
 };
-use lapisroute_settings::ms;
+use maplehook_platform_settings::ms;
 use std::time::Duration;
 
 /// What is wrong with a batch, and at which byte of it (the length field included).
--- a/benchlink/tests/wire.rs
+++ b/tools/simulator-adapter/tests/wire.rs
@@ -7,7 +7,7 @@
     "effect": "idempotent", "worth": 1.0, "name": "a", "unknown": [1]}], "news": {"of": "tomorrow"}}"#;
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_lapisroute-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_maplehook-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/lab/src/agreed/mod.rs
+++ b/tools/simulator/src/agreed/mod.rs
@@ -1,4 +1,4 @@
-//! How balancers agree on versions: the real modules of `maplehook_agreement`, explored exhaustively over three members.
+//! How balancers agree on versions: the real modules of `maplehook_versions`, explored exhaustively over three members.
 //!
 //! The voters' log is taken for what Raft makes of it: one order, a leader at a time that knows all of it, and leaders before
 //! that do not know yet that they are none. All else may happen in any order: requests, grants and answers late or never, elections,
@@ -7,10 +7,10 @@
 
 pub mod storm;
 
-use maplehook_agreement::grants::{CutOff, Grants, Times};
-use maplehook_agreement::holder::{Acts, Holder, Told};
-use maplehook_agreement::steps::{Command, Step, Steps};
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
+use maplehook_versions::grants::{CutOff, Grants, Times};
+use maplehook_versions::holder::{Acts, Holder, Told};
+use maplehook_versions::steps::{Command, Step, Steps};
 use stateright::{Checker, Model, Property};
 use std::time::Duration;
 
--- a/lab/src/agreed/storm.rs
+++ b/tools/simulator/src/agreed/storm.rs
@@ -3,10 +3,10 @@
 //!
 //! Who acts on what is looked at after every event; what two act on that contradicts is measured.
 
-use maplehook_agreement::grants::{CutOff, Grants, Times};
-use maplehook_agreement::holder::{Acts, Holder, Told};
-use maplehook_agreement::steps::{Command, Step, Steps};
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
+use maplehook_versions::grants::{CutOff, Grants, Times};
+use maplehook_versions::holder::{Acts, Holder, Told};
+use maplehook_versions::steps::{Command, Step, Steps};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
--- a/lab/src/commands/balancers.rs
+++ b/tools/simulator/src/commands/balancers.rs
@@ -1,7 +1,7 @@
 //! Balancers that know each other, and that agree on versions.
 
 use crate::Failure;
-use maplehook_lab::{agreed, members};
+use maplehook_simulator::{agreed, members};
 use rayon::prelude::*;
 use std::process::ExitCode;
 use std::time::Duration;
--- a/lab/src/commands/measures.rs
+++ b/tools/simulator/src/commands/measures.rs
@@ -1,8 +1,8 @@
 //! The paper's experiment, how fast worlds are played, and what came of an experiment, drawn.
 
 use crate::{Failure, plan_of};
-use maplehook_lab::paper::{self, Paper, Rates, Reading};
-use maplehook_lab::{calibrate, experiment, page, policies, results};
+use maplehook_simulator::paper::{self, Paper, Rates, Reading};
+use maplehook_simulator::{calibrate, experiment, page, policies, results};
 use std::path::Path;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
--- a/lab/src/commands/places.rs
+++ b/tools/simulator/src/commands/places.rs
@@ -2,7 +2,7 @@
 
 use crate::Failure;
 use clap::Args;
-use maplehook_lab::places::table;
+use maplehook_simulator::places::table;
 use std::process::ExitCode;
 use std::time::Instant;
 
--- a/lab/src/commands/rollout.rs
+++ b/tools/simulator/src/commands/rollout.rs
@@ -2,7 +2,7 @@
 
 use crate::Failure;
 use clap::Args;
-use maplehook_lab::rollout::{Harm, Way, table};
+use maplehook_simulator::rollout::{Harm, Way, table};
 use std::process::ExitCode;
 use std::time::Instant;
 
--- a/lab/src/file/mod.rs
+++ b/tools/simulator/src/file/mod.rs
@@ -22,9 +22,9 @@
 //! measure = "breaches"
 //! at_most = 0.0
 //! "#;
-//! let plan = maplehook_lab::file::read(text)?;
+//! let plan = maplehook_simulator::file::read(text)?;
 //! assert_eq!(plan.points()?.len(), 2);
-//! let faults = maplehook_lab::file::read(&text.replace("count = 8", "count = 0")).unwrap_err();
+//! let faults = maplehook_simulator::file::read(&text.replace("count = 8", "count = 0")).unwrap_err();
 //! assert_eq!(faults.to_string(), "line 8: upstream[1].count: it has to be 1 to 100000");
 //! # Ok::<(), maplehook_config::Faults>(())
 //! ```
--- a/lab/src/file/world.rs
+++ b/tools/simulator/src/file/world.rs
@@ -6,8 +6,8 @@
 use crate::station::{Choke, Cold, Station};
 use crate::time::Time;
 use crate::world::{Clients, Connections, Discovery, Network, World};
-use lapisroute::{Class, DedupGroup, Effect};
 use maplehook_config::reader::Reader;
+use maplehook_core::{Class, DedupGroup, Effect};
 use serde::Deserialize;
 use std::time::Duration;
 
--- a/lab/src/load.rs
+++ b/tools/simulator/src/load.rs
@@ -9,7 +9,7 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use lapisroute::Effect;
+use maplehook_core::Effect;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
@@ -204,7 +204,7 @@
     })
 }
 
-async fn ask(shared: &Shared, one: Planned, start: Instant, class: &lapisroute::Class) {
+async fn ask(shared: &Shared, one: Planned, start: Instant, class: &maplehook_core::Class) {
     let (intended, sent) = (start + one.at, Instant::now());
     let answered = timeout(class.deadline, exchange(shared, one, class)).await;
     let (now, mut counts) = (Instant::now(), shared.counts.lock().await);
@@ -223,7 +223,7 @@
     }
 }
 
-async fn exchange(shared: &Shared, one: Planned, class: &lapisroute::Class) -> io::Result<StatusCode> {
+async fn exchange(shared: &Shared, one: Planned, class: &maplehook_core::Class) -> io::Result<StatusCode> {
     let name = shared.target.classes.get(one.class).map_or("", String::as_str);
     let safe = class.effect == Effect::Idempotent;
     let mut request = Request::builder()
--- a/lab/src/members/faults.rs
+++ b/tools/simulator/src/members/faults.rs
@@ -1,7 +1,7 @@
 //! Single faults, and what they cost: the table of the operators' page.
 
 use super::{World, settled};
-use maplehook_tier::{Event, State};
+use maplehook_cluster::{Event, State};
 use std::fmt::Write;
 use std::time::Duration;
 
--- a/lab/src/members/mod.rs
+++ b/tools/simulator/src/members/mod.rs
@@ -1,12 +1,12 @@
-//! Balancers that know each other, emulated: the real `maplehook_tier::Tier`, many of them, on one thread, with the
+//! Balancers that know each other, emulated: the real `maplehook_cluster::Tier`, many of them, on one thread, with the
 //! network and the processes at the hands of a test. The same seed plays the same, to the last datagram.
 
 pub mod faults;
 pub mod small;
 pub mod storm;
 
-use maplehook_tier::words::{Claim, Effect};
-use maplehook_tier::{Event, MAC, Name, Output, Settings, State, Tier, Wire};
+use maplehook_cluster::words::{Claim, Effect};
+use maplehook_cluster::{Event, MAC, Name, Output, Settings, State, Tier, Wire};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -121,7 +121,7 @@
             listed,
             processes: (0..listed).map(|_| None).collect(),
             records: vec![None; listed],
-            wires: vec![maplehook_tier::WIRE; listed],
+            wires: vec![maplehook_cluster::WIRE; listed],
             queue: BinaryHeap::new(),
             polls: vec![0; listed],
             next: 0,
@@ -161,7 +161,7 @@
     pub fn start(&mut self, n: usize, remembers: bool) {
         let unix_ms = EPOCH_MS + self.now.as_millis() as u64;
         let recorded = self.records[n].filter(|_| remembers);
-        let mut start = maplehook_tier::start::next(unix_ms, self.rng.random(), recorded);
+        let mut start = maplehook_cluster::start::next(unix_ms, self.rng.random(), recorded);
         if let (Some(small::Flaw::StartFalls), Some(before)) = (self.flaw, recorded) {
             start = before - 1;
         }
@@ -339,7 +339,7 @@
     }
 
     fn send(&mut self, from: usize, to: &Name, payload: Vec<u8>) {
-        if self.flaw == Some(small::Flaw::DeadUntold) && maplehook_tier::tells_of_a_death(&payload) {
+        if self.flaw == Some(small::Flaw::DeadUntold) && maplehook_cluster::tells_of_a_death(&payload) {
             return;
         }
         let length = payload.len() + MAC;
--- a/lab/src/members/small.rs
+++ b/tools/simulator/src/members/small.rs
@@ -6,7 +6,7 @@
 
 use super::World;
 use crate::rules::Game;
-use maplehook_tier::{Event, State};
+use maplehook_cluster::{Event, State};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/lab/src/members/storm.rs
+++ b/tools/simulator/src/members/storm.rs
@@ -1,7 +1,7 @@
 //! Drawn faults between balancers that know each other, and what has to hold all the same.
 
 use super::{Said, World};
-use maplehook_tier::{Event, State};
+use maplehook_cluster::{Event, State};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 pub fn converges_within(members: usize) -> Duration {
     // The longest pause between two calls to somebody away, a denial's longest time, and the gossip.
     let pause = Duration::from_millis((members as u64 * 250).clamp(2000, 30_000)).mul_f64(1.25);
-    let denial = maplehook_tier::PERIOD.mul_f64(12.0 * (members as f64).log10().max(1.0));
+    let denial = maplehook_cluster::PERIOD.mul_f64(12.0 * (members as f64).log10().max(1.0));
     pause + denial + Duration::from_secs(10)
 }
 
@@ -125,7 +125,7 @@
         storm.breaches.push(format!("{} undisturbed members were declared dead", storm.false_deaths));
     }
     storm.breaches.extend(starts_fall(&world));
-    if world.counted.longest > maplehook_tier::DATAGRAM_MOST {
+    if world.counted.longest > maplehook_cluster::DATAGRAM_MOST {
         storm.breaches.push(format!("a datagram of {} bytes", world.counted.longest));
     }
     storm
@@ -164,7 +164,7 @@
             .map(|other| format!("{} {:?}", world.name(other), world.holds(n, other)))
             .collect();
         if !wrong.is_empty() && text.len() < 400 {
-            let speaks = world.tier(n).is_some_and(maplehook_tier::Tier::speaks);
+            let speaks = world.tier(n).is_some_and(maplehook_cluster::Tier::speaks);
             // Writing to a string can't fail.
             let _ = write!(text, "{} (speaks: {speaks}) sees {}; ", world.name(n), wrong.join(", "));
         }
--- a/lab/src/places/agreeing.rs
+++ b/tools/simulator/src/places/agreeing.rs
@@ -3,15 +3,15 @@
 
 use super::fleet::{Eyes, lie};
 use super::ground::{Ground, STEP};
-use maplehook_addresses::{Address, Announce};
-use maplehook_agreement::common::{Given, Holding};
-use maplehook_agreement::grants::Times;
+use maplehook_address_announcement::{Address, Announce};
+use maplehook_cluster::Name;
 use maplehook_failover::{Acting, Bounds, Report, digest};
+use maplehook_failover_agent::Config;
+use maplehook_failover_agent::lead::Leading;
+use maplehook_failover_agent::talk::Agreed;
 use maplehook_locality::{Region, Rules, Zone};
-use maplehook_places::Config;
-use maplehook_places::lead::Leading;
-use maplehook_places::talk::Agreed;
-use maplehook_tier::Name;
+use maplehook_versions::common::{Given, Holding};
+use maplehook_versions::grants::Times;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
--- a/lab/src/places/explore/leads.rs
+++ b/tools/simulator/src/places/explore/leads.rs
@@ -3,10 +3,10 @@
 use super::world::{
     Flaw, GIVES_UP, Leader, NAMES, SILENCE, SITES, TURNS, World, address, names, times, turned,
 };
-use maplehook_addresses::{Decider, SiteHealth};
-use maplehook_agreement::common::Given;
+use maplehook_address_announcement::{Decider, SiteHealth};
+use maplehook_failover_agent::talk::Agreed;
 use maplehook_locality::Region;
-use maplehook_places::talk::Agreed;
+use maplehook_versions::common::Given;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/lab/src/places/explore/members.rs
+++ b/tools/simulator/src/places/explore/members.rs
@@ -1,10 +1,10 @@
 //! Leases, what members answer to routers, and what they act on.
 
 use super::world::{Flaw, NAMES, SITES, STEP, World, names, times};
-use maplehook_addresses::{Answer, Own};
+use maplehook_address_announcement::{Answer, Own};
 use maplehook_failover::Acting;
+use maplehook_failover_agent::talk::Agreed;
 use maplehook_locality::{Rules, Topology, Zone};
-use maplehook_places::talk::Agreed;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/lab/src/places/explore/world.rs
+++ b/tools/simulator/src/places/explore/world.rs
@@ -1,12 +1,12 @@
 //! The world that is explored, in steps of a sixth of a lease.
 
-use maplehook_addresses::{Address, Announce, Decider, Order};
-use maplehook_agreement::common::{Document as Log, Given, Holding};
-use maplehook_agreement::grants::Times;
+use maplehook_address_announcement::{Address, Announce, Decider, Order};
+use maplehook_cluster::Name;
 use maplehook_failover::{Document, Row, Share, WHOLE};
+use maplehook_failover_agent::talk::Agreed;
 use maplehook_locality::{Region, Zone};
-use maplehook_places::talk::Agreed;
-use maplehook_tier::Name;
+use maplehook_versions::common::{Document as Log, Given, Holding};
+use maplehook_versions::grants::Times;
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::sync::Arc;
--- a/lab/src/places/watch.rs
+++ b/tools/simulator/src/places/watch.rs
@@ -4,7 +4,7 @@
 use super::faults::{BEGINS, ENDS, LASTS};
 use super::fleet::{Eyes, Step};
 use super::ground::{Ground, STEP, STEP_S};
-use maplehook_addresses::{Answer, Own};
+use maplehook_address_announcement::{Answer, Own};
 use maplehook_failover::Document;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/lab/src/play.rs
+++ b/tools/simulator/src/play.rs
@@ -12,7 +12,7 @@
 use crate::ways::Ways;
 use crate::window::Window;
 use crate::world::{Refused, World};
-use lapisroute::{
+use maplehook_core::{
     Action, AttemptNo, ClassId, DedupGroup, Effect, Event, Outcome, RequestId, TenantId, TimerId, UpstreamId,
 };
 use rand::{Rng, SeedableRng};
--- a/lab/src/policies/gradient.rs
+++ b/tools/simulator/src/policies/gradient.rs
@@ -4,7 +4,7 @@
 use super::Decides;
 use super::peer::{Endpoints, Held, Manner, Peer, Pick, any};
 use crate::world::World;
-use lapisroute::Outcome;
+use maplehook_core::Outcome;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
--- a/lab/src/policies/mod.rs
+++ b/tools/simulator/src/policies/mod.rs
@@ -12,7 +12,7 @@
 mod tokens;
 
 use crate::world::World;
-use lapisroute::{Action, Balancer, Event};
+use maplehook_core::{Action, Balancer, Event};
 use std::time::Duration;
 
 /// A policy: events in, actions out, as the decision module has them.
--- a/lab/src/policies/peer.rs
+++ b/tools/simulator/src/policies/peer.rs
@@ -2,7 +2,7 @@
 //! proxy alone can: a class that may not run twice is sent again only when it never ran.
 
 use super::Decides;
-use lapisroute::{
+use maplehook_core::{
     Action, Availability, Class, Effect, Event, FleetScope, Outcome, RequestId, TimerId, UpstreamId,
 };
 use rand::{Rng, SeedableRng};
@@ -41,7 +41,7 @@
 }
 
 impl Endpoints {
-    fn hear(&mut self, scope: FleetScope, listed: &[lapisroute::Listed]) {
+    fn hear(&mut self, scope: FleetScope, listed: &[maplehook_core::Listed]) {
         if scope == FleetScope::Failed {
             return;
         }
--- a/lab/src/rollout/fleet.rs
+++ b/tools/simulator/src/rollout/fleet.rs
@@ -2,7 +2,7 @@
 //! common and that last. The same seed, second and balancer give the same draws, whatever was decided before.
 
 use super::harm::{CRASHES_AFTER, Harm, STARTS_IN};
-use maplehook_verdict::Report;
+use maplehook_canary::Report;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal, Poisson, StandardNormal};
--- a/lab/src/rollout/play.rs
+++ b/tools/simulator/src/rollout/play.rs
@@ -3,9 +3,9 @@
 use super::fleet::{DAY, Fleet};
 use super::harm::Harm;
 use super::ways::{Decides, Way};
+use maplehook_canary::Side;
 use maplehook_rollout::State;
 use maplehook_rollout::order::Member;
-use maplehook_verdict::Side;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
--- a/lab/src/rollout/ways.rs
+++ b/tools/simulator/src/rollout/ways.rs
@@ -1,12 +1,12 @@
 //! Who decides: the leader's own part, fixed thresholds, or fixed thresholds after all were changed at once.
 
+use maplehook_canary::{Cell, Report, Side};
 use maplehook_rollout::order::Member;
 use maplehook_rollout::{Command, Judged, Rollout, State, plan};
-use maplehook_staging::document::{Change, Content, Document};
-use maplehook_staging::lead::Leading;
-use maplehook_staging::member::wanted;
-use maplehook_staging::talk::Stands;
-use maplehook_verdict::{Cell, Report, Side};
+use maplehook_rollout_agent::document::{Change, Content, Document};
+use maplehook_rollout_agent::lead::Leading;
+use maplehook_rollout_agent::member::wanted;
+use maplehook_rollout_agent::talk::Stands;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
--- a/lab/src/rules/decisions.rs
+++ b/tools/simulator/src/rules/decisions.rs
@@ -2,7 +2,7 @@
 //! answer.
 
 use super::Game;
-use lapisroute::{
+use maplehook_core::{
     Action, AttemptNo, Availability, Balancer, CellId, Class, ClassId, DedupGroup, Effect, Event, FleetScope,
     KindId, Listed, Outcome, RequestId, Settings, Tenant, TenantId, TimerId, UpstreamId, ZoneId,
 };
--- a/lab/src/rules/mod.rs
+++ b/tools/simulator/src/rules/mod.rs
@@ -8,7 +8,7 @@
 pub mod ledger;
 
 use decisions::{Flaw, Small};
-use lapisroute::{DedupGroup, Effect};
+use maplehook_core::{DedupGroup, Effect};
 use std::fmt::Write;
 use std::time::Duration;
 
--- a/lab/src/tier.rs
+++ b/tools/simulator/src/tier.rs
@@ -4,7 +4,7 @@
 use crate::policies::Maker;
 use crate::trouble::Change;
 use crate::world::World;
-use lapisroute::{Action, Availability, CellId, Event, FleetScope, KindId, Listed, UpstreamId, ZoneId};
+use maplehook_core::{Action, Availability, CellId, Event, FleetScope, KindId, Listed, UpstreamId, ZoneId};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
--- a/lab/src/trouble.rs
+++ b/tools/simulator/src/trouble.rs
@@ -4,7 +4,7 @@
 use crate::play::{Play, What, Where};
 use crate::station::Life;
 use crate::world::{Network, World};
-use lapisroute::{Availability, Outcome};
+use maplehook_core::{Availability, Outcome};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
--- a/lab/src/world.rs
+++ b/tools/simulator/src/world.rs
@@ -4,7 +4,7 @@
 use crate::faults::{Fault, Harm, When};
 use crate::station::Station;
 use crate::time::Time;
-use lapisroute::{Class, Settings, Tenant, ZoneId};
+use maplehook_core::{Class, Settings, Tenant, ZoneId};
 use std::fmt;
 use std::time::Duration;
 
--- a/lab/tests/agreed.rs
+++ b/tools/simulator/tests/agreed.rs
@@ -1,6 +1,6 @@
 //! How balancers agree on versions: every order of events, and each planted flaw.
 
-use maplehook_lab::agreed::{Agreement, Bounds, Flaw};
+use maplehook_simulator::agreed::{Agreement, Bounds, Flaw};
 
 /// One change, its undoing, one election, clocks that go wrong: every order of it.
 #[test]
@@ -23,7 +23,7 @@
 /// Storms over more than three, with ways that lose and delay, elections, stops and kills.
 #[test]
 fn storms_bring_no_contradiction_and_changes_come_through() {
-    use maplehook_lab::agreed::storm;
+    use maplehook_simulator::agreed::storm;
     for (members, storms) in [(3, 40), (16, 15)] {
         for seed in 0..storms {
             let played = storm::play(members, seed, false);
--- a/lab/tests/common/mod.rs
+++ b/tools/simulator/tests/common/mod.rs
@@ -2,9 +2,9 @@
 
 #![allow(dead_code, reason = "each file of tests uses its part")]
 
-use lapisroute::{Class, Effect};
-use maplehook_lab::policies::named;
-use maplehook_lab::*;
+use maplehook_core::{Class, Effect};
+use maplehook_simulator::policies::named;
+use maplehook_simulator::*;
 use std::time::Duration;
 
 pub const MS: Duration = Duration::from_millis(1);
--- a/lab/tests/experiments.rs
+++ b/tools/simulator/tests/experiments.rs
@@ -1,10 +1,10 @@
 //! Experiments: the same bytes in any number of threads, going on where they stopped, expectations that hold or don't,
 //! faults of the file named at once.
 
-use maplehook_lab::experiment::{How, Verdict, judge, play};
-use maplehook_lab::file::{Plan, read};
-use maplehook_lab::policies::{Decides, Maker, named};
-use maplehook_lab::{chart, page, results};
+use maplehook_simulator::experiment::{How, Verdict, judge, play};
+use maplehook_simulator::file::{Plan, read};
+use maplehook_simulator::policies::{Decides, Maker, named};
+use maplehook_simulator::{chart, page, results};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
@@ -61,7 +61,7 @@
 "#;
 
 fn out(name: &str) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("maplehook-lab-{}-{name}.jsonl", std::process::id()));
+    let path = std::env::temp_dir().join(format!("maplehook-simulator-{}-{name}.jsonl", std::process::id()));
     let _ = std::fs::remove_file(&path);
     path
 }
@@ -145,10 +145,10 @@
     fn handle(
         &mut self,
         _: std::time::Duration,
-        event: lapisroute::Event<'_>,
-        _: &mut Vec<lapisroute::Action>,
+        event: maplehook_core::Event<'_>,
+        _: &mut Vec<maplehook_core::Action>,
     ) {
-        assert!(!matches!(event, lapisroute::Event::Request { .. }), "a planted panic");
+        assert!(!matches!(event, maplehook_core::Event::Request { .. }), "a planted panic");
     }
 }
 
--- a/lab/tests/explored.rs
+++ b/tools/simulator/tests/explored.rs
@@ -1,7 +1,7 @@
 //! The rules, explored over the real modules; mutants that have to be caught; and the paper's own experiment.
 
-use maplehook_lab::paper::{Paper, Rates, Reading, play, ratios};
-use maplehook_lab::rules;
+use maplehook_simulator::paper::{Paper, Rates, Reading, play, ratios};
+use maplehook_simulator::rules;
 use std::time::Duration;
 
 /// Guards the module's rules in every order of events up to seven, and the exploration itself: each planted flaw is
--- a/lab/tests/harms.rs
+++ b/tools/simulator/tests/harms.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::*;
-use lapisroute::{Action, Effect, Event, Outcome, UpstreamId};
-use maplehook_lab::policies::Decides;
-use maplehook_lab::*;
+use maplehook_core::{Action, Effect, Event, Outcome, UpstreamId};
+use maplehook_simulator::policies::Decides;
+use maplehook_simulator::*;
 use std::time::Duration;
 
 /// Processes that end refuse, machines that vanish are silent; both come back, and are found again.
@@ -73,7 +73,7 @@
 
 impl Decides for Deaf {
     fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
-        if !matches!(&event, Event::Fleet { scope: lapisroute::FleetScope::Changes, .. }) {
+        if !matches!(&event, Event::Fleet { scope: maplehook_core::FleetScope::Changes, .. }) {
             self.0.handle(now, event, actions);
         }
     }
@@ -256,7 +256,7 @@
 /// A keyed effect is one as long as its group knows the key, and another one elsewhere.
 #[test]
 fn keys_are_known_to_their_group_alone() {
-    use lapisroute::DedupGroup;
+    use maplehook_core::DedupGroup;
     for (group, ttl, expected) in
         [(DedupGroup::All, S, false), (DedupGroup::Zone, S, true), (DedupGroup::All, MS, true)]
     {
--- a/lab/tests/hunts.rs
+++ b/tools/simulator/tests/hunts.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::*;
-use lapisroute::{Action, Event, FleetScope};
-use maplehook_lab::file::read;
-use maplehook_lab::hunt::hunt;
-use maplehook_lab::policies::{Decides, named};
+use maplehook_core::{Action, Event, FleetScope};
+use maplehook_simulator::file::read;
+use maplehook_simulator::hunt::hunt;
+use maplehook_simulator::policies::{Decides, named};
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
--- a/lab/tests/loads.rs
+++ b/tools/simulator/tests/loads.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::*;
-use lapisroute::Effect;
-use maplehook_lab::load::{Target, run, schedule};
-use maplehook_lab::*;
-use maplehook_standins::station::Station as Real;
+use maplehook_core::Effect;
+use maplehook_simulator::load::{Target, run, schedule};
+use maplehook_simulator::*;
+use maplehook_test_servers::station::Station as Real;
 use std::collections::BTreeMap;
 use std::sync::atomic::AtomicBool;
 
--- a/lab/tests/members.rs
+++ b/tools/simulator/tests/members.rs
@@ -1,9 +1,9 @@
 //! Balancers that know each other, emulated: the hard cases one by one, drawn storms, and every order of a few faults.
 
-use maplehook_lab::members::{World, faults, settled, small, storm};
-use maplehook_lab::rules::explore;
-use maplehook_tier::words::Claim;
-use maplehook_tier::{Event, State, Wire};
+use maplehook_cluster::words::Claim;
+use maplehook_cluster::{Event, State, Wire};
+use maplehook_simulator::members::{World, faults, settled, small, storm};
+use maplehook_simulator::rules::explore;
 use std::time::Duration;
 
 fn s(seconds: u64) -> Duration {
@@ -75,7 +75,7 @@
 /// Two processes of one name, at different addresses to different others: the later start stays.
 #[test]
 fn the_later_of_two_processes_of_a_name_stays() {
-    use maplehook_tier::{Name, Output, Settings, Tier};
+    use maplehook_cluster::{Name, Output, Settings, Tier};
     fn name(text: &str) -> Name {
         Name::new(text).unwrap()
     }
@@ -216,7 +216,7 @@
 /// Nothing can be sent to somebody whom the file does not name; it is seen all the same.
 #[test]
 fn somebody_whom_the_file_does_not_name_is_seen_and_takes_no_part() {
-    use maplehook_tier::{Apart, Name, Output, Refused, Settings, Tier};
+    use maplehook_cluster::{Apart, Name, Output, Refused, Settings, Tier};
     let name = |text: &str| Name::new(text).unwrap();
     let mut ours = Tier::new(Settings::new(name("a"), 1, vec![name("b")], 1), s(3600));
     let mut stranger = Tier::new(Settings::new(name("x"), 1, vec![name("a")], 2), s(3600));
--- a/lab/tests/peers.rs
+++ b/tools/simulator/tests/peers.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use lapisroute::{Class, DedupGroup, Effect};
-use maplehook_lab::*;
+use maplehook_core::{Class, DedupGroup, Effect};
+use maplehook_simulator::*;
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/lab/tests/places.rs
+++ b/tools/simulator/tests/places.rs
@@ -1,9 +1,9 @@
 //! Zones and regions: a few seeds of each fault, with the checks at each step.
 
-use maplehook_lab::places::faults::Fault;
-use maplehook_lab::places::watch::Outcome;
-use maplehook_lab::places::ways::Mode;
-use maplehook_lab::places::{Case, compare, play, table};
+use maplehook_simulator::places::faults::Fault;
+use maplehook_simulator::places::watch::Outcome;
+use maplehook_simulator::places::ways::Mode;
+use maplehook_simulator::places::{Case, compare, play, table};
 use rayon::prelude::*;
 use std::time::Duration;
 
--- a/lab/tests/places_explored.rs
+++ b/tools/simulator/tests/places_explored.rs
@@ -1,6 +1,6 @@
 //! Plans, leases and an address that one site may announce: every order of a few faults, and each planted flaw.
 
-use maplehook_lab::places::explore::{Act, Bounds, Flaw, explore};
+use maplehook_simulator::places::explore::{Act, Bounds, Flaw, explore};
 
 fn bounds(acts: u32, steps: u32, of: &[Act]) -> Bounds {
     Bounds { acts, steps, of: of.to_vec(), worlds: 60_000 }
--- a/lab/tests/rollout.rs
+++ b/tools/simulator/tests/rollout.rs
@@ -1,7 +1,7 @@
 //! Changes in stages, in small: what the laboratory's command plays by the thousand.
 
-use maplehook_lab::rollout::table::{Row, bounds, row};
-use maplehook_lab::rollout::{Case, End, Harm, Way, play};
+use maplehook_simulator::rollout::table::{Row, bounds, row};
+use maplehook_simulator::rollout::{Case, End, Harm, Way, play};
 
 fn played(balancers: usize, harm: Harm, way: Way, faults: bool, seeds: u64) -> Row {
     row(&Case { balancers, harm, way, faults, seed: 1 }, seeds).unwrap()
--- a/lab/tests/theory.rs
+++ b/tools/simulator/tests/theory.rs
@@ -1,9 +1,9 @@
 //! The emulator against formulas: queues of one and of several servers, general service times, loss, and the tails of
 //! the better of two. And that it is the same each time.
 
-use lapisroute::{Class, Effect};
-use maplehook_lab::policies::named;
-use maplehook_lab::*;
+use maplehook_core::{Class, Effect};
+use maplehook_simulator::policies::named;
+use maplehook_simulator::*;
 use std::time::Duration;
 
 const MS: Duration = Duration::from_millis(1);
--- a/standins/src/main.rs
+++ b/tools/test-servers/src/main.rs
@@ -1,7 +1,7 @@
-//! A stand-in by itself: `cargo run -p maplehook-standins -- eureka --listen 127.0.0.1:0 --schedule FILE`.
+//! A stand-in by itself: `cargo run -p maplehook-test-servers -- eureka --listen 127.0.0.1:0 --schedule FILE`.
 
 use clap::{Parser, Subcommand};
-use maplehook_standins::eureka::Eureka;
+use maplehook_test_servers::eureka::Eureka;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -44,7 +44,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("maplehook-standins: {e}");
+            eprintln!("maplehook-test-servers: {e}");
             ExitCode::FAILURE
         }
     }
--- a/standins/src/process.rs
+++ b/tools/test-servers/src/process.rs
@@ -37,7 +37,7 @@
         operator: &str,
     ) -> Result<Self, String> {
         let base = std::env::temp_dir().join(format!(
-            "maplehook-bench-{}-{}",
+            "maplehook-load-test-{}-{}",
             std::process::id(),
             Instant::now().elapsed().as_nanos() + u128::from(upstream.port())
         ));
@@ -69,7 +69,8 @@
     pub fn by_file(program: &Path, text: &str) -> Result<Self, String> {
         let unique = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let unique = unique.map_or(0, |t| t.as_nanos());
-        let file = std::env::temp_dir().join(format!("maplehook-bench-{}-{unique}.toml", std::process::id()));
+        let file =
+            std::env::temp_dir().join(format!("maplehook-load-test-{}-{unique}.toml", std::process::id()));
         std::fs::write(&file, text).map_err(|e| e.to_string())?;
         let mut command = Command::new(program);
         command.arg("run").arg("--config").arg(&file).stderr(Stdio::piped());
--- a/rig/src/fleet.rs
+++ b/tools/testbed/src/fleet.rs
@@ -1,13 +1,13 @@
 //! Many balancers' parts in an agreement, in one process: what a leader and its followers say when nothing changes, and what a long
 //! change costs. The ways between them are queues, so that bytes are those of the messages alone.
 
-use maplehook_agreement::grants::{CutOff, Times};
-use maplehook_agreement::steps::Step;
-use maplehook_link::Talk;
-use maplehook_link::frames::Message;
-use maplehook_quorum::talk::{Op, Reply};
-use maplehook_quorum::{Agreeing, Setup, Wishes};
-use maplehook_tier::Name;
+use maplehook_cluster::Name;
+use maplehook_consensus::talk::{Op, Reply};
+use maplehook_consensus::{Agreeing, Setup, Wishes};
+use maplehook_transport::Talk;
+use maplehook_transport::frames::Message;
+use maplehook_versions::grants::{CutOff, Times};
+use maplehook_versions::steps::Step;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::Path;
--- a/rig/src/judge.rs
+++ b/tools/testbed/src/judge.rs
@@ -12,6 +12,6 @@
 
 /// Judges histories; with `shrink` the shortest part of each breach is written beside its file.
 pub fn report(paths: &[PathBuf], shrink: bool) -> Result<Judged, String> {
-    let (text, sound) = maplehook_histories::report(paths, shrink).map_err(|e| e.to_string())?;
+    let (text, sound) = maplehook_history_checker::report(paths, shrink).map_err(|e| e.to_string())?;
     Ok(Judged { text, sound })
 }
--- a/rig/src/main.rs
+++ b/tools/testbed/src/main.rs
@@ -1,10 +1,10 @@
-//! `maplehook-rig`: storms over real balancers.
+//! `maplehook-testbed`: storms over real balancers.
 
 use clap::builder::TypedValueParser;
 use clap::{Parser, Subcommand};
-use maplehook_rig::nemesis::{Line, ZoneLine};
-use maplehook_rig::places::{self, Conduct, Front, Map};
-use maplehook_rig::{Setup, fleet, judge, measure, storm};
+use maplehook_testbed::nemesis::{Line, ZoneLine};
+use maplehook_testbed::places::{self, Conduct, Front, Map};
+use maplehook_testbed::{Setup, fleet, judge, measure, storm};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -34,7 +34,7 @@
     },
     /// Plays the faults of a file.
     Play {
-        /// The file; `rig/storms/` has some.
+        /// The file; `tools/testbed/storms/` has some.
         file: PathBuf,
         #[command(flatten)]
         played: Played,
@@ -317,7 +317,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(2),
         Err(e) => {
-            eprintln!("maplehook-rig: {e}");
+            eprintln!("maplehook-testbed: {e}");
             ExitCode::FAILURE
         }
     }
--- a/rig/src/places/faults.rs
+++ b/tools/testbed/src/places/faults.rs
@@ -5,8 +5,8 @@
 use crate::check::name;
 use crate::nemesis::ZoneFault;
 use crate::relay::Trouble;
-use maplehook_histories::What;
-use maplehook_standins::room::Behaviour;
+use maplehook_history_checker::What;
+use maplehook_test_servers::room::Behaviour;
 use std::time::Duration;
 
 impl Scene {
--- a/rig/src/places/figures.rs
+++ b/tools/testbed/src/places/figures.rs
@@ -1,7 +1,7 @@
 //! What histories come to: times from a fault to what follows it, and shares. Pure functions of lines.
 
 use crate::nemesis::ZoneFault;
-use maplehook_histories::{Header, Outcome, Record, What};
+use maplehook_history_checker::{Header, Outcome, Record, What};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Steps in which windows of a second are moved.
--- a/rig/src/places/figures/tests.rs
+++ b/tools/testbed/src/places/figures/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use maplehook_histories::record::{ActedRow, Upstream};
+use maplehook_history_checker::record::{ActedRow, Upstream};
 
 const S: u64 = 1_000_000;
 
--- a/rig/src/places/map.rs
+++ b/tools/testbed/src/places/map.rs
@@ -1,9 +1,9 @@
 //! Where everything stands, and what files say of it.
 
 use crate::world::Setup;
-use maplehook_histories::record::{Address, Bounds, Upstream as Stated};
-use maplehook_histories::{Header, SCHEMA};
-use maplehook_standins::room::Room;
+use maplehook_history_checker::record::{Address, Bounds, Upstream as Stated};
+use maplehook_history_checker::{Header, SCHEMA};
+use maplehook_test_servers::room::Room;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/rig/src/places/recorder.rs
+++ b/tools/testbed/src/places/recorder.rs
@@ -1,7 +1,7 @@
 //! What was seen, as lines of a history file: the rig's own, and those that balancers write by themselves, merged by time.
 
-use maplehook_histories::{Header, Record, What};
-use maplehook_standins::router::unix_us;
+use maplehook_history_checker::{Header, Record, What};
+use maplehook_test_servers::router::unix_us;
 use std::fs;
 use std::io::{BufRead, BufReader, BufWriter, Write};
 use std::path::Path;
@@ -100,7 +100,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use maplehook_histories::Outcome;
+    use maplehook_history_checker::Outcome;
 
     #[test]
     fn what_is_written_is_read_again_in_the_order_of_time() {
--- a/rig/src/relay.rs
+++ b/tools/testbed/src/relay.rs
@@ -3,7 +3,7 @@
 //! A [`Way`] is one direction. A relay forwards the datagrams that come to its port one way, and connections both ways:
 //! what the caller says goes by the first way, what it is answered by the second. Nothing leaves loopback.
 
-use maplehook_standins::router::unix_us;
+use maplehook_test_servers::router::unix_us;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/rig/src/world/file.rs
+++ b/tools/testbed/src/world/file.rs
@@ -12,7 +12,7 @@
 pub(super) fn directory() -> PathBuf {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let number = COUNT.fetch_add(1, Ordering::SeqCst);
-    std::env::temp_dir().join(format!("maplehook-rig-{}-{number}", std::process::id()))
+    std::env::temp_dir().join(format!("maplehook-testbed-{}-{number}", std::process::id()))
 }
 
 /// Runs `maplehook settings` with these words.
--- a/rig/tests/places.rs
+++ b/tools/testbed/tests/places.rs
@@ -1,13 +1,13 @@
 //! Six faults between zones, each with several real processes; what has to hold is asserted on the history of each, afterwards.
 //!
-//! `cargo build -p maplehook-node && cargo test -p maplehook-rig --features places --test places`
+//! `cargo build -p maplehook-proxy && cargo test -p maplehook-testbed --features places --test places`
 
-use maplehook_histories::{Header, Outcome, Record, What};
-use maplehook_rig::nemesis::ZoneFault;
-use maplehook_rig::places::figures::{self, Span};
-use maplehook_rig::places::storm::comes_together;
-use maplehook_rig::places::{Front, Map, Scene, recorder};
-use maplehook_standins::router::unix_us;
+use maplehook_history_checker::{Header, Outcome, Record, What};
+use maplehook_test_servers::router::unix_us;
+use maplehook_testbed::nemesis::ZoneFault;
+use maplehook_testbed::places::figures::{self, Span};
+use maplehook_testbed::places::storm::comes_together;
+use maplehook_testbed::places::{Front, Map, Scene, recorder};
 use std::path::PathBuf;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -22,7 +22,7 @@
 const SETTLED_US: u64 = 1_000_000;
 
 fn program() -> PathBuf {
-    let program = PathBuf::from(env!("CARGO_BIN_EXE_maplehook-rig")).with_file_name("maplehook");
+    let program = PathBuf::from(env!("CARGO_BIN_EXE_maplehook-testbed")).with_file_name("maplehook");
     assert!(program.exists(), "{} has to be built first", program.display());
     program
 }
@@ -97,7 +97,7 @@
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let file = directory.join(format!("{name}.jsonl"));
     recorder::write(&file, &header, &records).unwrap();
-    let (text, sound) = maplehook_histories::report(std::slice::from_ref(&file), false).unwrap();
+    let (text, sound) = maplehook_history_checker::report(std::slice::from_ref(&file), false).unwrap();
     assert!(sound, "{text}");
     (header, records)
 }
--- a/rig/tests/trips.rs
+++ b/tools/testbed/tests/trips.rs
@@ -1,10 +1,10 @@
 //! Round trips between zones, measured by real processes: they are agreed on, a rule's step follows them after its time, and back.
 //!
-//! `cargo build -p maplehook-node && cargo test -p maplehook-rig --features places --test trips`
+//! `cargo build -p maplehook-proxy && cargo test -p maplehook-testbed --features places --test trips`
 
 use maplehook_failover::trips::KEPT;
-use maplehook_rig::places::storm::comes_together;
-use maplehook_rig::places::{Front, Map, Scene};
+use maplehook_testbed::places::storm::comes_together;
+use maplehook_testbed::places::{Front, Map, Scene};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
 const SLOWER: Duration = Duration::from_millis(60);
 
 fn program() -> PathBuf {
-    let program = PathBuf::from(env!("CARGO_BIN_EXE_maplehook-rig")).with_file_name("maplehook");
+    let program = PathBuf::from(env!("CARGO_BIN_EXE_maplehook-testbed")).with_file_name("maplehook");
     assert!(program.exists(), "{} has to be built first", program.display());
     program
 }
--- a/tests/known_red.rs
+++ b/tools/workspace-checks/tests/known_red.rs
@@ -3,7 +3,7 @@
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::{Command, Output};
 
 /// Four tests of two programs; one name is in both.
@@ -50,7 +50,7 @@
 }
 
 fn script() -> Command {
-    Command::new(Path::new(env!("CARGO_MANIFEST_DIR")).join(".ci/known-red"))
+    Command::new(maplehook_workspace_checks::root().join(".ci/known-red"))
 }
 
 fn shown(bytes: &[u8]) -> String {
@@ -204,7 +204,7 @@
 /// Guards the test command without a list: it asks cargo as ever.
 #[test]
 fn without_a_list_nothing_changes() {
-    let text = fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("test.sh")).unwrap();
+    let text = fs::read_to_string(maplehook_workspace_checks::root().join("test.sh")).unwrap();
     let folder = Folder::new("none");
     folder.program("test.sh", &text);
     folder.program("bin/cargo", "echo \"$*\" >>asked\n");
@@ -213,5 +213,5 @@
     assert!(ended.status.success(), "{}", shown(&ended.stderr));
     let tests: Vec<String> =
         folder.lines("asked").into_iter().filter(|line| line.starts_with("test")).collect();
-    assert_eq!(tests, ["test --workspace --features maplehook-rig/places --locked"]);
+    assert_eq!(tests, ["test --workspace --features maplehook-testbed/places --locked"]);
 }
--- a/tests/lengths.rs
+++ b/tools/workspace-checks/tests/lengths.rs
@@ -7,16 +7,16 @@
 const LINES_MOST: usize = 400;
 /// Files that are longer, and how long each may be.
 const LONGER: [(&str, usize); 10] = [
-    ("admission/src/door.rs", 546),
-    ("admission/tests/door.rs", 439),
-    ("conformance/src/scenarios.rs", 442),
-    ("engine/src/engine.rs", 530),
-    ("lab/src/members/mod.rs", 431),
-    ("lab/src/play.rs", 732),
-    ("membership/src/fleet.rs", 412),
-    ("node/tests/agreement.rs", 443),
-    ("tests/rules.rs", 440),
-    ("tier/src/wire.rs", 401),
+    ("crates/admission/src/door.rs", 546),
+    ("crates/admission/tests/door.rs", 439),
+    ("tools/conformance/src/scenarios.rs", 442),
+    ("crates/engine/src/engine.rs", 530),
+    ("tools/simulator/src/members/mod.rs", 431),
+    ("tools/simulator/src/play.rs", 732),
+    ("crates/endpoints/src/fleet.rs", 412),
+    ("crates/proxy/tests/agreement.rs", 443),
+    ("crates/core/tests/rules.rs", 440),
+    ("crates/cluster/src/wire.rs", 401),
 ];
 
 /// All files of Rust under a folder, by their names from there, and how many lines each has.
@@ -60,8 +60,11 @@
 
 #[test]
 fn no_file_is_too_long_and_none_of_the_long_ones_grows() {
-    let files = lengths(Path::new(env!("CARGO_MANIFEST_DIR")));
-    assert!(files.iter().any(|(name, _)| name == "tests/lengths.rs"), "the files were found");
+    let files = lengths(&maplehook_workspace_checks::root());
+    assert!(
+        files.iter().any(|(name, _)| name == "tools/workspace-checks/tests/lengths.rs"),
+        "the files were found"
+    );
     let found = breaches(&files, &LONGER);
     assert!(found.is_empty(), "{found:#?}");
 }
