--- a/tools/workspace-checks/tests/done_crates.rs
+++ b/tools/workspace-checks/tests/done_crates.rs
@@ -52,13 +52,9 @@
 
 /// What in a root module breaks them.
 fn breaches_of_root(path: &Path, text: &str) -> Vec<String> {
-    let flat = text
-        .split_whitespace()
-        .collect::<Vec<_>>()
-        .join(" ")
-        .replace("( ", "(")
-        .replace(",)", ")")
-        .replace(", )", ")");
+    // As one line, however the formatter has broken it.
+    let words: Vec<&str> = text.split_whitespace().collect();
+    let flat = words.join(" ").replace("( ", "(").replace(" )", ")").replace(",)", ")");
     let missing = ATTRIBUTES.iter().filter(|attribute| !flat.contains(**attribute));
     missing.map(|attribute| format!("{} lacks {attribute}", path.display())).collect()
 }
