--- a/crates/config/src/class.rs
+++ b/crates/config/src/class.rs
@@ -62,7 +62,7 @@
         Some(Err(e)) => reader.fault_in(table, "path", e.to_string()),
         None => reader.fault_in(table, "path", "it needs a path, as \"/**\"".into()),
     }
-    let class = Class { aim, deadline, late_worth: 0.5, effect, ..Class::default() };
+    let class = Class { latency_objective: aim, deadline, late_value: 0.5, effect, ..Class::default() };
     (class, passage(reader, table, effect))
 }
 
--- a/crates/config/src/proxy.rs
+++ b/crates/config/src/proxy.rs
@@ -112,7 +112,7 @@
             reader.fault_at(1, section.into(), "of no use without listen.address and [[class]]".into());
         }
     }
-    let mut settings = Settings { balancers: 1, ask_for_fleet: true, ..Settings::default() };
+    let mut settings = Settings { balancers: 1, has_endpoint_discovery: true, ..Settings::default() };
     let mut bodies = 16 << 20;
     let mut sockets = 1024;
     let (mut stall, mut drain) = (Duration::from_secs(30), Duration::from_secs(30));
@@ -125,7 +125,7 @@
         }
         settings.hedging = reader.take_in(table, "hedging").unwrap_or(false);
         settings.connect_timeout = ms(reader, table, "connect_timeout_ms", Duration::from_secs(1));
-        settings.conn_idle = ms(reader, table, "upstream_idle_ms", Duration::from_secs(5));
+        settings.connection_idle_timeout = ms(reader, table, "upstream_idle_ms", Duration::from_secs(5));
         settings.max_retry_after = ms(reader, table, "retry_after_ms", Duration::from_secs(1));
         stall = ms(reader, table, "stall_ms", stall);
         drain = ms(reader, table, "drain_ms", drain);
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! What a balancer is told of its surroundings: classes, tenants, and the figures that hold for all of them.
+//! Settings: the classes of requests, the tenants, and the figures that hold for all of them.
 
 use super::{Effect, ZoneId};
 use std::time::Duration;
@@ -6,38 +6,38 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
-    pub aim: Duration,
-    /// The aim grows by this multiple of the request's own work, where the work is known.
-    pub aim_stretch: f64,
-    /// The longest a client waits.
+    /// The latency objective: an answer within this time earns the full value.
+    pub latency_objective: Duration,
+    /// The objective grows by this multiple of the request's own work, where the work is known.
+    pub objective_stretch: f64,
+    /// The longest time that a client waits.
     pub deadline: Duration,
-    /// What one answer in time is worth.
-    pub worth: f64,
-    /// The share of the worth left for an answer after the aim.
-    pub late_worth: f64,
-    /// What a repeat may do.
+    /// The value of one answer in time.
+    pub value: f64,
+    /// The share of the value left for an answer after the objective.
+    pub late_value: f64,
+    /// What a repeat of a request may do.
     pub effect: Effect,
-    /// The answer is a stream: [`Event::StreamStarted`](crate::Event::StreamStarted) is told.
+    /// Whether the answer is a stream, which [`Event::StreamStarted`](crate::Event::StreamStarted) reports.
     pub streamed: bool,
 }
 
 /// A customer whose traffic shares the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second over all balancers that count as within its share; 0 = not stated.
+    /// The requests a second, over all balancers, that the tenant is allowed; 0 if nothing is stated.
     pub allowance_per_s: f64,
 }
 
 impl Default for Class {
-    /// A class that may not run twice, wanted within a second.
+    /// Returns a class whose requests may not run twice and are wanted within a second.
     fn default() -> Self {
         Self {
-            aim: Duration::from_secs(1),
-            aim_stretch: 0.0,
+            latency_objective: Duration::from_secs(1),
+            objective_stretch: 0.0,
             deadline: Duration::from_secs(3),
-            worth: 1.0,
-            late_worth: 0.0,
+            value: 1.0,
+            late_value: 0.0,
             effect: Effect::AtMostOnce,
             streamed: false,
         }
@@ -47,45 +47,45 @@
 /// What an upstream's listed weight means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// Nothing.
+    /// The weight means nothing.
     Off,
-    /// Its registered size, or about that.
+    /// The weight is the upstream's registered size, or about that.
     Size,
-    /// Its size divided by 1 + the requests each core held a while ago.
+    /// The weight is its size divided by 1 + the requests that each core held a while ago.
     Live,
 }
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reports {
-    /// There are none.
+    /// There are no load reports.
     Off,
-    /// With every outcome and probe.
+    /// A load report comes with every outcome and probe.
     Inline,
-    /// With probes only.
+    /// A load report comes with probes only.
     OnProbe,
 }
 
 /// The meaning of one value in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
-    /// Requests the upstream holds.
+    /// The requests that the upstream has in flight.
     InFlight,
-    /// Requests waiting in it.
+    /// The requests that wait in its queue.
     Queue,
     /// The share of its CPU in use.
     Utilization,
     /// Its recent service time in milliseconds.
     ServiceMs,
-    /// Requests served a second.
+    /// The requests that it serves a second.
     RequestRate,
-    /// Errors a second.
+    /// The errors that it answers a second.
     ErrorRate,
-    /// Something this version does not know.
+    /// A value that this version does not know.
     Other,
 }
 
-/// Prices: what an act costs, in the worth of an average request.
+/// Prices: the cost of an action, in the value of an average request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
     /// An attempt in another zone.
@@ -94,76 +94,79 @@
     pub connection: f64,
     /// A new connection.
     pub handshake: f64,
-    /// A request that ends unserved only after its aim.
+    /// A request that ends unserved only after its latency objective.
     pub late_fail: f64,
     /// A probe.
     pub probe: f64,
-    /// Upstream work that served nobody, a mean request's worth of it.
+    /// Upstream work that served nobody, as much as a mean request takes.
     pub waste: f64,
 }
 
-/// What one balancer is told once, at its start.
+/// The settings of one balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// How many balancers share the fleet, this one included.
     pub balancers: u32,
     /// This one's number among them, from 0.
     pub index: u32,
-    /// The zone this balancer stands in.
+    /// The zone that this balancer runs in.
     pub zone: ZoneId,
     /// The classes of requests; at least one.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// What a request over its tenant's allowance is worth, as a share of its class's worth.
-    pub over_share_worth: f64,
-    /// A request's worth is in proportion to its work.
-    pub worth_by_work: bool,
-    /// The list of upstreams must be asked for: [`Action::WatchFleet`](crate::Action::WatchFleet),
-    /// [`Action::FetchFleet`](crate::Action::FetchFleet).
-    pub ask_for_fleet: bool,
-    /// A balancer silent for this long counts as told of all that was listed then.
-    pub ask_every: Duration,
-    /// A starting upstream can do at least this share of its work ...
-    pub cold_from: f64,
-    /// ... and all of it after this long.
-    pub cold_time: Duration,
-    /// A cold upstream falls over when sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
-    /// ... for this long.
-    pub fall_time: Duration,
-    /// The most attempts one request may have.
+    /// The value of a request over its tenant's allowance, as a share of its class's value.
+    pub over_allowance_value: f64,
+    /// Whether a request's value is in proportion to its work.
+    pub is_value_by_work: bool,
+    /// Whether the balancer has to call a discovery service for its endpoints, by
+    /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints) and
+    /// [`Action::FetchEndpoints`](crate::Action::FetchEndpoints).
+    pub has_endpoint_discovery: bool,
+    /// The interval of discovery calls: a balancer that has been silent for this time is held to know all
+    /// that was listed when it called last.
+    pub endpoint_poll_interval: Duration,
+    /// The share of its full capacity that an upstream has when it starts.
+    pub slow_start_min_share: f64,
+    /// The time after which an upstream that started has its full capacity.
+    pub slow_start_window: Duration,
+    /// An upstream in slow start fails when it gets more than this multiple of its present capacity for
+    /// `overload_window`.
+    pub overload_multiple: f64,
+    /// The time for which an upstream in slow start bears more than that.
+    pub overload_window: Duration,
+    /// The most attempts that one request may have.
     pub max_attempts: u8,
-    /// Two attempts of a request may be out together.
+    /// Whether two attempts of a request may be in flight together.
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancelling: bool,
-    /// Probes are allowed.
+    /// Whether probes are allowed.
     pub probing: bool,
-    /// The longest stay away that clients heed.
+    /// The longest `Retry-After` that clients heed.
     pub max_retry_after: Duration,
-    /// A connection not made in this time counts as failed.
+    /// A connection that is not made in this time counts as failed.
     pub connect_timeout: Duration,
-    /// A connection not used for this long closes.
-    pub conn_idle: Duration,
-    /// Attempts that one connection carries at once.
+    /// A connection that is not used for this time closes.
+    pub connection_idle_timeout: Duration,
+    /// The most attempts that one connection carries at once.
     pub max_streams: u32,
     /// The share of misses, by class, that is tolerated where the goal has a part for the slow end.
     pub tail_miss: Option<f64>,
-    /// CPU that a request and its outcomes may cost; zero: no limit.
+    /// The CPU time that a request and its outcomes may cost; zero if there is no limit.
     pub cpu_per_request: Duration,
-    /// What upstreams' listed weights mean.
+    /// What the upstreams' listed weights mean.
     pub weights: Weights,
     /// Where load reports come from.
     pub reports: Reports,
     /// The values in a load report, in order.
     pub report_fields: Vec<LoadField>,
-    /// What acts cost.
+    /// What actions cost.
     pub prices: Prices,
 }
 
 impl Default for Settings {
-    /// One balancer that is told its list, with no classes yet.
+    /// Returns the settings of a single balancer without discovery and, as yet, without classes.
     fn default() -> Self {
         Self {
             balancers: 1,
@@ -171,21 +174,21 @@
             zone: ZoneId(0),
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 0.1,
-            worth_by_work: false,
-            ask_for_fleet: false,
-            ask_every: Duration::from_secs(10),
-            cold_from: 0.3,
-            cold_time: Duration::from_secs(10),
-            fall_multiple: 3.0,
-            fall_time: Duration::from_secs(2),
+            over_allowance_value: 0.1,
+            is_value_by_work: false,
+            has_endpoint_discovery: false,
+            endpoint_poll_interval: Duration::from_secs(10),
+            slow_start_min_share: 0.3,
+            slow_start_window: Duration::from_secs(10),
+            overload_multiple: 3.0,
+            overload_window: Duration::from_secs(2),
             max_attempts: 3,
             hedging: true,
             cancelling: true,
             probing: false,
             max_retry_after: Duration::from_secs(1),
             connect_timeout: Duration::from_millis(250),
-            conn_idle: Duration::from_secs(60),
+            connection_idle_timeout: Duration::from_secs(60),
             max_streams: 100,
             tail_miss: None,
             cpu_per_request: Duration::ZERO,
@@ -202,36 +205,49 @@
 pub enum SettingsError {
     /// There are no classes.
     NoClasses,
-    /// No balancer: not even this one.
+    /// There are no balancers, not even this one.
     NoBalancers,
     /// The named figure is negative, not a number, or zero where it can't be.
     OutOfRange(&'static str),
 }
 
 impl Settings {
-    /// Whether decisions are possible with these figures; the error names the first that permits none.
+    /// Checks whether decisions are possible with these figures.
+    ///
+    /// # Errors
+    ///
+    /// Names the first figure that permits no decisions.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let out = |what| Err(SettingsError::OutOfRange(what));
-        let real = |x: f64| x >= 0.0 && x.is_finite();
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
         if self.balancers == 0 {
             return Err(SettingsError::NoBalancers);
         }
+        self.check_counts()?;
+        self.check_figures()?;
+        self.classes.iter().try_for_each(Class::check)?;
+        self.tenants.iter().try_for_each(Tenant::check)
+    }
+
+    fn check_counts(&self) -> Result<(), SettingsError> {
         if self.max_attempts == 0 {
-            return out("max_attempts");
+            return Err(SettingsError::OutOfRange("max_attempts"));
         }
         if self.index >= self.balancers {
-            return out("index");
+            return Err(SettingsError::OutOfRange("index"));
         }
         if self.max_streams == 0 {
-            return out("max_streams");
+            return Err(SettingsError::OutOfRange("max_streams"));
         }
-        for (x, what) in [
-            (self.over_share_worth, "over_share_worth"),
-            (self.cold_from, "cold_from"),
-            (self.fall_multiple, "fall_multiple"),
+        Ok(())
+    }
+
+    fn check_figures(&self) -> Result<(), SettingsError> {
+        check_not_negative(&[
+            (self.over_allowance_value, "over_share_worth"),
+            (self.slow_start_min_share, "cold_from"),
+            (self.overload_multiple, "fall_multiple"),
             (self.prices.cross_zone, "prices.cross_zone"),
             (self.prices.connection, "prices.connection"),
             (self.prices.handshake, "prices.handshake"),
@@ -239,34 +255,36 @@
             (self.tail_miss.unwrap_or(0.0), "tail_miss"),
             (self.prices.probe, "prices.probe"),
             (self.prices.waste, "prices.waste"),
-        ] {
-            if !real(x) {
-                return out(what);
-            }
-        }
-        for class in &self.classes {
-            if class.aim.is_zero() {
-                return out("class aim");
-            }
-            for (x, what) in [
-                (class.worth, "class worth"),
-                (class.late_worth, "class late_worth"),
-                (class.aim_stretch, "class aim_stretch"),
-            ] {
-                if !real(x) {
-                    return out(what);
-                }
-            }
-        }
-        for tenant in &self.tenants {
-            if !real(tenant.allowance_per_s) {
-                return out("tenant allowance_per_s");
-            }
+        ])
+    }
+}
+
+impl Class {
+    fn check(&self) -> Result<(), SettingsError> {
+        if self.latency_objective.is_zero() {
+            return Err(SettingsError::OutOfRange("class aim"));
         }
-        Ok(())
+        check_not_negative(&[
+            (self.value, "class worth"),
+            (self.late_value, "class late_worth"),
+            (self.objective_stretch, "class aim_stretch"),
+        ])
+    }
+}
+
+impl Tenant {
+    fn check(&self) -> Result<(), SettingsError> {
+        check_not_negative(&[(self.allowance_per_s, "tenant allowance_per_s")])
     }
 }
 
+/// Checks that each figure is a finite number that is not negative; the error has the name of the first that
+/// is not.
+fn check_not_negative(figures: &[(f64, &'static str)]) -> Result<(), SettingsError> {
+    let invalid = figures.iter().find(|(figure, _)| !(*figure >= 0.0 && figure.is_finite()));
+    invalid.map_or(Ok(()), |(_, name)| Err(SettingsError::OutOfRange(name)))
+}
+
 impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,6 +5,22 @@
 //! the time, and carries out the [`Action`]s it answers. The same settings, seed and events always give the
 //! same actions.
 //!
+//! # Who owns what
+//!
+//! | module | what it owns |
+//! | --- | --- |
+//! | `interface` | the public types: [`Settings`], [`Event`], [`Action`] |
+//! | `balancer` | the dispatch of events, and the tick |
+//! | `admission`, `token_bucket`, `quota`, `headroom` | which request is admitted |
+//! | `round_robin`, `upstream_weights`, `slow_start` | which upstream of the subset is next |
+//! | `zone_routing`, `split_table` | which zone a request goes to where a [`TrafficSplit`] is in force |
+//! | `attempts`, `retry`, `hedging` | attempts, and what follows when they fail or are slow |
+//! | `outlier_detection`, `latency_estimator`, `idle_connections`, `load_reports` | what results and reports tell |
+//! | `discovery`, `endpoints`, `subsetting` | which upstreams there are, and which of them are used |
+//! | `learned_state`, `state_transfer`, `settings_change` | what goes on over a restart or a change of settings |
+//! | `observations`, `zone_observations` | the counters that a failover plan is made from |
+//! | `state`, `upstream`, `request`, `rotation`, `throughput`, `refresh_queue` | the data that the others fill and read |
+//!
 //! ```
 //! use maplehook_core::*;
 //! use std::time::Duration;
@@ -12,7 +28,7 @@
 //!
 //! let settings = Settings {
 //!     classes: vec![Class {
-//!         aim: ms(200),
+//!         latency_objective: ms(200),
 //!         deadline: ms(1000),
 //!         effect: Effect::Idempotent,
 //!         ..Class::default()
@@ -22,8 +38,8 @@
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // A balancer's life starts with the list of upstreams it knows.
-//! let listed = [Listed {
+//! // A balancer's life starts with the endpoints it knows.
+//! let endpoints = [Endpoint {
 //!     id: UpstreamId(7),
 //!     zone: ZoneId(0),
 //!     kind: KindId(0),
@@ -32,9 +48,10 @@
 //!     weight: 1.0,
 //!     started: None,
 //! }];
-//! balancer.handle(ms(0), Event::Fleet { scope: FleetScope::Cached, listed: &listed }, &mut actions);
+//! let update = Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &endpoints };
+//! balancer.handle(ms(0), update, &mut actions);
 //!
-//! // A request comes: it is sent on, or refused at once.
+//! // A request arrives: it is sent on, or rejected at once.
 //! actions.clear();
 //! let request = Event::Request {
 //!     id: RequestId(1),
@@ -64,51 +81,84 @@
 //! ```
 //!
 //! Two things an embedder must do: deliver the timers that [`Action::Timer`] asks for (the balancer's tick is
-//! one of them), and end an attempt as [`Outcome::TimedOut`] at its time-out or, at the latest, at the client's
-//! deadline. `Balancer` gives each request exactly one final answer on these terms.
+//! one of them), and end an attempt as [`Outcome::TimedOut`] at its time-out or, at the latest, at the
+//! client's deadline. `Balancer` gives each request exactly one final answer on these terms.
 //!
-//! # What a cold upstream gets from all balancers together
+//! # What an upstream in slow start gets from all balancers together
 //!
-//! An upstream that has just started falls when it gets more than `N` and some for chance within
-//! [`Settings::fall_time`] `T`; `N` is `fall_multiple` times its capacity, times its climb, times `T`. A balancer that
-//! has it in its subset lets it earn `0.4 * fall_multiple * C * climb` turns a second, by the clock and not by the
-//! round: `C` is what the balancer completes at a warm upstream of its subset a second (from the start on, its part
-//! of the stated allowances). Over all subsets that it is in, the sum of `C` is what one warm upstream completes, so
-//! at most its capacity: together they send `0.4 * N` in any window on average. What comes on top of that:
+//! An upstream that has just started fails when it gets more than `N`, and some for chance, within
+//! [`Settings::overload_window`] `T`; `N` is `overload_multiple` times its capacity, times its slow-start
+//! share, times `T`. A balancer that has it in its subset lets it earn `0.4 * overload_multiple * C * share`
+//! slots a second, by the clock and not by the round: `C` is what the balancer completes at a warm upstream
+//! of its subset a second (from the start on, its part of the stated allowances). Over all subsets that it is
+//! in, the sum of `C` is what one warm upstream completes, so at most its capacity: together they send `0.4 *
+//! N` in any window on average. What comes on top of that:
 //!
 //! | source | adds |
 //! | --- | --- |
-//! | credit at the start, 0 to 1 at random | nothing on average: it is what a balancer has earned at any moment, so a fleet that restarts goes on as it was. Nil after a hand-over |
-//! | credit saved up, 1.5 at the most | one turn at once, and then a half: a balancer without requests saves no burst |
+//! | credit at the start, 0 to 1 at random | nothing on average: it is what a balancer has earned at any moment, so that balancers that restart go on as they were. None after a restart with learned state |
+//! | credit saved up, 1.5 at the most | one slot at once, and then a half: a balancer without requests saves no burst |
 //! | `C` of thin traffic: the highest mean over 2 s of late | up to about three times, where a balancer sees under one request a second; `N` is small then, and what is left for chance (2 roots of `N`, and 2) is large |
-//! | subsets in which all are cold | up to `1 / climb` times: completions are taken for those of fewer upstreams |
+//! | subsets in which all are in slow start | up to `1 / share` times: completions are taken for those of fewer upstreams |
 //! | an upstream back from ejection | nothing: it earns as one that has just started |
-//! | trials of one ejected for a class | nothing: a cold one is tried by a turn that it has earned |
-//! | further attempts, second copies | nothing: they never go to a cold one, inside the subset or outside |
-//! | all ejected, or too many to spare them | nothing: what is cold still goes by its turns |
+//! | trials of one ejected for a class | nothing: one in slow start is tried by a slot that it has earned |
+//! | retries, hedges | nothing: they never go to an upstream in slow start, inside the subset or outside |
+//! | all ejected, or too many to respect the ejections | nothing: one in slow start still goes by its slots |
 //!
-//! Where the part of one balancer is under one request, the credit at the start lets one balancer after another send
-//! it. `tests/cold.rs` plays this for 1 to 300 balancers.
+//! Where the part of one balancer is under one request, the credit at the start lets one balancer after
+//! another send it. `tests/cold.rs` plays this for 1 to 300 balancers.
+
+#![deny(
+    missing_docs,
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::result_large_err
+)]
+#![cfg_attr(not(test), deny(clippy::unwrap_used))]
 
+mod admission;
+mod attempt_result;
 mod attempts;
-mod choice;
-mod grant;
-pub mod heritage;
+mod balancer;
+mod discovery;
+mod endpoints;
+mod headroom;
+mod hedging;
+mod idle_connections;
 mod interface;
-mod learning;
-mod shares;
-mod sight;
+mod latency_estimator;
+mod learned_state;
+mod load_reports;
+mod observations;
+mod outlier_detection;
+mod quota;
+mod random;
+mod refresh_queue;
+mod request;
+mod retry;
+mod rotation;
+mod round_robin;
+mod settings_change;
+mod slow_start;
+mod split_table;
 mod state;
-mod stats;
-mod subset;
-mod turns;
-mod zones;
+mod state_transfer;
+mod subsetting;
+mod throughput;
+mod tick;
+mod token_bucket;
+mod upstream;
+mod upstream_weights;
+mod zone_observations;
+mod zone_routing;
 
 pub use interface::*;
-pub use sight::{GroupSight, ZoneSight};
-pub use state::Balancer;
+pub use learned_state::{LearnedClass, LearnedState, LearnedTenant, LearnedUpstream};
+pub use observations::{GroupObservation, ZoneObservation};
+pub use state::{Balancer, UpstreamCounts};
 
-/// README's embedding example, kept honest by the tests.
+/// The README's embedding example, which the tests compile.
 #[doc = include_str!("../../../README.md")]
 #[cfg(doctest)]
 struct Readme;
--- /dev/null
+++ b/crates/core/src/load_reports.rs
@@ -0,0 +1,33 @@
+//! Load reports: what upstreams say of their own load.
+
+use crate::interface::*;
+use crate::state::Balancer;
+
+/// The largest value that a report is believed.
+const MAX_REPORTED: f64 = 1e4;
+
+impl Balancer {
+    /// Takes in the load report of an upstream. A report is old: without the balancer's own requests of now
+    /// it tells only of the others, who have their part in flight.
+    pub(crate) fn on_load_report(&mut self, id: UpstreamId, report: &[f32]) {
+        let Some(index) = self.index_by_id.get(&id).copied() else { return };
+        let mut in_flight: Option<f64> = None;
+        let values = self.settings.report_fields.iter().zip(report);
+        for (field, value) in values.filter(|(_, value)| value.is_finite()) {
+            let value = f64::from(*value).clamp(0.0, MAX_REPORTED);
+            match field {
+                LoadField::InFlight | LoadField::Queue => {
+                    in_flight = Some(value.max(in_flight.unwrap_or(0.0)));
+                }
+                LoadField::Utilization => self.utilization.record(value.min(1.0), self.now_s),
+                _ => {}
+            }
+        }
+        if let Some(in_flight) = in_flight {
+            let others_share = 1.0 - 1.0 / f64::from(self.settings.balancers.max(1));
+            let upstream = &mut self.upstreams[index];
+            upstream.reported_load = in_flight * others_share;
+            upstream.reported_at = self.now_s;
+        }
+    }
+}
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -23,7 +23,7 @@
 use crate::tally::{Counting, Tally};
 use hyper::Uri;
 use hyper::body::Body;
-use maplehook_core::{Balancer, Effect, FleetScope, Settings, TenantId};
+use maplehook_core::{Balancer, Effect, Settings, TenantId, UpdateScope};
 use maplehook_http_semantics::{Forwarding, Passage};
 use std::cell::{Cell, RefCell};
 use std::error::Error;
@@ -166,7 +166,7 @@
     fn core(mut self) -> Result<Rc<Core>, StartError> {
         let wrong = |e: Box<dyn Error + Send + Sync>| StartError(e);
         // Without it the module takes the list for pushed, and never asks.
-        self.settings.ask_for_fleet = true;
+        self.settings.has_endpoint_discovery = true;
         let passages = self.passages.take().unwrap_or_else(|| {
             self.settings.classes.iter().map(|class| Passage::general(class.effect)).collect()
         });
@@ -191,7 +191,7 @@
         descriptors.relieved_by(move || idle.close_oldest());
         descriptors.tells(move || resized.resized());
         let fixed = self.fixed.unwrap_or_default();
-        let known = News { scope: FleetScope::Cached, ..fixed.news() };
+        let known = News { scope: UpdateScope::Cached, ..fixed.news() };
         let source = match self.source {
             Some(make) => make(&descriptors),
             None => Rc::new(fixed),
@@ -390,7 +390,7 @@
             let _ = reply.send(Err(refused));
             return;
         }
-        settings.ask_for_fleet = true;
+        settings.has_endpoint_discovery = true;
         self.upstreams.lease(lease);
         let driver = self.desk.driver();
         let mut told = driver.lists();
--- a/crates/engine/src/lists.rs
+++ b/crates/engine/src/lists.rs
@@ -1,7 +1,7 @@
 //! A list of upstreams that is set while the engine runs.
 
 use crate::source::{Entry, News, Source, Task};
-use maplehook_core::FleetScope;
+use maplehook_core::UpdateScope;
 use std::time::Instant;
 use tokio::sync::watch;
 
@@ -26,7 +26,7 @@
 
     /// The list.
     pub fn news(&self) -> News {
-        News { scope: FleetScope::Full, entries: self.0.borrow().clone() }
+        News { scope: UpdateScope::Full, entries: self.0.borrow().clone() }
     }
 }
 
--- a/crates/engine/src/parts/attempt/tests.rs
+++ b/crates/engine/src/parts/attempt/tests.rs
@@ -28,7 +28,7 @@
 
 async fn upstreams(most_open: usize) -> (Rc<Upstreams>, TcpListener, Place) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let settings = Settings { connect_timeout: LONG, conn_idle: LONG, ..Settings::default() };
+    let settings = Settings { connect_timeout: LONG, connection_idle_timeout: LONG, ..Settings::default() };
     let upstreams = Rc::new(Upstreams::new(
         &settings,
         crate::parts::pool::tests::descriptors(most_open),
--- a/crates/engine/src/parts/discovery.rs
+++ b/crates/engine/src/parts/discovery.rs
@@ -2,7 +2,7 @@
 //!
 //! A call is given up when its time is up, and a watch when it has been silent for too long; both end with
 //! [`News::failed`], and the decision module asks again. The figures, and why a change is known in time whatever
-//! hangs or is refused, stand in [`maplehook_core::asking`].
+//! hangs or is refused, stand in [`maplehook_core::discovery_timing`].
 
 mod documents;
 mod patience;
@@ -20,8 +20,8 @@
 use hyper::body::Incoming;
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
-use maplehook_core::{Availability, CellId, FleetScope, KindId, ZoneId};
-use maplehook_platform_settings::Names;
+use maplehook_core::{Availability, CellId, KindId, UpdateScope, ZoneId};
+use maplehook_platform_settings::IdNames;
 pub use patience::Patience;
 use patience::Silence;
 use serde::Deserialize;
@@ -67,7 +67,7 @@
 /// Where discovery is, and how far this balancer has followed it.
 pub struct Discovery {
     address: Cell<SocketAddr>,
-    names: RefCell<Names>,
+    names: RefCell<IdNames>,
     descriptors: Rc<Descriptors>,
     /// The version of the list in hand; 0: none.
     rev: Cell<u64>,
@@ -79,7 +79,7 @@
 
 impl Discovery {
     /// One service for all balancers at an address; `names` turn zones and kinds into numbers.
-    pub fn new(address: SocketAddr, names: Names, descriptors: Rc<Descriptors>) -> Self {
+    pub fn new(address: SocketAddr, names: IdNames, descriptors: Rc<Descriptors>) -> Self {
         Self {
             address: Cell::new(address),
             names: RefCell::new(names),
@@ -106,12 +106,12 @@
     }
 
     /// What the numbers are called.
-    pub fn names(&self) -> Ref<'_, Names> {
+    pub fn names(&self) -> Ref<'_, IdNames> {
         self.names.borrow()
     }
 
     /// Zones and kinds have these numbers from now on.
-    pub fn rename(&self, names: Names) {
+    pub fn rename(&self, names: IdNames) {
         *self.names.borrow_mut() = names;
     }
 
@@ -129,7 +129,7 @@
         });
         let entries = entries.collect();
         self.rev.set(list.rev);
-        Ok(News { scope: if whole { FleetScope::Full } else { FleetScope::Changes }, entries })
+        Ok(News { scope: if whole { UpdateScope::Full } else { UpdateScope::Changes }, entries })
     }
 
     fn entry(&self, text: &str) -> Result<Entry, Failure> {
@@ -137,7 +137,7 @@
         let availability = match raw.state.as_str() {
             "Ready" => Availability::Ready,
             "Terminating" => Availability::Draining,
-            "Gone" => Availability::Gone,
+            "Gone" => Availability::Removed,
             other => return Err(format!("{}: unknown state {other:?}", raw.uid).into()),
         };
         let endpoint = raw.endpoint.and_then(|e| serde_json::from_str(e.get()).ok());
@@ -156,7 +156,7 @@
         })
     }
 
-    /// The list from the configuration, as [`FleetScope::Cached`].
+    /// The list from the configuration, as [`UpdateScope::Cached`].
     pub fn known(&self, text: &str) -> News {
         let read = if text.is_empty() { Ok(News::failed()) } else { self.read(text.as_bytes(), true) };
         let entries = read.map_or_else(
@@ -166,7 +166,7 @@
             },
             |news| news.entries,
         );
-        News { scope: FleetScope::Cached, entries }
+        News { scope: UpdateScope::Cached, entries }
     }
 
     /// From now on discovery is elsewhere. The list in hand, and how far it was followed, stay as they are.
--- a/crates/engine/src/parts/discovery/patience.rs
+++ b/crates/engine/src/parts/discovery/patience.rs
@@ -1,6 +1,6 @@
 //! How long discovery may be silent, at each step of a call and of the watch that it becomes.
 
-use maplehook_core::asking::{CALL_LONGEST, SILENCE_LONGEST};
+use maplehook_core::discovery_timing::{CALL_TIMEOUT, WATCH_IDLE_TIMEOUT};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -16,7 +16,7 @@
 impl Patience {
     /// With one service for all balancers, which works through its calls in turn. The time of the whole call bounds it;
     /// a connection that does not come up is tried anew before.
-    pub const SERVICE: Self = Self { connect: Duration::from_millis(1000), head: CALL_LONGEST };
+    pub const SERVICE: Self = Self { connect: Duration::from_millis(1000), head: CALL_TIMEOUT };
     /// With an agent on this machine. It answers at once or not at all, and what it has counts as told in the moment
     /// in which discovery is back: a call that hangs then must be over within the grace of a drain, half a second.
     pub const AGENT: Self = Self { connect: Duration::from_millis(250), head: Duration::from_millis(250) };
@@ -34,7 +34,7 @@
 impl Silence {
     /// Of a call that is begun now.
     pub(super) fn new(patience: Patience, now: Instant) -> Self {
-        let answer_by = now + CALL_LONGEST;
+        let answer_by = now + CALL_TIMEOUT;
         Self { patience, answer_by, answered: false, broken_at: answer_by.min(now + patience.connect) }
     }
 
@@ -51,7 +51,7 @@
     /// A document, or the end of an empty line, has come.
     pub(super) fn said(&mut self, now: Instant) {
         self.answered = true;
-        self.broken_at = now + SILENCE_LONGEST;
+        self.broken_at = now + WATCH_IDLE_TIMEOUT;
     }
 
     pub(super) fn answered(&self) -> bool {
--- a/crates/engine/src/parts/driver.rs
+++ b/crates/engine/src/parts/driver.rs
@@ -21,10 +21,9 @@
 use crate::parts::terms::Presence;
 use crate::parts::upstream::Upstreams;
 use crate::source::{Heard, News, Source};
-use maplehook_core::heritage::Heritage;
 use maplehook_core::{
-    Action, AttemptNo, Balancer, ClassId, Event, FleetScope, Outcome, RequestId, Settings, Shares, TenantId,
-    TimerId, UpstreamId,
+    Action, AttemptNo, Balancer, ClassId, Event, LearnedState, Outcome, RequestId, Settings, TenantId,
+    TimerId, TrafficSplit, UpdateScope, UpstreamCounts, UpstreamId,
 };
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
@@ -78,7 +77,7 @@
 enum Happening {
     Fleet(News),
     /// The source of the list is elsewhere.
-    FleetMoved,
+    DiscoveryMoved,
     Asked(RequestId),
     AttemptEnded(RequestId, AttemptNo, Ended),
     /// The body of this attempt has begun to stream.
@@ -89,8 +88,8 @@
     Gone(RequestId),
     Timer(TimerId),
     Retuned(Box<Settings>, Vec<TenantId>),
-    Shared(Option<Box<Shares>>),
-    Inherited(Box<Heritage>),
+    Shared(Option<Box<TrafficSplit>>),
+    Inherited(Box<LearnedState>),
 }
 
 struct Core {
@@ -159,7 +158,7 @@
 
     /// Tells the figures of the list as the module sees it.
     fn count_listed(&self) {
-        let (listed, avoided) = self.core.borrow().balancer.listed();
+        let UpstreamCounts { listed, avoided } = self.core.borrow().balancer.upstream_counts();
         let figure = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
         self.upstreams.tally.cluster_size.set(figure(listed));
         self.upstreams.tally.cluster_unhealthy.set(figure(avoided));
@@ -184,19 +183,19 @@
         Pending::new(Rc::clone(self), id, answer)
     }
 
-    /// The settings have changed; see [`Event::Retuned`].
+    /// The settings have changed; see [`Event::SettingsChanged`].
     pub fn retune(self: &Rc<Self>, settings: Settings, gone: Vec<TenantId>) {
         self.happened(Happening::Retuned(Box::new(settings), gone));
     }
 
     /// What the process before this one had learned.
-    pub fn inherit(self: &Rc<Self>, heritage: Heritage) {
+    pub fn inherit(self: &Rc<Self>, heritage: LearnedState) {
         self.happened(Happening::Inherited(Box::new(heritage)));
     }
 
     /// What the next process may know of this one.
-    pub fn heritage(&self) -> Heritage {
-        self.core.borrow().balancer.heritage()
+    pub fn heritage(&self) -> LearnedState {
+        self.core.borrow().balancer.learned_state()
     }
 
     /// Waits until a list is known, were it an empty one.
@@ -241,16 +240,16 @@
         match happening {
             Happening::Fleet(news) => {
                 let listed = self.fleet(&news);
-                if !listed.is_empty() || matches!(news.scope, FleetScope::Full | FleetScope::Changes) {
+                if !listed.is_empty() || matches!(news.scope, UpdateScope::Full | UpdateScope::Changes) {
                     self.knows.send_replace(true);
                 }
-                let event = Event::Fleet { scope: news.scope, listed: &listed };
+                let event = Event::EndpointUpdate { scope: news.scope, endpoints: &listed };
                 core.balancer.handle(now, event, &mut actions);
-                if news.scope == FleetScope::Full {
+                if news.scope == UpdateScope::Full {
                     self.lists.send_modify(|lists| *lists += 1);
                 }
             }
-            Happening::FleetMoved => core.balancer.handle(now, Event::FleetMoved, &mut actions),
+            Happening::DiscoveryMoved => core.balancer.handle(now, Event::DiscoveryMoved, &mut actions),
             Happening::Asked(id) => {
                 let Some(held) = core.requests.get(&id) else { return };
                 let asked = &held.asked;
@@ -355,20 +354,20 @@
                 let Some(held) = core.requests.get_mut(&id) else { return };
                 if held.reply.take().is_some() {
                     tracing::debug!(id = id.0, "left by its client");
-                    core.balancer.handle(now, Event::RequestGone { id }, &mut actions);
+                    core.balancer.handle(now, Event::RequestCancelled { id }, &mut actions);
                 }
                 self.forget_if_over(core, id);
             }
             Happening::Inherited(heritage) => {
-                core.balancer.handle(now, Event::Inherited { heritage: &heritage }, &mut actions);
+                core.balancer.handle(now, Event::LearnedStateRestored { learned: &heritage }, &mut actions);
             }
             Happening::Retuned(settings, gone) => {
                 self.upstreams.retune(&settings);
-                let event = Event::Retuned { settings: &settings, gone: &gone };
+                let event = Event::SettingsChanged { settings: &settings, removed_tenants: &gone };
                 core.balancer.handle(now, event, &mut actions);
             }
             Happening::Shared(shares) => {
-                let event = Event::Shares { shares: shares.as_deref() };
+                let event = Event::TrafficSplit { split: shares.as_deref() };
                 core.balancer.handle(now, event, &mut actions);
             }
             Happening::Timer(timer) => core.balancer.handle(now, Event::Timer { timer }, &mut actions),
--- a/crates/engine/src/parts/driver/deeds.rs
+++ b/crates/engine/src/parts/driver/deeds.rs
@@ -5,7 +5,7 @@
 use crate::parts::answer::{AnswerBody, Served};
 use crate::parts::body::Payload;
 use crate::source::News;
-use maplehook_core::{Action, AttemptNo, FleetScope, Listed, Outcome, RequestId, UpstreamId};
+use maplehook_core::{Action, AttemptNo, Endpoint, Outcome, RequestId, UpdateScope, UpstreamId};
 use rustc_hash::FxHashSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -47,14 +47,14 @@
     }
 
     /// Applies news to the connections and words them for the module.
-    pub(super) fn fleet(&self, news: &News) -> Vec<Listed> {
-        if matches!(news.scope, FleetScope::Full | FleetScope::Cached) {
+    pub(super) fn fleet(&self, news: &News) -> Vec<Endpoint> {
+        if matches!(news.scope, UpdateScope::Full | UpdateScope::Cached) {
             let ids: FxHashSet<UpstreamId> = news.entries.iter().map(|e| e.id).collect();
             self.upstreams.keep_only(|id| ids.contains(&id));
         }
         let listed = news.entries.iter().map(|entry| {
             self.upstreams.place(entry.id, entry.zone, &entry.place);
-            Listed {
+            Endpoint {
                 id: entry.id,
                 zone: entry.zone,
                 kind: entry.kind,
@@ -78,7 +78,7 @@
                     self.queue.borrow_mut().push_back(cancelled);
                 }
             }
-            Action::Refuse { id, retry_after } => self.answer(core, id, Answer::Refused(retry_after)),
+            Action::Reject { id, retry_after } => self.answer(core, id, Answer::Refused(retry_after)),
             Action::Fail { id } => self.answer(core, id, Answer::Failed),
             Action::Timer { after, timer } => {
                 let driver = Rc::clone(self);
@@ -87,8 +87,8 @@
                     driver.happened(Happening::Timer(timer));
                 });
             }
-            Action::WatchFleet => self.watch(),
-            Action::FetchFleet => {
+            Action::WatchEndpoints => self.watch(),
+            Action::FetchEndpoints => {
                 let driver = Rc::clone(self);
                 spawn_local(async move {
                     let news = driver.source.fetch().await;
@@ -141,7 +141,7 @@
         if let Some(before) = self.watching.take() {
             before.abort();
         }
-        self.happened(Happening::FleetMoved);
+        self.happened(Happening::DiscoveryMoved);
     }
 
     fn attempt(
--- a/crates/engine/src/parts/driver/places.rs
+++ b/crates/engine/src/parts/driver/places.rs
@@ -1,7 +1,7 @@
-//! Shares for the module, and what is seen of zones from here.
+//! TrafficSplit for the module, and what is seen of zones from here.
 
 use super::{Driver, Happening};
-use maplehook_core::{GroupSight, Shares, SharesError, ZoneId, ZoneSight};
+use maplehook_core::{GroupObservation, TrafficSplit, TrafficSplitError, ZoneId, ZoneObservation};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sights {
     /// Each zone of which an upstream is listed, or to which anything was sent.
-    pub zones: Vec<ZoneSight>,
+    pub zones: Vec<ZoneObservation>,
     /// Each group of the shares in force, by position; none without shares.
-    pub groups: Vec<GroupSight>,
+    pub groups: Vec<GroupObservation>,
     /// Connections by zone, where any was made.
     pub connects: Vec<(ZoneId, Connects)>,
 }
@@ -27,9 +27,9 @@
 }
 
 impl Driver {
-    /// Which zones each group of requests goes to from now on; see [`Event::Shares`](maplehook_core::Event::Shares).
-    pub fn share(self: &Rc<Self>, shares: Option<Shares>) -> Result<(), SharesError> {
-        shares.as_ref().map_or(Ok(()), Shares::check)?;
+    /// Which zones each group of requests goes to from now on; see [`Event::TrafficSplit`](maplehook_core::Event::TrafficSplit).
+    pub fn share(self: &Rc<Self>, shares: Option<TrafficSplit>) -> Result<(), TrafficSplitError> {
+        shares.as_ref().map_or(Ok(()), TrafficSplit::check)?;
         self.happened(Happening::Shared(shares.map(Box::new)));
         Ok(())
     }
@@ -38,8 +38,8 @@
     pub fn sights(&self) -> Sights {
         let core = self.core.borrow();
         Sights {
-            zones: core.balancer.sights(self.clock.now()),
-            groups: core.balancer.group_sights().to_vec(),
+            zones: core.balancer.zone_observations(self.clock.now()),
+            groups: core.balancer.group_observations().to_vec(),
             connects: self.upstreams.connects(),
         }
     }
--- a/crates/engine/src/parts/upstream.rs
+++ b/crates/engine/src/parts/upstream.rs
@@ -99,7 +99,7 @@
     ) -> Self {
         Self {
             known: RefCell::default(),
-            pool: Pool::new(Rc::clone(&descriptors), settings.conn_idle.mul_f64(IDLE_SHARE)),
+            pool: Pool::new(Rc::clone(&descriptors), settings.connection_idle_timeout.mul_f64(IDLE_SHARE)),
             descriptors,
             room,
             forwarding,
@@ -132,7 +132,7 @@
 
     /// The settings have changed. Connections that are open stay.
     pub fn retune(&self, settings: &Settings) {
-        self.pool.retune(settings.conn_idle.mul_f64(IDLE_SHARE));
+        self.pool.retune(settings.connection_idle_timeout.mul_f64(IDLE_SHARE));
         self.connect_timeout.set(settings.connect_timeout);
         *self.windows.borrow_mut() = windows(settings);
         self.reports.set(settings.reports);
@@ -147,7 +147,7 @@
     /// Takes in what the list says of one.
     pub fn place(&self, id: UpstreamId, zone: ZoneId, place: &Place) {
         let mut known = self.known.borrow_mut();
-        if place.availability == Availability::Gone {
+        if place.availability == Availability::Removed {
             if let Some(upstream) = known.remove(&id) {
                 upstream.ready.set(false);
             }
--- a/crates/engine/src/source.rs
+++ b/crates/engine/src/source.rs
@@ -1,7 +1,7 @@
 //! Where the list of upstreams comes from. Every kind of discovery stands behind [`Source`].
 
 pub use crate::parts::upstream::Place;
-use maplehook_core::{Availability, CellId, FleetScope, KindId, UpstreamId, ZoneId};
+use maplehook_core::{Availability, CellId, KindId, UpdateScope, UpstreamId, ZoneId};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct News {
     /// How complete it is.
-    pub scope: FleetScope,
+    pub scope: UpdateScope,
     /// The entries.
     pub entries: Vec<Entry>,
 }
@@ -36,12 +36,12 @@
 impl News {
     /// That nothing has changed, in answer to a call.
     pub fn unchanged() -> Self {
-        Self { scope: FleetScope::Changes, entries: Vec::new() }
+        Self { scope: UpdateScope::Changes, entries: Vec::new() }
     }
 
     /// That a call failed or a watch ended.
     pub fn failed() -> Self {
-        Self { scope: FleetScope::Failed, entries: Vec::new() }
+        Self { scope: UpdateScope::Failed, entries: Vec::new() }
     }
 }
 
@@ -50,7 +50,7 @@
 
 /// A source of the list. It is asked when the decision module wants the list, and asked again, after a while,
 /// when it has failed; it keeps no time of its own for that. What bounds a call and a watch stands in
-/// [`maplehook_core::asking`].
+/// [`maplehook_core::discovery_timing`].
 pub trait Source {
     /// The whole list, or [`News::failed`].
     fn fetch(&self) -> Task<'_, News>;
@@ -110,7 +110,7 @@
 
     /// The list.
     pub fn news(&self) -> News {
-        News { scope: FleetScope::Full, entries: self.0.clone() }
+        News { scope: UpdateScope::Full, entries: self.0.clone() }
     }
 }
 
--- a/crates/eureka/src/source.rs
+++ b/crates/eureka/src/source.rs
@@ -8,7 +8,7 @@
 use maplehook::source::{Entry, Heard, News, Place, Source, Task, stable_id};
 use maplehook_admission::address::Network;
 use maplehook_config::Wanted;
-use maplehook_core::{Availability, CellId, FleetScope, KindId, UpstreamId, ZoneId};
+use maplehook_core::{Availability, CellId, KindId, UpdateScope, UpstreamId, ZoneId};
 use maplehook_endpoints::{Bounds, Instance, Member, Membership, Origin, Standing, Word};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -293,7 +293,7 @@
             }
         }
         let gone = state.told.iter().filter(|(id, _)| !now.contains_key(id)).map(|(_, entry)| {
-            let place = Place { availability: Availability::Gone, ..entry.place.clone() };
+            let place = Place { availability: Availability::Removed, ..entry.place.clone() };
             Entry { place, ..entry.clone() }
         });
         let mut entries: Vec<Entry> = gone.collect();
@@ -305,12 +305,12 @@
         }
         state.keys = members.into_iter().map(|m| (stable_id(&m.instance.key), m.instance.key)).collect();
         state.told = now;
-        Some(News { scope: FleetScope::Changes, entries })
+        Some(News { scope: UpdateScope::Changes, entries })
     }
 
     fn full(&self) -> News {
         let entries = self.state.borrow().told.values().cloned().collect();
-        News { scope: FleetScope::Full, entries }
+        News { scope: UpdateScope::Full, entries }
     }
 }
 
@@ -339,7 +339,7 @@
             availability: match member.standing {
                 Standing::Offered => Availability::Ready,
                 Standing::Drained => Availability::Draining,
-                Standing::Gone => Availability::Gone,
+                Standing::Gone => Availability::Removed,
             },
             boot_ms: instance.boot_ms,
         },
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::command::text_of;
 use maplehook_admission::budget::{LEAST, TooFew};
-use maplehook_platform_settings::{Tuned, Wrong, missing};
+use maplehook_platform_settings::{ActiveSettings, SettingsParseError, check_required_keys};
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
@@ -32,7 +32,7 @@
     /// The upstreams last known, in discovery's form; empty if none are.
     pub known: String,
     /// The settings of the site.
-    pub tuned: Tuned,
+    pub tuned: ActiveSettings,
     /// The keys that the file has to go on having.
     like: Value,
 }
@@ -119,7 +119,11 @@
 
     /// What of the file that `NODE_CONFIG` names now may be taken while this process runs: discovery's address and the
     /// settings, `now` since its start; whole, or not at all.
-    pub fn retuned(&self, now: Duration, tuned: &Tuned) -> Result<(SocketAddr, Tuned), ConfigError> {
+    pub fn retuned(
+        &self,
+        now: Duration,
+        tuned: &ActiveSettings,
+    ) -> Result<(SocketAddr, ActiveSettings), ConfigError> {
         let (shown, text) = read()?;
         self.retuned_by(now, tuned, &text).map_err(|e| ConfigError(format!("{shown}: {e}")))
     }
@@ -127,14 +131,14 @@
     fn retuned_by(
         &self,
         now: Duration,
-        tuned: &Tuned,
+        tuned: &ActiveSettings,
         text: &str,
-    ) -> Result<(SocketAddr, Tuned), ConfigError> {
-        let wrong = |wrong: Wrong| ConfigError(wrong.to_string());
+    ) -> Result<(SocketAddr, ActiveSettings), ConfigError> {
+        let wrong = |wrong: SettingsParseError| ConfigError(wrong.to_string());
         let value: Value = json(text)?;
-        missing(&self.like, &value, "").map_err(wrong)?;
+        check_required_keys(&self.like, &value, "").map_err(wrong)?;
         let raw: Raw<'_> = json(text)?;
-        let tuned = tuned.retuned(now, raw.settings.get(), "settings").map_err(wrong)?;
+        let tuned = tuned.updated(now, raw.settings.get(), "settings").map_err(wrong)?;
         Ok((raw.discovery, tuned))
     }
 
@@ -146,7 +150,8 @@
         if raw.limits.sockets < LEAST {
             return Err(ConfigError(format!("limits.sockets: {}", TooFew(raw.limits.sockets))));
         }
-        let tuned = Tuned::new(raw.settings.get(), "settings").map_err(|e| ConfigError(e.to_string()))?;
+        let tuned =
+            ActiveSettings::new(raw.settings.get(), "settings").map_err(|e| ConfigError(e.to_string()))?;
         if let Value::Object(like) = &mut like {
             // What it knew of the list is of no use to a process that runs, and the settings know their own keys.
             like.remove("known");
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -7,10 +7,10 @@
 use maplehook::parts::seldom::Seldom;
 use maplehook::parts::upstream::Place;
 use maplehook::source::{Entry, News, Source, Task};
-use maplehook_core::heritage::Heritage;
-use maplehook_core::{Availability, CellId, FleetScope, KindId, UpstreamId, ZoneId};
+use maplehook_core::LearnedState;
+use maplehook_core::{Availability, CellId, KindId, UpdateScope, UpstreamId, ZoneId};
 use maplehook_hot_restart::{Known, LENGTH_MOST, Learned, Reader, Snapshot};
-use maplehook_platform_settings::Names;
+use maplehook_platform_settings::IdNames;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -42,11 +42,11 @@
 
     fn take(&self, news: &News) {
         let list = &mut *self.list.borrow_mut();
-        if matches!(news.scope, FleetScope::Full | FleetScope::Cached) {
+        if matches!(news.scope, UpdateScope::Full | UpdateScope::Cached) {
             list.clear();
         }
         for entry in &news.entries {
-            if entry.place.availability == Availability::Gone {
+            if entry.place.availability == Availability::Removed {
                 list.remove(&entry.id);
             } else {
                 list.insert(entry.id, entry.clone());
@@ -117,7 +117,7 @@
     }
 
     /// What the process before this one has left, if that can be taken.
-    pub fn take(&self, names: &Names) -> Option<Left> {
+    pub fn take(&self, names: &IdNames) -> Option<Left> {
         let text = match self.read() {
             Ok(text) => text,
             Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
@@ -196,7 +196,7 @@
         written.map(|()| false)
     }
 
-    fn snapshot(&self, remembered: &Remembered, heritage: &Heritage) -> Snapshot {
+    fn snapshot(&self, remembered: &Remembered, heritage: &LearnedState) -> Snapshot {
         let names = remembered.discovery.names();
         let known = |entry: &Entry| Known {
             id: entry.id.0,
@@ -242,11 +242,11 @@
                 boot_ms: known.boot_ms,
             },
         };
-        News { scope: FleetScope::Cached, entries: self.snapshot.upstreams.iter().map(entry).collect() }
+        News { scope: UpdateScope::Cached, entries: self.snapshot.upstreams.iter().map(entry).collect() }
     }
 
     /// What was learned.
-    pub fn heritage(&self, names: &Names) -> Heritage {
+    pub fn heritage(&self, names: &IdNames) -> LearnedState {
         self.snapshot.heritage(self.age, &names.classes, &names.tenants)
     }
 }
--- a/crates/proxy/src/hearsay.rs
+++ b/crates/proxy/src/hearsay.rs
@@ -6,7 +6,7 @@
 use maplehook::source::{Entry, Heard, News, Source, Task};
 use maplehook_cluster::care::{Care, Own, View};
 use maplehook_cluster::words::Claim;
-use maplehook_core::{Availability, FleetScope, UpstreamId};
+use maplehook_core::{Availability, UpdateScope, UpstreamId};
 use maplehook_transport::{Member, Told, unix_ms};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -58,10 +58,10 @@
 
     /// The own source has said something; returns it with the words of others laid over it.
     fn own(&self, news: News) -> News {
-        if news.scope == FleetScope::Failed {
+        if news.scope == UpdateScope::Failed {
             return news;
         }
-        let whole = matches!(news.scope, FleetScope::Full | FleetScope::Cached);
+        let whole = matches!(news.scope, UpdateScope::Full | UpdateScope::Cached);
         {
             let entries = &mut *self.entries.borrow_mut();
             if whole {
@@ -69,7 +69,7 @@
             }
             for entry in &news.entries {
                 match entry.place.availability {
-                    Availability::Gone => entries.remove(&entry.id),
+                    Availability::Removed => entries.remove(&entry.id),
                     _ => entries.insert(entry.id, entry.clone()),
                 };
             }
@@ -78,7 +78,7 @@
             let ready = match entry.place.availability {
                 Availability::Ready => Some(true),
                 Availability::Draining => Some(false),
-                Availability::Gone => None,
+                Availability::Removed => None,
             };
             (entry.id.0, ready.map(|ready| Own { ready, boot_ms: entry.place.boot_ms }))
         });
@@ -163,7 +163,7 @@
             let changes = self.care.borrow_mut().changes();
             let entries = self.changed(&changes);
             if !entries.is_empty() {
-                (tell.borrow_mut())(News { scope: FleetScope::Changes, entries });
+                (tell.borrow_mut())(News { scope: UpdateScope::Changes, entries });
             }
         }
     }
@@ -249,7 +249,8 @@
         let (claims, claimed) = watch::channel(Arc::default());
         let says = Rc::new(Says::default());
         let ready = |id| entry(id, Availability::Ready, 5);
-        let known = News { scope: FleetScope::Cached, entries: vec![ready(1), ready(2), ready(3), ready(4)] };
+        let known =
+            News { scope: UpdateScope::Cached, entries: vec![ready(1), ready(2), ready(3), ready(4)] };
         let source = Hearsay::between(says.clone(), &known, claims, heard, 0.5);
         assert!(claimed.borrow().is_empty(), "nothing drains, and nothing has started lately");
         let seen: RefCell<Vec<News>> = RefCell::default();
@@ -269,13 +270,13 @@
             assert_eq!(last(2), Some((Availability::Ready, 9)), "cold from then on");
             assert_eq!(last(3), None, "what has not changed is not told again");
             // The own source goes on calling it ready: it drains all the same.
-            says.news.borrow_mut().push(News { scope: FleetScope::Full, entries: known.entries.clone() });
+            says.news.borrow_mut().push(News { scope: UpdateScope::Full, entries: known.entries.clone() });
             pause().await;
             assert_eq!(last(1), Some((Availability::Draining, 5)));
             assert!(claimed.borrow().is_empty(), "hearsay is not passed on as if one knew it");
             // It says itself that 3 drains: others are told.
             let own = entry(3, Availability::Draining, 5);
-            says.news.borrow_mut().push(News { scope: FleetScope::Changes, entries: vec![own] });
+            says.news.borrow_mut().push(News { scope: UpdateScope::Changes, entries: vec![own] });
             pause().await;
             assert_eq!(
                 claimed.borrow().iter().map(|c| (c.upstream, c.drained)).collect::<Vec<_>>(),
--- a/crates/proxy/src/requests.rs
+++ b/crates/proxy/src/requests.rs
@@ -15,7 +15,7 @@
 use maplehook_config::Proxy;
 use maplehook_core::TenantId;
 use maplehook_http_semantics::{Fit, Forwarding, Passage, Peer, Rules, Unfit};
-use maplehook_platform_settings::Tuned;
+use maplehook_platform_settings::ActiveSettings;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
 use std::net::IpAddr;
@@ -107,13 +107,13 @@
 }
 
 impl Book {
-    fn platform(tuned: &Tuned, before: Option<&Rules>) -> Self {
+    fn platform(tuned: &ActiveSettings, before: Option<&Rules>) -> Self {
         let classes = tuned.classes().map(|(id, name, class)| (id, name, class.effect, class.deadline));
         let passage = Rc::new(Passage::platform());
         Self {
             rules: Rules::platform(classes, tuned.tenants(), before),
             // By number, those of the vanished among them.
-            passages: vec![passage; tuned.site().settings.classes.len()],
+            passages: vec![passage; tuned.current().settings.classes.len()],
             refused: Networks::default(),
             label: None,
         }
@@ -134,7 +134,7 @@
 
 impl Requests {
     /// A reader of the platform's requests.
-    pub fn platform(tuned: &Tuned, vouching: Vouching, room: Room) -> Self {
+    pub fn platform(tuned: &ActiveSettings, vouching: Vouching, room: Room) -> Self {
         Self {
             book: RefCell::new(Rc::new(Book::platform(tuned, None))),
             refuses: Cell::new(false),
@@ -170,7 +170,7 @@
     }
 
     /// The platform's settings have changed.
-    pub fn retune(&self, tuned: &Tuned) {
+    pub fn retune(&self, tuned: &ActiveSettings) {
         let before = Rc::clone(&self.book.borrow());
         *self.book.borrow_mut() = Rc::new(Book::platform(tuned, Some(&before.rules)));
     }
--- a/crates/proxy/src/retune.rs
+++ b/crates/proxy/src/retune.rs
@@ -7,7 +7,7 @@
 use maplehook::parts::discovery::Discovery;
 use maplehook::parts::driver::Driver;
 use maplehook::tally::Counting;
-use maplehook_platform_settings::Tuned;
+use maplehook_platform_settings::ActiveSettings;
 use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
@@ -43,7 +43,7 @@
     /// How long a process stays after SIGTERM.
     pub grace: Grace,
     /// The same, by settings.
-    pub grace_by: fn(&Tuned) -> Duration,
+    pub grace_by: fn(&ActiveSettings) -> Duration,
 }
 
 impl Retuner {
@@ -73,9 +73,9 @@
     }
 
     /// The decisions come first: no request may come by a class or tenant that they do not know.
-    fn retune(&self, tuned: &Tuned, driver: &Rc<Driver>, counting: &Counting) {
-        let site = tuned.site();
-        driver.retune(site.settings.clone(), tuned.gone_tenants());
+    fn retune(&self, tuned: &ActiveSettings, driver: &Rc<Driver>, counting: &Counting) {
+        let site = tuned.current();
+        driver.retune(site.settings.clone(), tuned.removed_tenants());
         counting.name(&site.names.classes);
         let guarantees: Vec<f64> = site.settings.tenants.iter().map(|t| t.allowance_per_s).collect();
         self.entrance.guarantee(&guarantees);
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -118,7 +118,7 @@
         (Some(member), Some(tier)) => Hearsay::new(source, &known, member, tier.drains_most),
         _ => source,
     };
-    let pushed = !plan.settings.ask_for_fleet;
+    let pushed = !plan.settings.has_endpoint_discovery;
     let address = listener.local_addr()?;
     tracing::info!(
         listen = %address,
--- a/crates/proxy/src/serve/file.rs
+++ b/crates/proxy/src/serve/file.rs
@@ -14,7 +14,7 @@
 use maplehook::parts::room::Room;
 use maplehook::source::{Fixed, News, Source};
 use maplehook_config::{CutOff, Operator};
-use maplehook_core::FleetScope;
+use maplehook_core::UpdateScope;
 use maplehook_eureka::{self as eureka, Eureka, Registrar, Registration};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -77,7 +77,7 @@
         parts.entrance.know(proxy.clients.known.clone());
         parts.board.refuses.store(refuses, Ordering::Release);
         let lists = Rc::new(Lists::new(Fixed::listed(proxy.listed(|zone| zone)).into_entries()));
-        let known = News { scope: FleetScope::Cached, ..lists.news() };
+        let known = News { scope: UpdateScope::Cached, ..lists.news() };
         let (source, registrar) = match &proxy.eureka {
             None => (Rc::clone(&lists) as Rc<dyn Source>, None),
             Some(file) => {
--- a/crates/proxy/src/serve/platform.rs
+++ b/crates/proxy/src/serve/platform.rs
@@ -14,7 +14,7 @@
 use maplehook::source::Source;
 use maplehook_config::Operator;
 use maplehook_http_semantics::{Forwarding, SENDER_IDLE};
-use maplehook_platform_settings::Tuned;
+use maplehook_platform_settings::ActiveSettings;
 use std::cell::Cell;
 use std::error::Error;
 use std::rc::Rc;
@@ -36,14 +36,14 @@
     if operator.tier.take().is_some() {
         tracing::warn!("[tier] has no effect on the platform, which says who speaks to whom");
     }
-    let settings = config.tuned.site().settings.clone();
+    let settings = config.tuned.current().settings.clone();
     let plan = Plan {
         listen: config.listen,
         inherited,
         supervised: None,
         control: config.operator,
         control_told: "control",
-        classes: config.tuned.site().names.classes.clone(),
+        classes: config.tuned.current().names.classes.clone(),
         seed: config.seed,
         sockets: config.limits.sockets,
         room: Room::new(config.long_answers()),
@@ -57,16 +57,16 @@
         told,
     };
     block_on(async move {
-        let vouching = vouching(&plan.operator, &config.tuned.site().names.tenants)?;
+        let vouching = vouching(&plan.operator, &config.tuned.current().names.tenants)?;
         let hangup = signal(SignalKind::hangup())?;
         let mut plan = plan;
         let parts = Parts::new(&mut plan, None)?;
         let discovery = Rc::new(Discovery::new(
             config.discovery,
-            config.tuned.site().names.clone(),
+            config.tuned.current().names.clone(),
             Rc::clone(&parts.descriptors),
         ));
-        if !plan.settings.ask_for_fleet {
+        if !plan.settings.has_endpoint_discovery {
             discovery.wait_for(Patience::AGENT);
         }
         let mut known = discovery.known(&config.known);
@@ -109,7 +109,7 @@
 }
 
 /// From SIGTERM until the end.
-fn platform_grace(tuned: &Tuned) -> Duration {
+fn platform_grace(tuned: &ActiveSettings) -> Duration {
     let longest = tuned.classes().map(|(_, _, class)| class.deadline).max().unwrap_or_default();
     longest.min(KILL_DEADLINE_MOST) + KILL_AFTER_DEADLINE
 }
--- a/crates/proxy/src/versions.rs
+++ b/crates/proxy/src/versions.rs
@@ -170,7 +170,7 @@
         self.places.tell(proxy, &numbered);
         let guarantees: Vec<f64> = numbered.settings.tenants.iter().map(|t| t.allowance_per_s).collect();
         if let Some(part) = &self.stages {
-            part.counts.aim(numbered.settings.classes.iter().map(|class| class.aim).collect());
+            part.counts.aim(numbered.settings.classes.iter().map(|class| class.latency_objective).collect());
         }
         let entries = Fixed::listed(proxy.listed(|zone| numbered.zone(zone))).into_entries();
         driver.retune(supervised::halved(numbered.settings, self.two), numbered.gone);
--- a/crates/rollout-agent/src/parts.rs
+++ b/crates/rollout-agent/src/parts.rs
@@ -13,7 +13,7 @@
     let mut staged = strictest(other, own);
     // Of these the reading of both has the lesser; they say how well, and never contradict.
     for (class, own) in staged.settings.classes.iter_mut().zip(&own.settings.classes) {
-        (class.deadline, class.aim) = (own.deadline, own.aim);
+        (class.deadline, class.latency_objective) = (own.deadline, own.latency_objective);
     }
     for route in &mut staged.routes {
         if let Some(class) = staged.settings.classes.get(usize::from(route.class.0)) {
@@ -82,8 +82,12 @@
                         ms(class.deadline)
                     ));
                 }
-                if before.aim != class.aim {
-                    found.push(format!("class {name}: aim {} to {} ms", ms(before.aim), ms(class.aim)));
+                if before.latency_objective != class.latency_objective {
+                    found.push(format!(
+                        "class {name}: aim {} to {} ms",
+                        ms(before.latency_objective),
+                        ms(class.latency_objective)
+                    ));
                 }
             }
         }
--- a/crates/versions/src/strict.rs
+++ b/crates/versions/src/strict.rs
@@ -105,7 +105,8 @@
         if let Some((_, before, passage)) = before {
             class.effect = class.effect.stricter(before.effect);
             class.deadline = class.deadline.min(before.deadline);
-            class.aim = class.aim.min(before.aim).min(class.deadline);
+            class.latency_objective =
+                class.latency_objective.min(before.latency_objective).min(class.deadline);
             let meaning = &mut strict.passages[k].meaning;
             if meaning.marker != passage.meaning.marker {
                 // Nothing is taken for a proof that only one of them takes for it.
--- a/tools/simulator-adapter/src/main.rs
+++ b/tools/simulator-adapter/src/main.rs
@@ -1,134 +1,108 @@
-//! `maplehook-simulator-adapter`: hosts many [`Balancer`]s and speaks the simulator's wire on standard input and output.
+//! `maplehook-simulator-adapter`: hosts many [`Balancer`](maplehook_core::Balancer)s and speaks the simulator's wire
+//! on standard input and output.
 //!
-//! It only translates; every decision is the library's. Anything malformed ends it with one line on
-//! standard error and exit code 1, and with no part of a reply written.
+//! It only translates; every decision is the library's. A malformed batch ends it with one line on standard
+//! error and exit code 1, and with no part of a reply written.
 
+#![deny(
+    missing_docs,
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::result_large_err
+)]
+#![cfg_attr(not(test), deny(clippy::unwrap_used))]
+
+mod host;
 mod wire;
 
-use maplehook_core::{Action, Balancer, Event, FleetScope, Listed};
-use std::collections::HashMap;
+use host::Host;
+use std::fmt;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
-use std::time::Duration;
-use wire::{Located, Record, WireError};
+use wire::WireError;
 
 /// Frames longer than this are taken for garbage.
-const LONGEST_FRAME: usize = 1 << 30;
+const MAX_FRAME_BYTES: usize = 1 << 30;
+/// The bytes of the shortest batch, which holds the clock alone.
+const MIN_FRAME_BYTES: usize = 8;
 
-#[derive(Default)]
-struct Host {
-    instances: HashMap<u32, Balancer>,
-    lists: HashMap<u32, Vec<Listed>>,
-    actions: Vec<Action>,
-    /// What the instances of this batch want done, in order.
-    pending: Vec<(u32, Action)>,
+/// Why the adapter ends before its input does.
+#[derive(Debug)]
+enum AdapterError {
+    /// Standard input or output failed.
+    Io(io::Error),
+    /// The input ended inside a frame.
+    CutShort { read: usize, expected: usize },
+    /// A frame states a length that no batch has.
+    InvalidLength(usize),
+    /// A batch is malformed.
+    Wire(WireError),
 }
 
-impl Host {
-    /// Plays one record into the instance it is for and keeps its actions for the reply.
-    fn play(&mut self, now: Duration, located: Located) -> Result<(), WireError> {
-        let Located { at, instance, record } = located;
-        let wrong = |what: String| WireError { at, what };
-        let event = match &record {
-            Record::Directory { .. } => {
-                if let Record::Directory { list, listed } = record {
-                    self.lists.insert(list, listed);
-                }
-                return Ok(());
-            }
-            Record::PowerOn { seed, settings } => {
-                let settings = maplehook_platform_settings::parse(settings).map_err(wrong)?.settings;
-                let balancer = Balancer::new(settings, *seed).map_err(|e| wrong(e.to_string()))?;
-                self.instances.insert(instance, balancer);
-                self.pending.retain(|(owner, _)| *owner != instance);
-                return Ok(());
-            }
-            Record::Detach => {
-                self.instances.remove(&instance);
-                // A death and a rebirth may share a batch: what the dead one wanted must not reach the new one.
-                self.pending.retain(|(owner, _)| *owner != instance);
-                return Ok(());
-            }
-            Record::Peer if self.instances.contains_key(&instance) => return Ok(()),
-            Record::Peer => return Err(wrong(format!("instance {instance} was never started"))),
-            Record::Fleet { scope: FleetScope::Failed, .. } => {
-                Event::Fleet { scope: FleetScope::Failed, listed: &[] }
+impl fmt::Display for AdapterError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Io(error) => error.fmt(f),
+            Self::CutShort { read, expected } => {
+                write!(f, "frame cut short at byte {read}: {expected} expected")
             }
-            Record::Fleet { scope, list } => {
-                let listed = self.lists.get(list);
-                let listed = listed.ok_or_else(|| wrong(format!("no list has number {list}")))?;
-                Event::Fleet { scope: *scope, listed }
-            }
-            Record::Request { id, class, tenant, left, work, repeat } => Event::Request {
-                id: *id,
-                class: *class,
-                tenant: *tenant,
-                time_left: *left,
-                work_ms: *work,
-                repeat: *repeat,
-            },
-            Record::Started { id, attempt, latency } => {
-                Event::StreamStarted { id: *id, attempt: *attempt, latency: Some(*latency) }
-            }
-            Record::Ended { id, attempt, finished, end } => Event::AttemptEnded {
-                id: *id,
-                attempt: *attempt,
-                upstream: end.upstream,
-                outcome: end.outcome,
-                latency: end.latency,
-                finished: *finished,
-                report: &end.report,
-            },
-            Record::Probed { end } => Event::ProbeEnded {
-                upstream: end.upstream,
-                outcome: end.outcome,
-                latency: end.latency,
-                report: &end.report,
-            },
-            Record::Gone { id } => Event::RequestGone { id: *id },
-            Record::Timer { timer } => Event::Timer { timer: *timer },
-        };
-        let balancer = self.instances.get_mut(&instance);
-        let balancer = balancer.ok_or_else(|| wrong(format!("instance {instance} was never started")))?;
-        self.actions.clear();
-        balancer.handle(now, event, &mut self.actions);
-        self.pending.extend(self.actions.drain(..).map(|action| (instance, action)));
-        Ok(())
+            Self::InvalidLength(length) => write!(f, "byte 0: length {length} fits no batch"),
+            Self::Wire(error) => error.fmt(f),
+        }
     }
 }
 
-/// Reads one frame; `false` at the end of input between frames.
-fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, String> {
+impl std::error::Error for AdapterError {}
+
+impl From<io::Error> for AdapterError {
+    fn from(error: io::Error) -> Self {
+        Self::Io(error)
+    }
+}
+
+impl From<WireError> for AdapterError {
+    fn from(error: WireError) -> Self {
+        Self::Wire(error)
+    }
+}
+
+/// Reads one frame. Returns `false` at the end of the input between frames.
+fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, AdapterError> {
     frame.clear();
-    let cut = |got: usize, want: usize| format!("frame cut short at byte {got}: {want} expected");
-    let got = input.by_ref().take(4).read_to_end(frame).map_err(|e| e.to_string())?;
-    if got == 0 {
+    let read = input.by_ref().take(4).read_to_end(frame)?;
+    if read == 0 {
         return Ok(false);
     }
-    let Ok(head) = <[u8; 4]>::try_from(&frame[..]) else { return Err(cut(got, 4)) };
+    let head = <[u8; 4]>::try_from(&frame[..]).map_err(|_| AdapterError::CutShort { read, expected: 4 })?;
     let length = u32::from_be_bytes(head) as usize;
-    if !(8..=LONGEST_FRAME).contains(&length) {
-        return Err(format!("byte 0: length {length} fits no batch"));
+    if !(MIN_FRAME_BYTES..=MAX_FRAME_BYTES).contains(&length) {
+        return Err(AdapterError::InvalidLength(length));
+    }
+    input.by_ref().take(length as u64).read_to_end(frame)?;
+    let expected = length + 4;
+    if frame.len() < expected {
+        return Err(AdapterError::CutShort { read: frame.len(), expected });
     }
-    input.by_ref().take(length as u64).read_to_end(frame).map_err(|e| e.to_string())?;
-    if frame.len() < length + 4 { Err(cut(frame.len(), length + 4)) } else { Ok(true) }
+    Ok(true)
 }
 
-fn run() -> Result<(), String> {
+/// Answers each batch of the input with one reply.
+fn run() -> Result<(), AdapterError> {
     let (mut input, mut output) = (io::stdin().lock(), io::stdout().lock());
     let (mut frame, mut reply, mut host) = (Vec::new(), Vec::new(), Host::default());
     while read_frame(&mut input, &mut frame)? {
-        let described = |e: WireError| format!("byte {}: {}", e.at, e.what);
-        let (now, records) = wire::decode(&frame).map_err(described)?;
-        wire::begin(&mut reply);
-        for located in records {
-            host.play(now, located).map_err(described)?;
+        let (now, records) = wire::decode(&frame)?;
+        for record in records {
+            host.handle(now, record)?;
         }
-        for (instance, action) in host.pending.drain(..) {
-            wire::encode(&mut reply, instance, &action);
+        wire::begin_reply(&mut reply);
+        for (instance, action) in host.take_actions() {
+            wire::encode_action(&mut reply, instance, &action);
         }
-        wire::finish(&mut reply);
-        output.write_all(&reply).and_then(|()| output.flush()).map_err(|e| e.to_string())?;
+        wire::finish_reply(&mut reply);
+        output.write_all(&reply)?;
+        output.flush()?;
     }
     Ok(())
 }
@@ -136,8 +110,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("maplehook-simulator-adapter: {what}");
+        Err(error) => {
+            eprintln!("maplehook-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/tools/simulator/src/calibrate.rs
+++ b/tools/simulator/src/calibrate.rs
@@ -26,7 +26,7 @@
     let stations = vec![Figures::new(1, 64, Time::Exponential(Duration::from_millis(10))); upstreams];
     let rate = 70.0 * upstreams as f64;
     let class = Class {
-        aim: Duration::from_millis(500),
+        latency_objective: Duration::from_millis(500),
         deadline: Duration::from_secs(2),
         effect: Effect::Idempotent,
         ..Class::default()
@@ -75,7 +75,7 @@
             }
             Effect::AtMostOnce => "at_most_once",
         };
-        let (aim, deadline) = (class.aim.as_millis(), class.deadline.as_millis());
+        let (aim, deadline) = (class.latency_objective.as_millis(), class.deadline.as_millis());
         let _ = writeln!(
             text,
             "[[class]]\nname = \"{name}\"\npath = \"/{name}\"\neffect = \"{effect}\"\naim_ms = {aim}\ndeadline_ms = {deadline}"
--- a/tools/simulator/src/file/world.rs
+++ b/tools/simulator/src/file/world.rs
@@ -174,7 +174,13 @@
         }
         let worth = table.number("worth", 0.0, 1e6).unwrap_or(1.0);
         world.shares.push(table.number("share", 0.0, 1e9).unwrap_or(1.0));
-        world.classes.push(Class { aim, deadline, worth, effect, ..Class::default() });
+        world.classes.push(Class {
+            latency_objective: aim,
+            deadline,
+            value: worth,
+            effect,
+            ..Class::default()
+        });
         table.done();
     }
     names
--- a/tools/simulator/src/load.rs
+++ b/tools/simulator/src/load.rs
@@ -215,7 +215,7 @@
             if status.is_success() {
                 counts.latency.saturating_record((now - intended).as_micros() as u64);
                 counts.sent.saturating_record((now - sent).as_micros() as u64);
-                counts.in_time += u64::from(now - intended <= class.aim);
+                counts.in_time += u64::from(now - intended <= class.latency_objective);
             }
         }
         Ok(Err(_)) => counts.broken += 1,
--- a/tools/simulator/src/rules/decisions.rs
+++ b/tools/simulator/src/rules/decisions.rs
@@ -3,8 +3,8 @@
 
 use super::Game;
 use maplehook_core::{
-    Action, AttemptNo, Availability, Balancer, CellId, Class, ClassId, DedupGroup, Effect, Event, FleetScope,
-    KindId, Listed, Outcome, RequestId, Settings, Tenant, TenantId, TimerId, UpstreamId, ZoneId,
+    Action, AttemptNo, Availability, Balancer, CellId, Class, ClassId, DedupGroup, Effect, Endpoint, Event,
+    KindId, Outcome, RequestId, Settings, Tenant, TenantId, TimerId, UpdateScope, UpstreamId, ZoneId,
 };
 use std::time::Duration;
 
@@ -85,7 +85,7 @@
 impl Small {
     /// A balancer that knows both upstreams and has just been given a request.
     pub fn new(effect: Effect, flaw: Option<Flaw>) -> Self {
-        let class = Class { aim: DEADLINE, deadline: DEADLINE, effect, ..Class::default() };
+        let class = Class { latency_objective: DEADLINE, deadline: DEADLINE, effect, ..Class::default() };
         let settings = Settings {
             classes: vec![class],
             tenants: vec![Tenant { allowance_per_s: 1000.0 }],
@@ -105,9 +105,9 @@
             ready: [true; UPSTREAMS as usize],
             told: 0,
         };
-        let listed: Vec<Listed> = (0..UPSTREAMS).map(|n| entry(n, Availability::Ready)).collect();
+        let listed: Vec<Endpoint> = (0..UPSTREAMS).map(|n| entry(n, Availability::Ready)).collect();
         // Nothing has been asked yet: no rule can be broken by this.
-        let _ = this.tell(Event::Fleet { scope: FleetScope::Cached, listed: &listed });
+        let _ = this.tell(Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &listed });
         let (class, tenant) = (ClassId(0), TenantId(0));
         let event =
             Event::Request { id: ID, class, tenant, time_left: DEADLINE, work_ms: None, repeat: false };
@@ -152,7 +152,7 @@
     fn carry_out(&mut self, action: Action) -> Result<(), String> {
         match action {
             Action::Attempt { upstream, timeout, .. } => self.attempt(upstream.0, timeout),
-            Action::Refuse { .. } => {
+            Action::Reject { .. } => {
                 self.answer()?;
                 let may = self.attempts.iter().any(|a| a.may_have_run || a.out);
                 if may && self.effect != Effect::Idempotent {
@@ -286,12 +286,15 @@
         if self.flaw == Some(Flaw::DeafToDrains) && !ready {
             return Ok(());
         }
-        self.tell(Event::Fleet { scope: FleetScope::Changes, listed: &[entry(upstream, availability)] })
+        self.tell(Event::EndpointUpdate {
+            scope: UpdateScope::Changes,
+            endpoints: &[entry(upstream, availability)],
+        })
     }
 }
 
-fn entry(n: u64, availability: Availability) -> Listed {
-    Listed {
+fn entry(n: u64, availability: Availability) -> Endpoint {
+    Endpoint {
         id: UpstreamId(n),
         zone: ZoneId(n as u8),
         kind: KindId(0),
@@ -324,7 +327,7 @@
             Move::Back(n) => self.list(n, true),
             Move::Leaves => {
                 self.gone = true;
-                self.tell(Event::RequestGone { id: ID })
+                self.tell(Event::RequestCancelled { id: ID })
             }
             Move::Time => self.time(),
         }
--- a/tools/simulator/src/tier.rs
+++ b/tools/simulator/src/tier.rs
@@ -4,7 +4,9 @@
 use crate::policies::Maker;
 use crate::trouble::Change;
 use crate::world::World;
-use maplehook_core::{Action, Availability, CellId, Event, FleetScope, KindId, Listed, UpstreamId, ZoneId};
+use maplehook_core::{
+    Action, Availability, CellId, Endpoint, Event, KindId, UpdateScope, UpstreamId, ZoneId,
+};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
@@ -95,11 +97,11 @@
 }
 
 impl Play<'_> {
-    fn listed(&self, balancer: usize, upstream: usize, availability: Availability) -> Listed {
+    fn listed(&self, balancer: usize, upstream: usize, availability: Availability) -> Endpoint {
         let (station, member) = (&self.stations[upstream], &self.members[balancer]);
         // A start that was long ago is not told, as lists have it.
         let started = self.halls[upstream].started;
-        Listed {
+        Endpoint {
             id: UpstreamId(upstream as u64),
             zone: ZoneId(station.zone),
             kind: KindId(station.kind),
@@ -111,23 +113,23 @@
     }
 
     /// The list as a balancer has heard it.
-    fn its_list(&self, balancer: usize) -> Vec<Listed> {
+    fn its_list(&self, balancer: usize) -> Vec<Endpoint> {
         let heard = &self.state.changes[..self.members[balancer].heard];
         let mut last: Vec<Availability> = vec![Availability::Ready; self.world.stations.len()];
         for change in heard {
             if last.len() <= change.upstream {
-                last.resize(change.upstream + 1, Availability::Gone);
+                last.resize(change.upstream + 1, Availability::Removed);
             }
             last[change.upstream] = change.availability;
         }
-        let there = last.iter().enumerate().filter(|(_, a)| **a != Availability::Gone);
+        let there = last.iter().enumerate().filter(|(_, a)| **a != Availability::Removed);
         there.map(|(n, a)| self.listed(balancer, n, *a)).collect()
     }
 
     /// A balancer starts with the list that it knew last.
     pub(crate) fn tell_cached(&mut self, balancer: usize) {
         let listed = self.its_list(balancer);
-        self.tell(balancer, Event::Fleet { scope: FleetScope::Cached, listed: &listed });
+        self.tell(balancer, Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &listed });
     }
 
     /// A change is on its way to all balancers.
@@ -151,14 +153,14 @@
         }
         let from = std::mem::replace(&mut self.members[balancer].heard, upto);
         let changes = self.state.changes[from..upto].to_vec();
-        let mut listed: Vec<Listed> = Vec::new();
+        let mut listed: Vec<Endpoint> = Vec::new();
         for change in &changes {
             self.members[balancer].hear(now, change);
             // The last word on each.
             listed.retain(|l| l.id.0 != change.upstream as u64);
             listed.push(self.listed(balancer, change.upstream, change.availability));
         }
-        self.tell(balancer, Event::Fleet { scope: FleetScope::Changes, listed: &listed });
+        self.tell(balancer, Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &listed });
     }
 
     /// A whole list comes: all that there is, or none at all.
@@ -167,7 +169,7 @@
             return;
         }
         if empty {
-            self.tell(balancer, Event::Fleet { scope: FleetScope::Full, listed: &[] });
+            self.tell(balancer, Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &[] });
             return;
         }
         let now = self.agenda.now();
@@ -176,7 +178,7 @@
             self.members[balancer].hear(now, change);
         }
         let listed = self.its_list(balancer);
-        self.tell(balancer, Event::Fleet { scope: FleetScope::Full, listed: &listed });
+        self.tell(balancer, Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &listed });
     }
 
     /// A balancer dies with all that it holds.
--- a/tools/simulator/src/trouble.rs
+++ b/tools/simulator/src/trouble.rs
@@ -125,7 +125,7 @@
                 let what = What::Leaves { upstream: n as u32, successor };
                 self.agenda.after(self.world.discovery.grace, what);
             }
-            Harm::Flap => self.change(n, Availability::Gone),
+            Harm::Flap => self.change(n, Availability::Removed),
             _ => {}
         }
     }
@@ -189,7 +189,7 @@
         }
         // What was out on its way meets a closed port, or nothing.
         self.report.note(now, n as u64 | 1 << 56);
-        self.change(n, Availability::Gone);
+        self.change(n, Availability::Removed);
     }
 
     /// A process starts again, cold.
--- a/tools/simulator/src/world.rs
+++ b/tools/simulator/src/world.rs
@@ -171,7 +171,7 @@
             return f64::INFINITY;
         }
         let worth: f64 =
-            self.classes.iter().zip(&self.shares).map(|(class, share)| class.worth * share).sum();
+            self.classes.iter().zip(&self.shares).map(|(class, share)| class.value * share).sum();
         let mean = worth / self.shares.iter().sum::<f64>().max(1e-9);
         let counted = (self.lasts - self.settles).as_secs_f64();
         self.allowance / f64::from(self.tenants.max(1)) * mean * counted
@@ -192,12 +192,12 @@
             zone: ZoneId(self.zone_of(balancer)),
             classes: self.classes.clone(),
             tenants: (0..self.tenants).map(|_| Tenant { allowance_per_s: part }).collect(),
-            cold_from: cold.map_or(1.0, |c| c.from),
-            cold_time: cold.map_or(Duration::ZERO, |c| c.over),
-            fall_multiple: cold.map_or(3.0, |c| c.multiple),
-            fall_time: cold.map_or(Duration::from_secs(1), |c| c.within),
+            slow_start_min_share: cold.map_or(1.0, |c| c.from),
+            slow_start_window: cold.map_or(Duration::ZERO, |c| c.over),
+            overload_multiple: cold.map_or(3.0, |c| c.multiple),
+            overload_window: cold.map_or(Duration::from_secs(1), |c| c.within),
             hedging: false,
-            conn_idle: self.network.connections.map_or(Duration::from_secs(60), |c| c.idle),
+            connection_idle_timeout: self.network.connections.map_or(Duration::from_secs(60), |c| c.idle),
             ..Settings::default()
         }
     }
