--- a/crates/config-follower/src/lib.rs
+++ b/crates/config-follower/src/lib.rs
@@ -9,11 +9,11 @@
 use maplehook::source::Fixed;
 use maplehook::{AdoptError, Engine, Handle, Lease, StartError, Version};
 use maplehook_config::{Faults, Proxy};
-use maplehook_consensus::{Acting, Agreeing, Mode, Wishes};
+use maplehook_consensus::{ActiveVersion, AdminClient, ConsensusService, EnforcementMode};
 use maplehook_http_semantics::Rules;
 use maplehook_transport::Member;
-use maplehook_versions::numbers::Numbers;
-use maplehook_versions::strict::careful;
+use maplehook_versions::compatibility::conservative;
+use maplehook_versions::stable_ids::StableIds;
 use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -64,7 +64,7 @@
     /// The version, as balancers tell it in `X-Maplehook-Version`.
     pub label: String,
     /// How it is read.
-    pub mode: Mode,
+    pub mode: EnforcementMode,
     /// How heads are read: their classes and tenants are the engine's numbers.
     pub rules: Rules,
 }
@@ -74,11 +74,11 @@
     /// Where other balancers reach it.
     pub tier_address: SocketAddr,
     followed: watch::Receiver<Arc<Followed>>,
-    wishes: Wishes,
+    wishes: AdminClient,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
     /// Last, so that the others hear that it goes once nothing is acted on any more.
-    _parts: (Agreeing, Member),
+    _parts: (ConsensusService, Member),
 }
 
 impl Follower {
@@ -93,7 +93,7 @@
     }
 
     /// By which it can be asked how the versions stand, and be told wishes.
-    pub fn wishes(&self) -> Wishes {
+    pub fn wishes(&self) -> AdminClient {
         self.wishes.clone()
     }
 }
@@ -115,9 +115,9 @@
     let tier = operator.tier.ok_or(FollowError::Lacks("[tier]"))?;
     let agreement = tier.agreement.clone().ok_or(FollowError::Lacks("[agreement]"))?;
     // Until it is known what the others act on.
-    let begins = careful(&proxy);
-    let mut numbers = Numbers::default();
-    let numbered = numbers.take(&begins);
+    let begins = conservative(&proxy);
+    let mut numbers = StableIds::default();
+    let numbered = numbers.assign(&begins);
     let fixed = Fixed::listed(begins.listed(|zone| zone));
     let lists = Lists::new(fixed.clone().into_entries());
     let listed = lists.clone();
@@ -135,11 +135,16 @@
     let agreeing = maplehook_consensus::agree(&tier, &agreement, file.to_owned(), &mut member);
     let mut agreeing = agreeing.map_err(FollowError::Tier)?;
     // It makes no common document, and acts by none.
-    agreeing.places = None;
-    let first = Followed { epoch: 0, label: "0;careful".into(), mode: Mode::Careful, rules: numbered.rules };
+    agreeing.failover = None;
+    let first = Followed {
+        epoch: 0,
+        label: "0;careful".into(),
+        mode: EnforcementMode::Conservative,
+        rules: numbered.rules,
+    };
     let (tell, followed) = watch::channel(Arc::new(first));
     let follows = Follows { handle: engine.handle(), numbers, lists, tell };
-    let (acting, applied) = (agreeing.acting.clone(), agreeing.applied.clone());
+    let (acting, applied) = (agreeing.active_version.clone(), agreeing.applied_epoch.clone());
     let (stop, stopped) = oneshot::channel();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| FollowError::Tier(e.to_string()))?;
@@ -150,7 +155,7 @@
     let follower = Follower {
         tier_address: member.address,
         followed,
-        wishes: agreeing.wishes(),
+        wishes: agreeing.admin_client(),
         stop: Some(stop),
         thread: Some(thread),
         _parts: (agreeing, member),
@@ -159,13 +164,13 @@
 }
 
 /// Until when attempts may be written by what is acted on, which is looked at when they are.
-pub fn lease(acting: &Acting, mode: Mode, now: Instant) -> Lease {
-    match (mode, acting.until) {
-        (Mode::Rules, Some(until)) => {
-            Lease::Until { until: until.into(), first_too: acting.careful.is_none() }
+pub fn lease(acting: &ActiveVersion, mode: EnforcementMode, now: Instant) -> Lease {
+    match (mode, acting.lease_end) {
+        (EnforcementMode::Current, Some(until)) => {
+            Lease::Until { until: until.into(), first_too: acting.conservative_rules.is_none() }
         }
         // Whoever is to refuse writes nothing, of what it holds neither.
-        (Mode::Refuses, _) => Lease::Until { until: now.into(), first_too: true },
+        (EnforcementMode::RejectAll, _) => Lease::Until { until: now.into(), first_too: true },
         _ => Lease::Free,
     }
 }
@@ -173,7 +178,7 @@
 /// Has an engine follow.
 struct Follows {
     handle: Handle,
-    numbers: Numbers,
+    numbers: StableIds,
     lists: Lists,
     tell: watch::Sender<Arc<Followed>>,
 }
@@ -181,11 +186,11 @@
 impl Follows {
     async fn run(
         mut self,
-        mut acting: watch::Receiver<Acting>,
+        mut acting: watch::Receiver<ActiveVersion>,
         applied: watch::Sender<u64>,
         mut stopped: oneshot::Receiver<()>,
     ) {
-        let mut present: Option<(u64, Mode)> = None;
+        let mut present: Option<(u64, EnforcementMode)> = None;
         loop {
             let now = Instant::now();
             let wanted = acting.borrow_and_update().clone();
@@ -201,7 +206,7 @@
                 // Only now do the others hear that this step is acted on.
                 applied.send_replace(wanted.epoch);
             }
-            let until = wanted.until.filter(|_| mode == Mode::Rules);
+            let until = wanted.lease_end.filter(|_| mode == EnforcementMode::Current);
             tokio::select! {
                 _ = &mut stopped => return,
                 changed = acting.changed() => {
@@ -214,23 +219,28 @@
         }
     }
 
-    async fn adopt(&mut self, wanted: &Acting, mode: Mode, lease: Lease) -> Result<(), AdoptError> {
-        let proxy: &Proxy = wanted.of(mode);
-        let numbered = self.numbers.take(proxy);
-        let list = Fixed::listed(proxy.listed(|zone| numbered.zone(zone))).into_entries();
+    async fn adopt(
+        &mut self,
+        wanted: &ActiveVersion,
+        mode: EnforcementMode,
+        lease: Lease,
+    ) -> Result<(), AdoptError> {
+        let proxy: &Proxy = wanted.rules_for(mode);
+        let numbered = self.numbers.assign(proxy);
+        let list = Fixed::listed(proxy.listed(|zone| numbered.zone_id(zone))).into_entries();
         let version = Version {
             settings: numbered.settings,
-            gone: numbered.gone,
+            gone: numbered.removed_tenants,
             passages: numbered.passages,
             lease,
             list: Some((self.lists.clone(), list)),
         };
         let adopted = self.handle.adopt(version).await;
         match &adopted {
-            Ok(()) => tracing::info!(version = wanted.told(mode), "in force here"),
-            Err(e) => tracing::warn!(version = wanted.told(mode), "not taken over: {e}"),
+            Ok(()) => tracing::info!(version = wanted.label_for(mode), "in force here"),
+            Err(e) => tracing::warn!(version = wanted.label_for(mode), "not taken over: {e}"),
         }
-        let (epoch, label, rules) = (wanted.epoch, wanted.told(mode), numbered.rules);
+        let (epoch, label, rules) = (wanted.epoch, wanted.label_for(mode), numbered.rules);
         self.tell.send_replace(Arc::new(Followed { epoch, label, mode, rules }));
         adopted
     }
@@ -247,13 +257,13 @@
         let rules = Arc::new(maplehook_config::parse(file).unwrap().proxy.unwrap());
         let now = Instant::now();
         let until = now + Duration::from_secs(2);
-        let acting = |careful: bool| Acting {
+        let acting = |careful: bool| ActiveVersion {
             epoch: 1,
             label: "1".into(),
             rules: Arc::clone(&rules),
-            until: Some(until),
-            careful: careful.then(|| Arc::clone(&rules)),
-            cut_off: false,
+            lease_end: Some(until),
+            conservative_rules: careful.then(|| Arc::clone(&rules)),
+            lacks_lease: false,
         };
         let after = until + Duration::from_millis(1);
         let (careful, refuses) = (acting(true), acting(false));
--- a/crates/consensus/src/join.rs
+++ b/crates/consensus/src/join.rs
@@ -1,10 +1,10 @@
 //! From what a file says to a part in a tier, and in what it agrees on.
 
-use crate::agreeing::{Agreeing, Setup};
+use crate::service::{ConsensusConfig, ConsensusService};
 use maplehook_cluster::Program;
 use maplehook_config::{Agreement, Tier};
 use maplehook_transport::{Member, Part, Secret};
-use maplehook_versions::grants::{CutOff, Times};
+use maplehook_versions::lease_manager::{LeaseExpiryPolicy, LeaseTimes};
 
 /// Begins to agree with the others, over what a member has to say; `file` is the balancer's own.
 pub fn agree(
@@ -12,24 +12,24 @@
     agreement: &Agreement,
     file: String,
     member: &mut Member,
-) -> Result<Agreeing, String> {
+) -> Result<ConsensusService, String> {
     let talk = member.talk.take().ok_or("the tier's thread talks to somebody else")?;
-    let times = Times::new(agreement.contradiction).ok_or("agreement.contradiction_ms can't be kept")?;
+    let times = LeaseTimes::new(agreement.contradiction).ok_or("agreement.contradiction_ms can't be kept")?;
     let members = tier.peers.keys().chain([&tier.name]).cloned().collect();
-    let setup = Setup {
-        own: tier.name.clone(),
+    let setup = ConsensusConfig {
+        local_name: tier.name.clone(),
         voters: agreement.voters.clone(),
         members,
-        times,
-        cut_off: match agreement.when_cut_off {
-            maplehook_config::CutOff::Careful => CutOff::Careful,
-            maplehook_config::CutOff::Refuse => CutOff::Refuse,
-            maplehook_config::CutOff::WaitForAll => CutOff::WaitForAll,
+        lease_times: times,
+        expiry_policy: match agreement.when_cut_off {
+            maplehook_config::CutOff::Careful => LeaseExpiryPolicy::Conservative,
+            maplehook_config::CutOff::Refuse => LeaseExpiryPolicy::Reject,
+            maplehook_config::CutOff::WaitForAll => LeaseExpiryPolicy::WaitForAll,
         },
         directory: tier.state.as_ref().map(|state| state.join("agreement")),
         file,
     };
-    Agreeing::start_when(setup, talk, member.here.clone())
+    ConsensusService::start_when(setup, talk, member.here.clone())
 }
 
 /// Begins to take part in a tier, as a file says; `program` is the version of the program.
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -1,10 +1,10 @@
 //! What a leader does: the first version, the next step, and what operators want.
 
-use crate::run::{CHECK, Part, Reading, Runner, Seating, WISH, WISHES_MOST, Wisher};
-use crate::talk::{Op, Overview, Reply, Say, Stands};
+use crate::messages::{AdminReply, AdminRequest, ClusterStatus, MemberStatus, PeerMessage};
+use crate::runner::{CHECK, PendingRead, Requester, Runner, VoterReplacement, VoterRole, WISH, WISHES_MOST};
 use maplehook_cluster::Name;
 use maplehook_transport::unix_ms;
-use maplehook_versions::steps::{Command, Step, Steps, Version};
+use maplehook_versions::version_state::{Command, Phase, Version, VersionState};
 use std::collections::BTreeMap;
 use std::time::Instant;
 
@@ -12,15 +12,15 @@
     /// Does what a leader does: the first version, the next step.
     pub(crate) fn lead(&mut self) {
         let now = self.now();
-        let Part::Voting { voter, grants, .. } = &mut self.part else { return };
-        if !voter.knows() {
+        let VoterRole::Voting { voter, grants, .. } = &mut self.part else { return };
+        if !voter.is_established_leader() {
             return;
         }
         let Some(grants) = grants else { return };
-        let steps = voter.steps();
-        let command = match steps.step {
-            Step::Unsettled => {
-                let fresh = self.setup.times.lease;
+        let steps = voter.version_state();
+        let command = match steps.phase {
+            Phase::Initial => {
+                let fresh = self.setup.lease_times.lease;
                 let heard: BTreeMap<&Name, &String> = self
                     .digests
                     .iter()
@@ -31,10 +31,16 @@
                 if !same || heard.len() < self.setup.members.len() {
                     return;
                 }
-                let (text, by) = (self.shared.clone(), self.setup.own.to_string());
-                Command::Propose { epoch: steps.epoch, expect: None, text, by, at_ms: unix_ms() }
+                let (text, by) = (self.shared.clone(), self.setup.local_name.to_string());
+                Command::Propose {
+                    epoch: steps.epoch,
+                    expected: None,
+                    text,
+                    proposed_by: by,
+                    proposed_at_unix_ms: unix_ms(),
+                }
             }
-            Step::Strictest { .. } if grants.waits(now, steps).is_empty() => {
+            Phase::Transition { .. } if grants.pending_members(now, steps).is_empty() => {
                 Command::Advance { epoch: steps.epoch }
             }
             _ => return,
@@ -45,95 +51,98 @@
         let ticket = fastrand::u64(..);
         if voter.propose(ticket, &command) {
             self.advancing = Some(ticket);
-            self.proposals.insert(ticket, Wisher::Nobody);
+            self.proposals.insert(ticket, Requester::Nobody);
         }
     }
 
     /// An operator wants something.
-    pub(crate) fn wish(&mut self, op: Op, wisher: Wisher) {
-        let knows = matches!(&self.part, Part::Voting { voter, .. } if voter.knows());
+    pub(crate) fn wish(&mut self, op: AdminRequest, wisher: Requester) {
+        let knows = matches!(&self.part, VoterRole::Voting { voter, .. } if voter.is_established_leader());
         if knows {
             self.at_the_leader(op, wisher);
             return;
         }
-        match (self.known_leader().filter(|leader| *leader != self.setup.own), wisher) {
-            (Some(leader), Wisher::Here(reply)) if self.passed_on.len() < WISHES_MOST => {
+        match (self.known_leader().filter(|leader| *leader != self.setup.local_name), wisher) {
+            (Some(leader), Requester::Here(reply)) if self.passed_on.len() < WISHES_MOST => {
                 let ticket = fastrand::u64(..);
                 let until = Instant::now() + WISH + self.checking(&op);
-                self.passed_on.insert(ticket, (Wisher::Here(reply), until));
-                self.tell(&leader, &Say::Wish { ticket, op });
+                self.passed_on.insert(ticket, (Requester::Here(reply), until));
+                self.tell(&leader, &PeerMessage::ForwardedRequest { ticket, request: op });
             }
             (_, wisher) => {
                 let why = "nobody leads: a majority of the voters can't be reached from here";
-                self.end(wisher, Reply::Unavailable(why.into()));
+                self.end(wisher, AdminReply::Unavailable(why.into()));
             }
         }
     }
 
-    pub(crate) fn at_the_leader(&mut self, op: Op, wisher: Wisher) {
+    pub(crate) fn at_the_leader(&mut self, op: AdminRequest, wisher: Requester) {
         let ticket = fastrand::u64(..);
-        let Part::Voting { voter, grants: Some(_), .. } = &mut self.part else {
-            self.end(wisher, Reply::Unavailable("the leader has just begun".into()));
+        let VoterRole::Voting { voter, grants: Some(_), .. } = &mut self.part else {
+            self.end(wisher, AdminReply::Unavailable("the leader has just begun".into()));
             return;
         };
-        let steps = voter.steps();
+        let steps = voter.version_state();
         match op {
-            Op::Status => {
-                if voter.read(ticket) {
-                    self.readings.insert(ticket, Reading::Status(wisher));
+            AdminRequest::Status => {
+                if voter.confirm_leadership(ticket) {
+                    self.readings.insert(ticket, PendingRead::Status(wisher));
                 } else {
-                    self.end(wisher, Reply::Unavailable("the leader is busy".into()));
+                    self.end(wisher, AdminReply::Unavailable("the leader is busy".into()));
                 }
             }
-            Op::History => {
+            AdminRequest::History => {
                 let without = |version: &Version| Version {
                     text: String::new(),
                     digest: version.digest.clone(),
-                    by: version.by.clone(),
+                    proposed_by: version.proposed_by.clone(),
                     ..*version
                 };
-                let reply = Reply::Versions(steps.versions.iter().map(without).collect());
+                let reply = AdminReply::Versions(steps.versions.iter().map(without).collect());
                 self.end(wisher, reply);
             }
-            Op::Show { number } => {
+            AdminRequest::Show { number } => {
                 let reply = match steps.version(number) {
-                    Some(version) => Reply::Versions(vec![version.clone()]),
-                    None => Reply::Refused(format!("there is no version {number}, or no more")),
+                    Some(version) => AdminReply::Versions(vec![version.clone()]),
+                    None => AdminReply::Rejected(format!("there is no version {number}, or no more")),
                 };
                 self.end(wisher, reply);
             }
-            Op::Forget { name } => {
+            AdminRequest::Forget { name } => {
                 if Name::new(&name).is_none_or(|name| !self.setup.members.contains(&name)) {
-                    self.end(wisher, Reply::Refused(format!("there is no member {name:?}")));
+                    self.end(wisher, AdminReply::Rejected(format!("there is no member {name:?}")));
                     return;
                 }
                 self.put(Command::Forget { name }, wisher);
             }
-            Op::Replace { old, new } => self.replace(&old, &new, wisher),
-            Op::Undo => match steps.step {
-                Step::Strictest { .. } => {
+            AdminRequest::Replace { old, new } => self.replace(&old, &new, wisher),
+            AdminRequest::Undo => match steps.phase {
+                Phase::Transition { .. } => {
                     let epoch = steps.epoch;
                     self.put(Command::Undo { epoch }, wisher);
                 }
-                Step::Settled(number) => {
-                    let before = steps.versions.iter().rev().find(|v| v.number < number && !v.undone);
+                Phase::Stable(number) => {
+                    let before = steps.versions.iter().rev().find(|v| v.number < number && !v.is_undone);
                     match before {
                         Some(before) => {
                             let text = before.text.clone();
-                            self.at_the_leader(Op::Propose { text, expect: Some(number) }, wisher);
+                            self.at_the_leader(
+                                AdminRequest::Propose { text, expected: Some(number) },
+                                wisher,
+                            );
                         }
-                        None => self.end(wisher, Reply::Refused("there is no version before".into())),
+                        None => self.end(wisher, AdminReply::Rejected("there is no version before".into())),
                     }
                 }
-                Step::Unsettled => self.end(wisher, Reply::Refused("nothing is agreed yet".into())),
+                Phase::Initial => self.end(wisher, AdminReply::Rejected("nothing is agreed yet".into())),
             },
-            Op::Propose { .. } => self.check(op, wisher),
+            AdminRequest::Propose { .. } => self.check(op, wisher),
         }
     }
 
     /// A voter's place goes to a member, which first says under which number it would vote.
-    fn replace(&mut self, old: &str, new: &str, wisher: Wisher) {
-        let Part::Voting { voter, .. } = &mut self.part else { return };
+    fn replace(&mut self, old: &str, new: &str, wisher: Requester) {
+        let VoterRole::Voting { voter, .. } = &mut self.part else { return };
         let voters = voter.voters();
         let member = |name: &str| Name::new(name).filter(|name| self.setup.members.contains(name));
         let refused = match (member(old), member(new)) {
@@ -143,32 +152,32 @@
         };
         let (old, new) = match refused {
             Ok(names) => names,
-            Err(why) => return self.end(wisher, Reply::Refused(why)),
+            Err(why) => return self.end(wisher, AdminReply::Rejected(why)),
         };
         if old != new && voters.contains(&new) {
             // Its proposer did not hear that it was done.
             let reply = match voters.contains(&old) {
-                false => Reply::Done(voter.steps().in_force()),
-                true => Reply::Refused(format!("{new} votes already")),
+                false => AdminReply::Done(voter.version_state().active_version()),
+                true => AdminReply::Rejected(format!("{new} votes already")),
             };
             return self.end(wisher, reply);
         }
         if !voters.contains(&old) {
-            return self.end(wisher, Reply::Refused(format!("{old} does not vote")));
+            return self.end(wisher, AdminReply::Rejected(format!("{old} does not vote")));
         }
-        if voter.changes() {
+        if voter.has_pending_conf_change() {
             let why = "another change of voters is under way";
-            return self.end(wisher, Reply::Unavailable(why.into()));
+            return self.end(wisher, AdminReply::Unavailable(why.into()));
         }
-        if old == self.setup.own {
-            voter.hand_over();
+        if old == self.setup.local_name {
+            voter.transfer_leadership();
             let why = format!("{old} leads, and hands that over now; ask again");
-            return self.end(wisher, Reply::Unavailable(why));
+            return self.end(wisher, AdminReply::Unavailable(why));
         }
         let ticket = fastrand::u64(..);
         let until = Instant::now() + CHECK;
-        self.seats.insert(ticket, Seating { old, new: new.clone(), wisher, until });
-        self.tell(&new, &Say::Seat { ticket });
+        self.seats.insert(ticket, VoterReplacement { old, new: new.clone(), wisher, until });
+        self.tell(&new, &PeerMessage::VoterNumberRequest { ticket });
     }
 
     /// The member says under which number it would vote.
@@ -176,66 +185,73 @@
         if self.seats.get(&ticket).is_none_or(|seating| seating.new != *from) {
             return;
         }
-        let Some(Seating { old, new, wisher, .. }) = self.seats.remove(&ticket) else { return };
+        let Some(VoterReplacement { old, new, wisher, .. }) = self.seats.remove(&ticket) else { return };
         let number = match number {
             Ok(number) => number,
-            Err(why) => return self.end(wisher, Reply::Refused(format!("{new}: {why}"))),
+            Err(why) => return self.end(wisher, AdminReply::Rejected(format!("{new}: {why}"))),
         };
         let ticket = fastrand::u64(..);
         let put = match &mut self.part {
-            Part::Voting { voter, .. } => voter.replace(ticket, &old, &new, number),
+            VoterRole::Voting { voter, .. } => voter.replace_voter(ticket, &old, &new, number),
             _ => false,
         };
         if put {
             self.proposals.insert(ticket, wisher);
         } else {
             let why = "another change of voters is under way, or this voter leads no more";
-            self.end(wisher, Reply::Unavailable(why.into()));
+            self.end(wisher, AdminReply::Unavailable(why.into()));
         }
     }
 
-    pub(crate) fn put(&mut self, command: Command, wisher: Wisher) {
+    pub(crate) fn put(&mut self, command: Command, wisher: Requester) {
         let ticket = fastrand::u64(..);
         let put = match &mut self.part {
-            Part::Voting { voter, .. } => voter.propose(ticket, &command),
+            VoterRole::Voting { voter, .. } => voter.propose(ticket, &command),
             _ => false,
         };
         if put {
             self.proposals.insert(ticket, wisher);
         } else {
-            self.end(wisher, Reply::Unavailable("this voter leads no more, or is busy".into()));
+            self.end(wisher, AdminReply::Unavailable("this voter leads no more, or is busy".into()));
         }
     }
 
-    pub(crate) fn overview(&self, steps: &Steps) -> Overview {
+    pub(crate) fn overview(&self, steps: &VersionState) -> ClusterStatus {
         let now = self.now();
         let (mut members, mut differ) = (Vec::new(), BTreeMap::<String, Vec<String>>::new());
         let voters = match &self.part {
-            Part::Voting { voter, .. } => voter.voters().iter().map(ToString::to_string).collect(),
+            VoterRole::Voting { voter, .. } => voter.voters().iter().map(ToString::to_string).collect(),
             _ => Vec::new(),
         };
-        if let Part::Voting { grants: Some(grants), .. } = &self.part {
-            let epochs: BTreeMap<&Name, u64> = grants.heard().collect();
-            let waits = grants.waits(now, steps);
+        if let VoterRole::Voting { grants: Some(grants), .. } = &self.part {
+            let epochs: BTreeMap<&Name, u64> = grants.member_epochs().collect();
+            let waits = grants.pending_members(now, steps);
             for name in &self.setup.members {
                 let waits = waits.iter().find(|waits| waits.name == *name);
-                let most = waits.and_then(|waits| waits.most);
-                members.push(Stands {
+                let most = waits.and_then(|waits| waits.max_wait);
+                members.push(MemberStatus {
                     name: name.to_string(),
                     epoch: epochs.get(name).copied(),
-                    waits_ms: most.map(|most| u64::try_from(most.as_millis()).unwrap_or(u64::MAX)),
-                    waits: waits.is_some(),
+                    max_wait_ms: most.map(|most| u64::try_from(most.as_millis()).unwrap_or(u64::MAX)),
+                    is_pending: waits.is_some(),
                 });
             }
         }
-        if steps.step == Step::Unsettled {
+        if steps.phase == Phase::Initial {
             for (name, (digest, _)) in &self.digests {
                 differ.entry(digest.clone()).or_default().push(name.to_string());
             }
         }
         let digest =
-            steps.version(steps.in_force()).map(|version| version.digest.clone()).unwrap_or_default();
+            steps.version(steps.active_version()).map(|version| version.digest.clone()).unwrap_or_default();
         let differ = differ.into_iter().collect();
-        Overview { epoch: steps.epoch, step: steps.step, digest, members, differ, voters }
+        ClusterStatus {
+            epoch: steps.epoch,
+            phase: steps.phase,
+            digest,
+            members,
+            differing_files: differ,
+            voters,
+        }
     }
 }
--- a/crates/consensus/src/follow.rs
+++ b/crates/consensus/src/lease_requests.rs
@@ -1,17 +1,17 @@
 //! A member's side: it asks for a lease, hears of steps, and reads what they come to here; and the answers that it gets as far as
 //! they need nothing but the leader's word that it leads.
 
-use crate::acting::{Acting, Mode};
-use crate::common::PLACES;
-use crate::run::{Part, Reading, Runner, TEXTS_AT_ONCE, TICK, Wisher, read};
-use crate::talk::{RAFT, Reply, Say, Telling};
+use crate::active_version::{ActiveVersion, EnforcementMode};
+use crate::messages::{AdminReply, PeerMessage, PhaseUpdateMessage, RAFT_TOPIC};
+use crate::runner::{PendingRead, Requester, Runner, TEXTS_AT_ONCE, TICK, VoterRole, read};
+use crate::shared_document::SHARED_DOCUMENT_TOPIC;
 use maplehook_cluster::Name;
 use maplehook_config::Proxy;
 use maplehook_transport::frames::Message;
-use maplehook_versions::grants::CutOff;
-use maplehook_versions::holder::Told;
-use maplehook_versions::steps::{Step, digest};
-use maplehook_versions::strict::{careful, contradictions, strictest};
+use maplehook_versions::compatibility::{conflicts, conservative, strictest};
+use maplehook_versions::lease_holder::PhaseUpdate;
+use maplehook_versions::lease_manager::LeaseExpiryPolicy;
+use maplehook_versions::version_state::{Phase, digest};
 use std::sync::Arc;
 use std::time::Instant;
 
@@ -22,18 +22,18 @@
     /// Asks whoever leads for a lease. The clock is read before anything is said.
     pub(crate) fn ask_for_a_lease(&mut self) {
         let now = self.now();
-        let number = self.holder.ask(now);
-        self.share.holding.ask(number, now);
-        let (acts, held) = (self.share.acts, self.share.holding.newest().0);
+        let number = self.holder.begin_request(now);
+        self.share.holder.begin_request(number, now);
+        let (acts, held) = (self.share.active_number, self.share.holder.newest().0);
         // Once it acts carefully it contradicts nobody, and is not waited for; before that it may still act on the step before.
-        let rules = self.acting.borrow().mode(Instant::now()) == Mode::Rules;
+        let rules = self.acting.borrow().mode(Instant::now()) == EnforcementMode::Current;
         let unfit = self.unfit.clone().filter(|_| !rules).map(|why| (self.holder.epoch(), why));
-        if let Part::Voting { voter, .. } = &self.part
-            && voter.leads()
+        if let VoterRole::Voting { voter, .. } = &self.part
+            && voter.is_leader()
         {
-            self.acted(&self.setup.own.clone(), acts, held, unfit);
+            self.on_document_report(&self.setup.local_name.clone(), acts, held, unfit);
             self.asked(
-                &self.setup.own.clone(),
+                &self.setup.local_name.clone(),
                 number,
                 self.applied,
                 self.holder.epoch(),
@@ -47,7 +47,12 @@
                 self.next_voter = self.next_voter.wrapping_add(1);
                 // Those of the file may all have been replaced: any member knows who leads.
                 let others: Vec<Name> = if self.next_voter % 4 == 3 {
-                    self.setup.members.iter().filter(|name| **name != self.setup.own).cloned().collect()
+                    self.setup
+                        .members
+                        .iter()
+                        .filter(|name| **name != self.setup.local_name)
+                        .cloned()
+                        .collect()
                 } else {
                     self.others().collect()
                 };
@@ -56,99 +61,114 @@
             }
         };
         // It is asked again elsewhere if nothing comes of it.
-        if self.holder.until().is_none_or(|until| until < now) {
+        if self.holder.lease_end().is_none_or(|until| until < now) {
             self.leader = None;
         }
         let (epoch, has, digest) = (self.applied, self.holder.epoch(), self.digest.clone());
         // Before it, so that the leader knows of it when it answers; one of an earlier program can't read it, and answers alike.
-        self.tell(&to, &Say::Acts { acts, has: held, unfit });
-        self.tell(&to, &Say::Ask { number, epoch, has, digest });
+        self.tell(
+            &to,
+            &PeerMessage::DocumentReport { active_number: acts, has: held, rejected_phase: unfit },
+        );
+        self.tell(&to, &PeerMessage::LeaseRequest { number, epoch, has, digest });
     }
 
     /// A member asks this voter for a lease.
     pub(crate) fn asked(&mut self, from: &Name, number: u64, epoch: u64, has: u64, digest: String) {
-        let Part::Voting { voter, .. } = &mut self.part else {
+        let VoterRole::Voting { voter, .. } = &mut self.part else {
             let leader = self.leader.as_ref().map(ToString::to_string);
-            self.tell(from, &Say::Elsewhere { leader });
+            self.tell(from, &PeerMessage::NotLeader { leader });
             return;
         };
-        if !voter.knows() {
-            let leader =
-                voter.leader().filter(|leader| *leader != self.setup.own).map(|leader| leader.to_string());
-            self.tell(from, &Say::Elsewhere { leader });
+        if !voter.is_established_leader() {
+            let leader = voter
+                .leader()
+                .filter(|leader| *leader != self.setup.local_name)
+                .map(|leader| leader.to_string());
+            self.tell(from, &PeerMessage::NotLeader { leader });
             return;
         }
         let ticket = fastrand::u64(..);
-        if voter.read(ticket) {
-            self.readings.insert(ticket, Reading::Lease { from: from.clone(), number, epoch, has });
+        if voter.confirm_leadership(ticket) {
+            self.readings.insert(ticket, PendingRead::Lease { from: from.clone(), number, epoch, has });
         }
         self.digests.insert(from.clone(), (digest, Instant::now()));
     }
 
     /// Tells somebody that it votes no more, if that is so by the word of a majority: a leader that was cut off may know less.
     fn is_voter(&mut self, name: Name) {
-        if let Part::Voting { voter, .. } = &mut self.part
-            && voter.knows()
+        if let VoterRole::Voting { voter, .. } = &mut self.part
+            && voter.is_established_leader()
         {
             let ticket = fastrand::u64(..);
-            if voter.read(ticket) {
-                self.readings.insert(ticket, Reading::Voter(name));
+            if voter.confirm_leadership(ticket) {
+                self.readings.insert(ticket, PendingRead::Voter(name));
             }
         }
     }
 
     pub(crate) fn hear(&mut self, from: &Name, message: &Message) {
-        if message.topic == PLACES {
-            return self.share.hear_of_common(from, &message.body);
+        if message.topic == SHARED_DOCUMENT_TOPIC {
+            return self.share.deliver(from, &message.body);
         }
-        if message.topic == RAFT {
-            if let Part::Voting { voter, .. } = &mut self.part {
+        if message.topic == RAFT_TOPIC {
+            if let VoterRole::Voting { voter, .. } = &mut self.part {
                 if !voter.step(from, &message.body) {
                     tracing::debug!(%from, "a message of a voter makes no sense");
                 }
-                if !voter.waits() && !voter.names_voter(from) {
+                if !voter.awaits_snapshot() && !voter.is_voter_name(from) {
                     // Only whoever leads knows for certain; the one that was replaced may not know of it.
                     match voter.leader() {
-                        _ if voter.knows() => self.is_voter(from.clone()),
-                        Some(leader) => self.tell(&leader, &Say::Speaks { name: from.to_string() }),
+                        _ if voter.is_established_leader() => self.is_voter(from.clone()),
+                        Some(leader) => {
+                            self.tell(&leader, &PeerMessage::SuspectedFormerVoter { name: from.to_string() })
+                        }
                         None => {}
                     }
                 }
             }
             return;
         }
-        let Ok(say) = postcard::from_bytes::<Say>(&message.body) else {
+        let Ok(say) = postcard::from_bytes::<PeerMessage>(&message.body) else {
             tracing::debug!(%from, "a message on versions can't be read");
             return;
         };
         match say {
-            Say::Ask { number, epoch, has, digest } => self.asked(from, number, epoch, has, digest),
-            Say::Grant { number, epoch, told } => {
+            PeerMessage::LeaseRequest { number, epoch, has, digest } => {
+                self.asked(from, number, epoch, has, digest)
+            }
+            PeerMessage::LeaseGrant { number, epoch, update: told } => {
                 self.leader = Some(from.clone());
-                self.granted(number, epoch, told.map(Told::from));
+                self.granted(number, epoch, told.map(PhaseUpdate::from));
             }
-            Say::Elsewhere { leader } => {
+            PeerMessage::NotLeader { leader } => {
                 self.leader =
                     leader.and_then(|name| Name::new(&name)).filter(|name| self.setup.members.contains(name));
             }
-            Say::Wish { ticket, op } => self.wish(op, Wisher::There(from.clone(), ticket)),
-            Say::End { ticket, reply } => {
+            PeerMessage::ForwardedRequest { ticket, request: op } => {
+                self.wish(op, Requester::There(from.clone(), ticket))
+            }
+            PeerMessage::ForwardedReply { ticket, reply } => {
                 if let Some((wisher, _)) = self.passed_on.remove(&ticket) {
                     self.end(wisher, reply);
                 }
             }
-            Say::Check { ticket, text } => {
+            PeerMessage::ValidationRequest { ticket, text } => {
                 let fault = self.fits(&text).err();
-                self.tell(from, &Say::Checked { ticket, fault });
+                self.tell(from, &PeerMessage::ValidationResult { ticket, error: fault });
+            }
+            PeerMessage::ValidationResult { ticket, error: fault } => self.checked(from, ticket, fault),
+            PeerMessage::Bootstrap { number, founders: founded, wants_reply: asks } => {
+                self.founding(from, number, &founded, asks)
             }
-            Say::Checked { ticket, fault } => self.checked(from, ticket, fault),
-            Say::Founding { number, founded, asks } => self.founding(from, number, &founded, asks),
-            Say::Seat { ticket } => self.seat(from, ticket),
-            Say::Seated { ticket, number } => self.seated(from, ticket, number),
-            Say::Unseated => self.unseated(),
-            Say::Acts { acts, has, unfit } => self.acted(from, acts, has, unfit),
-            Say::Common { request, number, body } => self.told_common(from, request, number, body),
-            Say::Speaks { name } => {
+            PeerMessage::VoterNumberRequest { ticket } => self.seat(from, ticket),
+            PeerMessage::VoterNumberReply { ticket, number } => self.seated(from, ticket, number),
+            PeerMessage::VoterReplaced => self.unseated(),
+            PeerMessage::DocumentReport { active_number: acts, has, rejected_phase: unfit } => {
+                self.on_document_report(from, acts, has, unfit)
+            }
+            PeerMessage::Document { request, number, body } => self.on_document(from, request, number, body),
+            PeerMessage::SuspectedFormerVoter { name } => {
                 let known = Name::new(&name).filter(|name| self.setup.members.contains(name));
                 known.into_iter().for_each(|name| self.is_voter(name));
             }
@@ -187,28 +207,28 @@
         Ok(())
     }
 
-    pub(crate) fn granted(&mut self, number: u64, epoch: u64, told: Option<Told>) {
+    pub(crate) fn granted(&mut self, number: u64, epoch: u64, told: Option<PhaseUpdate>) {
         let told = told.and_then(|told| self.whole(told));
-        if self.holder.granted(number, epoch, told) {
+        if self.holder.accept_grant(number, epoch, told) {
             self.unfit = None;
         }
-        let (epoch, step) = match self.holder.told() {
-            Some(told) if told.step != Step::Unsettled => (told.epoch, told.step),
+        let (epoch, step) = match self.holder.current() {
+            Some(told) if told.phase != Phase::Initial => (told.epoch, told.phase),
             _ => return,
         };
-        let until = match self.setup.cut_off {
-            CutOff::WaitForAll => None,
-            _ => self.holder.until().map(|until| self.epoch + until),
+        let until = match self.setup.expiry_policy {
+            LeaseExpiryPolicy::WaitForAll => None,
+            _ => self.holder.lease_end().map(|until| self.epoch + until),
         };
         let news = self.acting.borrow().epoch != epoch;
         if !news {
-            self.acting.send_modify(|acting| acting.until = until);
+            self.acting.send_modify(|acting| acting.lease_end = until);
             return;
         }
         if self.unfit.is_some() {
             return;
         }
-        let rules = match self.holder.told().cloned() {
+        let rules = match self.holder.current().cloned() {
             // Whoever was away when it was proposed was not asked.
             Some(told) => {
                 self.rules(&told).and_then(|(rules, label)| self.goes(&rules).map(|()| (rules, label)))
@@ -217,9 +237,17 @@
         };
         match rules {
             Ok((rules, label)) => {
-                let careful = (self.setup.cut_off != CutOff::Refuse).then(|| Arc::new(careful(&rules)));
+                let careful = (self.setup.expiry_policy != LeaseExpiryPolicy::Reject)
+                    .then(|| Arc::new(conservative(&rules)));
                 tracing::info!(version = label, epoch, step = %step, "acts on another step");
-                self.acting.send_replace(Acting { epoch, label, rules, until, careful, cut_off: false });
+                self.acting.send_replace(ActiveVersion {
+                    epoch,
+                    label,
+                    rules,
+                    lease_end: until,
+                    conservative_rules: careful,
+                    lacks_lease: false,
+                });
             }
             Err(e) => {
                 tracing::error!("the version that was agreed on can't be acted on here: {e}");
@@ -229,8 +257,8 @@
     }
 
     /// With the texts that were left out since they are here; `None` where one is not.
-    pub(crate) fn whole(&self, mut told: Told) -> Option<Told> {
-        let here = self.holder.told();
+    pub(crate) fn whole(&self, mut told: PhaseUpdate) -> Option<PhaseUpdate> {
+        let here = self.holder.current();
         for version in told.versions.iter_mut().filter(|version| version.text.is_empty()) {
             let known =
                 here.and_then(|here| here.versions.iter().find(|known| known.digest == version.digest));
@@ -245,18 +273,18 @@
     }
 
     /// What a step comes to here.
-    pub(crate) fn rules(&mut self, told: &Told) -> Result<(Arc<Proxy>, String), String> {
+    pub(crate) fn rules(&mut self, told: &PhaseUpdate) -> Result<(Arc<Proxy>, String), String> {
         let mut of = |number: u64| {
             let version = told.versions.iter().find(|version| version.number == number);
             let version = version.ok_or_else(|| format!("version {number} was not told"))?;
             self.read(&version.text, &version.digest)
         };
-        match told.step {
-            Step::Unsettled => Err("nothing is agreed".into()),
-            Step::Settled(number) => Ok((of(number)?, number.to_string())),
-            Step::Strictest { from, to } => {
+        match told.phase {
+            Phase::Initial => Err("nothing is agreed".into()),
+            Phase::Stable(number) => Ok((of(number)?, number.to_string())),
+            Phase::Transition { from, to } => {
                 let (old, new) = (of(from)?, of(to)?);
-                for what in contradictions(&old, &new) {
+                for what in conflicts(&old, &new) {
                     tracing::info!(from, to, "the strictest reading holds: {what}");
                 }
                 Ok((Arc::new(strictest(&old, &new)), format!("{from}-{to}")))
@@ -265,7 +293,7 @@
     }
 
     /// Whether texts may be told now; whoever is not told asks again soon.
-    pub(crate) fn may_tell(&mut self, told: Option<&Telling>) -> bool {
+    pub(crate) fn may_tell(&mut self, told: Option<&PhaseUpdateMessage>) -> bool {
         let bytes = told.map_or(0, |told| told.versions.iter().map(|version| version.text.len()).sum());
         self.may_tell_bytes(bytes)
     }
@@ -286,39 +314,41 @@
     pub(crate) fn confirmed(&mut self, ticket: u64) {
         let now = self.now();
         match self.readings.remove(&ticket) {
-            Some(Reading::Lease { from, number, epoch, has }) => {
-                let Part::Voting { voter, grants: Some(grants), .. } = &mut self.part else { return };
-                let steps = voter.steps();
+            Some(PendingRead::Lease { from, number, epoch, has }) => {
+                let VoterRole::Voting { voter, grants: Some(grants), .. } = &mut self.part else { return };
+                let steps = voter.version_state();
                 // A lease on a step that it can't act on would have the others wait.
-                if self.share.is_unfit(&from, steps.epoch) {
-                    return self.grant_common(&from, number);
+                if self.share.has_rejected(&from, steps.epoch) {
+                    return self.grant_document_lease(&from, number);
                 }
                 if !grants.grant(now, &from, epoch) {
                     return;
                 }
                 let now_at = steps.epoch;
-                let told = (has != now_at).then(|| Told::of(steps));
-                let before = if has + 1 == now_at { steps.before } else { Step::Unsettled };
-                self.grant_common(&from, number);
-                if from == self.setup.own {
+                let told = (has != now_at).then(|| PhaseUpdate::from_state(steps));
+                let before = if has + 1 == now_at { steps.previous_phase } else { Phase::Initial };
+                self.grant_document_lease(&from, number);
+                if from == self.setup.local_name {
                     return self.granted(number, now_at, told);
                 }
-                let told = told.map(|told| Telling::from(told).after(before));
+                let told = told.map(|told| PhaseUpdateMessage::from(told).without_known_texts(before));
                 if self.may_tell(told.as_ref()) {
-                    self.tell(&from, &Say::Grant { number, epoch: now_at, told });
+                    self.tell(&from, &PeerMessage::LeaseGrant { number, epoch: now_at, update: told });
                 }
             }
-            Some(Reading::Voter(name)) => {
-                if let Part::Voting { voter, .. } = &self.part
-                    && !voter.names_voter(&name)
+            Some(PendingRead::Voter(name)) => {
+                if let VoterRole::Voting { voter, .. } = &self.part
+                    && !voter.is_voter_name(&name)
                 {
-                    self.tell(&name, &Say::Unseated);
+                    self.tell(&name, &PeerMessage::VoterReplaced);
                 }
             }
-            Some(Reading::Status(wisher)) => {
+            Some(PendingRead::Status(wisher)) => {
                 let reply = match &self.part {
-                    Part::Voting { voter, .. } => Reply::Overview(self.overview(voter.steps())),
-                    _ => Reply::Unavailable("this voter leads no more".into()),
+                    VoterRole::Voting { voter, .. } => {
+                        AdminReply::Status(self.overview(voter.version_state()))
+                    }
+                    _ => AdminReply::Unavailable("this voter leads no more".into()),
                 };
                 self.end(wisher, reply);
             }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -3,28 +3,30 @@
 //! [`voter`] is Raft by the `raft` crate over what the log comes to, [`store`] a voter's disk, [`talk`] what balancers say to one
 //! another, [`Agreeing`] the thread on which one takes part.
 
-mod acting;
-mod agreeing;
-mod checks;
-mod common;
-mod follow;
-mod founding;
+mod active_version;
+mod bootstrap;
+mod document_parts;
+mod document_status;
 #[cfg(test)]
 mod golden_tests;
 mod join;
 mod leader;
-mod local;
-mod log;
-mod run;
-mod settle;
-mod shelf;
-mod standing;
+mod lease_requests;
+mod local_status;
+pub mod messages;
+mod ready;
+mod replicated_state;
+mod runner;
+mod service;
+mod shared_document;
 pub mod store;
-pub mod talk;
+mod validation;
 pub mod voter;
 
-pub use acting::{Acting, Local, Mode};
-pub use agreeing::{Agreeing, Setup, Wishes};
-pub use common::{Behind, Common, PLACES, Put, Standing, Ways};
+pub use active_version::{ActiveVersion, EnforcementMode, LocalStatus};
+pub use document_parts::{MAX_PART_BYTES, PartKind};
 pub use join::{agree, join, join_when_free};
-pub use shelf::{PART_MOST, Topic};
+pub use service::{AdminClient, ConsensusConfig, ConsensusService};
+pub use shared_document::{
+    DocumentPart, LaggingMember, PartChannels, PartProposal, SHARED_DOCUMENT_TOPIC, SharedDocumentStatus,
+};
--- a/crates/consensus/src/talk.rs
+++ b/crates/consensus/src/messages.rs
@@ -1,29 +1,29 @@
 //! What balancers say to one another of versions.
 
-use maplehook_versions::holder::Told;
-use maplehook_versions::steps::{Step, Version};
+use maplehook_versions::lease_holder::PhaseUpdate;
+use maplehook_versions::version_state::{Phase, Version};
 use serde::{Deserialize, Serialize};
 
 /// The topics, on links.
-pub const RAFT: u8 = 2;
+pub const RAFT_TOPIC: u8 = 2;
 /// Everything but Raft's own messages.
-pub const VERSIONS: u8 = 3;
+pub const VERSIONS_TOPIC: u8 = 3;
 
 /// A step with its texts, as it is told.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Telling {
+pub struct PhaseUpdateMessage {
     /// Its epoch.
     pub epoch: u64,
     /// The step.
-    pub step: Step,
+    pub phase: Phase,
     /// The versions that it names.
     pub versions: Vec<Version>,
 }
 
-impl Telling {
+impl PhaseUpdateMessage {
     /// Without the texts of versions that the step before names too: whoever has been told that one has them.
-    pub fn after(mut self, before: Step) -> Self {
-        let known = before.keeps();
+    pub fn without_known_texts(mut self, before: Phase) -> Self {
+        let known = before.compatible_versions();
         for version in self.versions.iter_mut().filter(|version| known.contains(&Some(version.number))) {
             version.text.clear();
         }
@@ -31,21 +31,21 @@
     }
 }
 
-impl From<Told> for Telling {
-    fn from(Told { epoch, step, versions }: Told) -> Self {
-        Self { epoch, step, versions }
+impl From<PhaseUpdate> for PhaseUpdateMessage {
+    fn from(PhaseUpdate { epoch, phase: step, versions }: PhaseUpdate) -> Self {
+        Self { epoch, phase: step, versions }
     }
 }
 
-impl From<Telling> for Told {
-    fn from(Telling { epoch, step, versions }: Telling) -> Self {
-        Self { epoch, step, versions }
+impl From<PhaseUpdateMessage> for PhaseUpdate {
+    fn from(PhaseUpdateMessage { epoch, phase: step, versions }: PhaseUpdateMessage) -> Self {
+        Self { epoch, phase: step, versions }
     }
 }
 
 /// What an operator wants.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Op {
+pub enum AdminRequest {
     /// How it stands.
     Status,
     /// A new version.
@@ -53,7 +53,8 @@
         /// Its shared text.
         text: String,
         /// The version that has to be in force.
-        expect: Option<u64>,
+        #[serde(rename = "expect")]
+        expected: Option<u64>,
     },
     /// The change that is under way is taken back; of none, the version before is proposed again.
     Undo,
@@ -80,43 +81,43 @@
 
 /// A member, and the epoch that it acts on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stands {
+pub struct MemberStatus {
     /// Its name.
     pub name: String,
     /// The epoch that it last said it acts on; none if it was not heard of.
     pub epoch: Option<u64>,
     /// Whether the present step is still waited for at it, and for how long at the most.
-    pub waits_ms: Option<u64>,
+    pub max_wait_ms: Option<u64>,
     /// Whether it is waited for.
-    pub waits: bool,
+    pub is_pending: bool,
 }
 
 /// How it stands, by the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Overview {
+pub struct ClusterStatus {
     /// The epoch.
     pub epoch: u64,
     /// The step.
-    pub step: Step,
+    pub phase: Phase,
     /// The digest of what is in force.
     pub digest: String,
     /// The members.
-    pub members: Vec<Stands>,
+    pub members: Vec<MemberStatus>,
     /// Members whose files differ, before the first version: names, by digest.
-    pub differ: Vec<(String, Vec<String>)>,
+    pub differing_files: Vec<(String, Vec<String>)>,
     /// The voters.
     pub voters: Vec<String>,
 }
 
 /// The end of an operator's wish.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Reply {
+pub enum AdminReply {
     /// How it stands.
-    Overview(Overview),
+    Status(ClusterStatus),
     /// It is done; the version that it concerns.
     Done(u64),
     /// It is not done, and why; asking again is of no use.
-    Refused(String),
+    Rejected(String),
     /// It is not done, or nobody knows; asking again is harmless.
     Unavailable(String),
     /// Versions, those of `History` without their texts.
@@ -125,9 +126,9 @@
 
 /// What is said.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Say {
+pub enum PeerMessage {
     /// A member asks for a lease.
-    Ask {
+    LeaseRequest {
         /// The request's number.
         number: u64,
         /// The epoch that it acts on.
@@ -138,86 +139,86 @@
         digest: String,
     },
     /// It is granted.
-    Grant {
+    LeaseGrant {
         /// The request's number.
         number: u64,
         /// The epoch.
         epoch: u64,
         /// The step, where the member has not got it.
-        told: Option<Telling>,
+        update: Option<PhaseUpdateMessage>,
     },
     /// Somebody else leads.
-    Elsewhere {
+    NotLeader {
         /// Whom this voter takes for the leader.
         leader: Option<String>,
     },
     /// An operator's wish, passed on.
-    Wish {
+    ForwardedRequest {
         /// By which its end is known.
         ticket: u64,
         /// What.
-        op: Op,
+        request: AdminRequest,
     },
     /// Its end.
-    End {
+    ForwardedReply {
         /// Which.
         ticket: u64,
         /// How.
-        reply: Reply,
+        reply: AdminReply,
     },
     /// Can this be acted on?
-    Check {
+    ValidationRequest {
         /// By which the answer is known.
         ticket: u64,
         /// The shared text.
         text: String,
     },
     /// It can, or can't for this reason.
-    Checked {
+    ValidationResult {
         /// Which.
         ticket: u64,
         /// Why not.
-        fault: Option<String>,
+        error: Option<String>,
     },
     /// A voter without a log says so, by a number of its own, and asks the others.
-    Founding {
+    Bootstrap {
         /// The number; none if it has a log.
         number: Option<u64>,
         /// Of one that has a log: with whom it was founded.
-        founded: Vec<(String, u64)>,
+        founders: Vec<(String, u64)>,
         /// Whether an answer is wanted.
-        asks: bool,
+        wants_reply: bool,
     },
     /// A member is asked under which number it would vote.
-    Seat {
+    VoterNumberRequest {
         /// By which the answer is known.
         ticket: u64,
     },
     /// Under this one, or it can't for this reason.
-    Seated {
+    VoterNumberReply {
         /// Which.
         ticket: u64,
         /// The number.
         number: Result<u64, String>,
     },
     /// Whoever hears this speaks as a voter, and is none any more.
-    Unseated,
+    VoterReplaced,
     /// Somebody speaks as a voter whom the log of this one's author does not know as one: whoever leads is to say.
-    Speaks {
+    SuspectedFormerVoter {
         /// Who.
         name: String,
     },
     /// Said before `Ask`, by whoever knows the common document.
-    Acts {
+    DocumentReport {
         /// The number of it that it acts on; `None`: it has no part in it.
-        acts: Option<u64>,
+        active_number: Option<u64>,
         /// The number whose body it has.
         has: u64,
         /// Why it can't act on the step of the epoch that it has been told, if that is so.
-        unfit: Option<(u64, String)>,
+        rejected_phase: Option<(u64, String)>,
     },
     /// The common document: with a lease, or told when it changes.
-    Common {
+    Document {
         /// The request for a lease that is granted, if one is.
         request: Option<u64>,
         /// The number in force; 0 is none.
--- a/crates/consensus/src/agreeing.rs
+++ b/crates/consensus/src/service.rs
@@ -1,13 +1,13 @@
 //! A balancer's part in what is agreed on, as whoever serves sees it: a thread that is started, asked, and ends.
 
-use crate::acting::{Acting, Local, first};
-use crate::common::{Standing, Ways, ways};
-use crate::run::{Ears, Runner, read};
-use crate::shelf::Topic;
-use crate::talk::{Op, Reply};
+use crate::active_version::{ActiveVersion, LocalStatus, initial};
+use crate::document_parts::PartKind;
+use crate::messages::{AdminReply, AdminRequest};
+use crate::runner::{Inputs, Runner, read};
+use crate::shared_document::{PartChannels, SharedDocumentStatus, part_channels};
 use maplehook_cluster::Name;
 use maplehook_transport::Talk;
-use maplehook_versions::grants::{CutOff, Times};
+use maplehook_versions::lease_manager::{LeaseExpiryPolicy, LeaseTimes};
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 use std::thread::JoinHandle;
@@ -15,76 +15,80 @@
 
 /// Who agrees, and how.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct ConsensusConfig {
     /// This balancer.
-    pub own: Name,
+    pub local_name: Name,
     /// The voters.
     pub voters: Vec<Name>,
     /// All that there may be, this one among them.
     pub members: BTreeSet<Name>,
     /// The times.
-    pub times: Times,
+    pub lease_times: LeaseTimes,
     /// What one does that has lost touch.
-    pub cut_off: CutOff,
+    pub expiry_policy: LeaseExpiryPolicy,
     /// Where a voter keeps its log.
     pub directory: Option<PathBuf>,
     /// This balancer's file.
     pub file: String,
 }
 
-pub(crate) type Asked = (Op, oneshot::Sender<(Local, Reply)>);
+pub(crate) type AdminCall = (AdminRequest, oneshot::Sender<(LocalStatus, AdminReply)>);
 
 /// A balancer's part, on a thread of its own; it ends when this is dropped.
-pub struct Agreeing {
+pub struct ConsensusService {
     /// By what to act.
-    pub acting: watch::Receiver<Acting>,
+    pub active_version: watch::Receiver<ActiveVersion>,
     /// What the thread that serves acts on.
-    pub applied: watch::Sender<u64>,
+    pub applied_epoch: watch::Sender<u64>,
     /// How it stands with the common document's part of places.
-    pub standing: watch::Receiver<Standing>,
+    pub failover_status: watch::Receiver<SharedDocumentStatus>,
     /// The number of that part that the thread that serves acts on.
-    pub acts: watch::Sender<u64>,
+    pub applied_document: watch::Sender<u64>,
     /// The ways of whoever makes that part; taken once. Where they are dropped this balancer has no part in the common document:
     /// it is told of none, and nobody waits for it.
-    pub places: Option<Ways>,
+    pub failover: Option<PartChannels>,
     /// How it stands with the common document's part of changes in stages.
-    pub rollout_standing: watch::Receiver<Standing>,
+    pub rollout_status: watch::Receiver<SharedDocumentStatus>,
     /// The ways of whoever makes that part; taken once.
-    pub rollout: Option<Ways>,
-    asks: mpsc::Sender<Asked>,
+    pub rollout: Option<PartChannels>,
+    admin_calls: mpsc::Sender<AdminCall>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 /// Tells operators, and takes their wishes.
 #[derive(Clone)]
-pub struct Wishes(mpsc::Sender<Asked>);
+pub struct AdminClient(mpsc::Sender<AdminCall>);
 
-impl Wishes {
+impl AdminClient {
     /// `None` where the thread does not answer.
-    pub async fn ask(&self, op: Op) -> Option<(Local, Reply)> {
+    pub async fn request(&self, op: AdminRequest) -> Option<(LocalStatus, AdminReply)> {
         let (reply, ended) = oneshot::channel();
         self.0.try_send((op, reply)).ok()?;
         ended.await.ok()
     }
 }
 
-impl Agreeing {
+impl ConsensusService {
     /// Begins to agree. The file is known to be good.
-    pub fn start(setup: Setup, talk: Talk) -> Result<Self, String> {
+    pub fn start(setup: ConsensusConfig, talk: Talk) -> Result<Self, String> {
         let (_, here) = watch::channel(true);
         Self::start_when(setup, talk, here)
     }
 
     /// The same, once this balancer is `here`.
-    pub fn start_when(setup: Setup, talk: Talk, mut here: watch::Receiver<bool>) -> Result<Self, String> {
+    pub fn start_when(
+        setup: ConsensusConfig,
+        talk: Talk,
+        mut here: watch::Receiver<bool>,
+    ) -> Result<Self, String> {
         let (shared, _) = maplehook_config::shared(&setup.file).map_err(|e| e.to_string())?;
         let own = read(&setup.file, &shared)?;
-        let (acting_to, acting) = watch::channel(first(&own, setup.cut_off));
+        let (acting_to, acting) = watch::channel(initial(&own, setup.expiry_policy));
         let (applied, applies) = watch::channel(0);
         let (acts, acted) = watch::channel(0);
-        let (places, standing, inner) = ways();
-        let (rollout, rollout_standing, staged) = ways();
+        let (places, standing, inner) = part_channels();
+        let (rollout, rollout_standing, staged) = part_channels();
         let (asks, asked) = mpsc::channel(32);
         let (stop, mut stopped) = oneshot::channel();
         let runtime =
@@ -99,36 +103,37 @@
                         here = here.wait_for(|here| *here) => if here.is_err() { return },
                         _ = &mut stopped => return,
                     }
-                    let tells = [(Topic::Places, inner.tells), (Topic::Rollout, staged.tells)].into();
+                    let tells =
+                        [(PartKind::Failover, inner.senders), (PartKind::Rollout, staged.senders)].into();
                     let runner = Runner::new(setup, shared, own, talk.say, acting_to, tells);
-                    let (places, rollout) = (inner.hears, staged.hears);
+                    let (places, rollout) = (inner.receivers, staged.receivers);
                     let ears =
-                        Ears { heard: talk.heard, applies, acts: acted, asked, places, rollout, stopped };
+                        Inputs { heard: talk.heard, applies, acts: acted, asked, places, rollout, stopped };
                     runner.run(ears).await;
                 });
             })
             .map_err(|e| e.to_string())?;
         Ok(Self {
-            acting,
-            applied,
-            standing,
-            acts,
-            places: Some(places),
-            rollout_standing,
+            active_version: acting,
+            applied_epoch: applied,
+            failover_status: standing,
+            applied_document: acts,
+            failover: Some(places),
+            rollout_status: rollout_standing,
             rollout: Some(rollout),
-            asks,
+            admin_calls: asks,
             stop: Some(stop),
             thread: Some(thread),
         })
     }
 
     /// By which operators ask.
-    pub fn wishes(&self) -> Wishes {
-        Wishes(self.asks.clone())
+    pub fn admin_client(&self) -> AdminClient {
+        AdminClient(self.admin_calls.clone())
     }
 }
 
-impl Drop for Agreeing {
+impl Drop for ConsensusService {
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
--- a/crates/consensus/src/checks.rs
+++ b/crates/consensus/src/validation.rs
@@ -3,11 +3,11 @@
 //! Whoever's lease has run out is not waited for: it acts by its careful reading until it is told, and goes on with that if it
 //! can't act on what it is told.
 
-use crate::run::{CHECK, Part, Runner, Wisher};
-use crate::talk::{Op, Reply, Say};
+use crate::messages::{AdminReply, AdminRequest, PeerMessage};
+use crate::runner::{CHECK, Requester, Runner, VoterRole};
 use maplehook_cluster::Name;
 use maplehook_transport::unix_ms;
-use maplehook_versions::steps::{Command, Step, digest};
+use maplehook_versions::version_state::{Command, Phase, digest};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
@@ -19,11 +19,11 @@
 const PROMPT: Duration = Duration::from_millis(200);
 
 /// A proposal that the members look at.
-pub(crate) struct Checking {
+pub(crate) struct ProposalValidation {
     text: String,
     digest: String,
     expect: Option<u64>,
-    wisher: Wisher,
+    wisher: Requester,
     /// Who was asked, and who has not answered.
     asked: BTreeSet<Name>,
     waits: BTreeSet<Name>,
@@ -34,61 +34,65 @@
 
 impl Runner {
     /// What it takes at the most to tell all members a wish's text, and them to read it.
-    fn telling(&self, op: &Op) -> Duration {
-        let Op::Propose { text, .. } = op else { return Duration::ZERO };
+    fn telling(&self, op: &AdminRequest) -> Duration {
+        let AdminRequest::Propose { text, .. } = op else { return Duration::ZERO };
         let told = (text.len() * self.setup.members.len()) as f64 / TOLD_PER_S;
         Duration::from_secs_f64(told + text.len() as f64 / READ_PER_S)
     }
 
     /// How long a proposal is looked at, at the most.
-    pub(crate) fn checking(&self, op: &Op) -> Duration {
+    pub(crate) fn checking(&self, op: &AdminRequest) -> Duration {
         match op {
-            Op::Propose { .. } => self.telling(op) + self.setup.times.longest_lease() + CHECK,
+            AdminRequest::Propose { .. } => self.telling(op) + self.setup.lease_times.max_lease() + CHECK,
             _ => Duration::ZERO,
         }
     }
 
     /// A proposal is looked at by whoever holds a lease.
-    pub(crate) fn check(&mut self, op: Op, wisher: Wisher) {
+    pub(crate) fn check(&mut self, op: AdminRequest, wisher: Requester) {
         let now = Instant::now();
         let (least, until) = (now + self.telling(&op) + PROMPT, now + self.checking(&op));
-        let Op::Propose { text, expect } = op else { return };
+        let AdminRequest::Propose { text, expected: expect } = op else { return };
         if let Err(e) = self.fits(&text) {
-            return self.end(wisher, Reply::Refused(format!("{}: {e}", self.setup.own)));
+            return self.end(wisher, AdminReply::Rejected(format!("{}: {e}", self.setup.local_name)));
         }
-        let Part::Voting { voter, grants: Some(grants), .. } = &self.part else { return };
-        let (steps, digest) = (voter.steps(), digest(&text));
+        let VoterRole::Voting { voter, grants: Some(grants), .. } = &self.part else { return };
+        let (steps, digest) = (voter.version_state(), digest(&text));
         let same = |number: u64| steps.version(number).is_some_and(|version| version.digest == digest);
-        let busy = match steps.step {
-            Step::Unsettled => false,
-            Step::Settled(number) => {
+        let busy = match steps.phase {
+            Phase::Initial => false,
+            Phase::Stable(number) => {
                 // Those without an end are waited for until they are forgotten.
-                let waits = grants.waits(self.now(), steps);
-                !same(number) && waits.iter().any(|waits| waits.most.is_none())
+                let waits = grants.pending_members(self.now(), steps);
+                !same(number) && waits.iter().any(|waits| waits.max_wait.is_none())
+            }
+            Phase::Transition { to, .. } => {
+                !same(to) && !grants.pending_members(self.now(), steps).is_empty()
             }
-            Step::Strictest { to, .. } => !same(to) && !grants.waits(self.now(), steps).is_empty(),
         };
         if busy {
             let why = self.not_everywhere();
-            return self.end(wisher, Reply::Unavailable(why));
+            return self.end(wisher, AdminReply::Unavailable(why));
         }
         // The same again while it is looked at: whoever asked first has given up, and nobody is told it twice.
         if let Some(check) = self.checks.values_mut().find(|c| c.digest == digest && c.expect == expect) {
             let before = std::mem::replace(&mut check.wisher, wisher);
-            return self.end(before, Reply::Unavailable("it was asked for again".into()));
+            return self.end(before, AdminReply::Unavailable("it was asked for again".into()));
         }
         let ticket = fastrand::u64(..);
         let (asked, waits) = (BTreeSet::new(), BTreeSet::new());
-        let check = Checking { text, digest, expect, wisher, asked, waits, least, until };
+        let check = ProposalValidation { text, digest, expect, wisher, asked, waits, least, until };
         self.checks.insert(ticket, check);
         self.look(ticket);
     }
 
     fn not_everywhere(&self) -> String {
         let names: Vec<String> = match &self.part {
-            Part::Voting { voter, grants: Some(grants), .. } => {
-                grants.waits(self.now(), voter.steps()).iter().map(|waits| waits.name.to_string()).collect()
-            }
+            VoterRole::Voting { voter, grants: Some(grants), .. } => grants
+                .pending_members(self.now(), voter.version_state())
+                .iter()
+                .map(|waits| waits.name.to_string())
+                .collect(),
             _ => Vec::new(),
         };
         format!("the last step is not everywhere yet: {}", names.join(", "))
@@ -99,7 +103,7 @@
         let Some(check) = self.checks.get_mut(&ticket) else { return };
         if let Some(fault) = fault {
             if let Some(check) = self.checks.remove(&ticket) {
-                self.end(check.wisher, Reply::Refused(format!("{from}: {fault}")));
+                self.end(check.wisher, AdminReply::Rejected(format!("{from}: {fault}")));
             }
             return;
         }
@@ -116,14 +120,14 @@
     /// Goes on with a proposal for which nobody is waited any more.
     fn look(&mut self, ticket: u64) {
         let (now, at) = (self.now(), Instant::now());
-        let own = &self.setup.own;
-        let (Part::Voting { voter, grants: Some(grants), .. }, Some(check)) =
+        let own = &self.setup.local_name;
+        let (VoterRole::Voting { voter, grants: Some(grants), .. }, Some(check)) =
             (&self.part, self.checks.get_mut(&ticket))
         else {
             return;
         };
         // Also those of whom nothing was known when it began.
-        let fresh = self.setup.times.lease;
+        let fresh = self.setup.lease_times.lease;
         let heard = self.digests.iter().filter(|(name, (_, at))| *name != own && at.elapsed() < fresh);
         let more: BTreeSet<Name> =
             heard.map(|(name, _)| name).filter(|name| !check.asked.contains(*name)).cloned().collect();
@@ -131,45 +135,56 @@
         check.waits.extend(more.iter().cloned());
         if at >= check.least {
             let holds =
-                |name: &Name| grants.until(name).is_none_or(|until| until > now) || more.contains(name);
+                |name: &Name| grants.lease_end(name).is_none_or(|until| until > now) || more.contains(name);
             check.waits.retain(holds);
         }
-        let steps = voter.steps();
-        let left = match steps.step {
-            Step::Settled(number) if steps.version(number).is_some_and(|v| v.digest != check.digest) => {
-                grants.waits(now, steps).is_empty()
+        let steps = voter.version_state();
+        let left = match steps.phase {
+            Phase::Stable(number) if steps.version(number).is_some_and(|v| v.digest != check.digest) => {
+                grants.pending_members(now, steps).is_empty()
             }
             _ => true,
         };
         let (done, over) = (check.waits.is_empty() && left, at >= check.until);
         if !more.is_empty() {
             let text = check.text.clone();
-            self.tell_all(&more, &Say::Check { ticket, text });
+            self.tell_all(&more, &PeerMessage::ValidationRequest { ticket, text });
         }
         if !done && !over {
             return;
         }
         let epoch = steps.epoch;
         let why = (!left).then(|| self.not_everywhere());
-        let Some(Checking { text, expect, wisher, waits, .. }) = self.checks.remove(&ticket) else { return };
+        let Some(ProposalValidation { text, expect, wisher, waits, .. }) = self.checks.remove(&ticket) else {
+            return;
+        };
         if !done {
             // Whoever holds a lease and does not answer may be one that can't act on it.
             let names: Vec<String> = waits.iter().map(ToString::to_string).collect();
             let silent = || format!("{} did not say whether it can act on this", names.join(", "));
             let why = if waits.is_empty() { why.unwrap_or_default() } else { silent() };
-            return self.end(wisher, Reply::Unavailable(why));
+            return self.end(wisher, AdminReply::Unavailable(why));
         }
         let by = match &wisher {
-            Wisher::There(name, _) => name.to_string(),
-            _ => self.setup.own.to_string(),
+            Requester::There(name, _) => name.to_string(),
+            _ => self.setup.local_name.to_string(),
         };
-        self.put(Command::Propose { epoch, expect, text, by, at_ms: unix_ms() }, wisher);
+        self.put(
+            Command::Propose {
+                epoch,
+                expected: expect,
+                text,
+                proposed_by: by,
+                proposed_at_unix_ms: unix_ms(),
+            },
+            wisher,
+        );
     }
 
     /// This voter leads no more, or only just.
     pub(crate) fn check_no_more(&mut self, why: &str) {
         for check in std::mem::take(&mut self.checks).into_values() {
-            self.end(check.wisher, Reply::Unavailable(why.into()));
+            self.end(check.wisher, AdminReply::Unavailable(why.into()));
         }
     }
 }
--- a/crates/consensus/tests/cluster.rs
+++ b/crates/consensus/tests/cluster.rs
@@ -2,8 +2,8 @@
 
 mod voters;
 
-use maplehook_consensus::voter::Ended;
-use maplehook_versions::steps::{Command, Refused};
+use maplehook_consensus::voter::ProposalOutcome;
+use maplehook_versions::version_state::{Command, CommandError};
 use voters::Cluster;
 
 fn storm(n: usize, seed: u64, lies: bool) -> Result<usize, String> {
@@ -78,9 +78,9 @@
     cluster.play(60);
     assert_eq!(cluster.acknowledged.len(), before);
     assert!(cluster.leader().is_none(), "it leads no more, and says so");
-    assert_eq!(cluster.ended.get(&1), Some(&Ended::Unknown));
+    assert_eq!(cluster.ended.get(&1), Some(&ProposalOutcome::Unknown));
     // A read that nobody confirms is none.
-    assert!(!cluster.voters[leader].as_mut().unwrap().read(5));
+    assert!(!cluster.voters[leader].as_mut().unwrap().confirm_leadership(5));
 }
 
 /// A snapshot that is lost on its way is sent again, by the same leader.
@@ -111,13 +111,19 @@
     for ticket in 0..40u64 {
         let Some(leader) = cluster.leader() else { continue };
         let voter = cluster.voters[leader].as_mut().unwrap();
-        let epoch = voter.steps().epoch;
+        let epoch = voter.version_state().epoch;
         let text = format!("{ticket} {long}");
-        let command = match voter.steps().step {
-            maplehook_versions::steps::Step::Strictest { .. } => Command::Advance { epoch },
-            _ => Command::Propose { epoch, expect: None, text: text.clone(), by: "b0".into(), at_ms: 0 },
+        let command = match voter.version_state().phase {
+            maplehook_versions::version_state::Phase::Transition { .. } => Command::Advance { epoch },
+            _ => Command::Propose {
+                epoch,
+                expected: None,
+                text: text.clone(),
+                proposed_by: "b0".into(),
+                proposed_at_unix_ms: 0,
+            },
         };
-        let newest = voter.steps().versions.last().map(|v| v.text.clone());
+        let newest = voter.version_state().versions.last().map(|v| v.text.clone());
         let of = if matches!(command, Command::Advance { .. }) { newest.unwrap() } else { text };
         cluster.texts.insert(ticket, of);
         voter.propose(ticket, &command);
@@ -146,10 +152,10 @@
         let long = if number % 16 == 0 { 256 << 10 } else { 4 << 10 };
         let body = vec![(number % 251) as u8; long];
         let leader = cluster.leader().unwrap();
-        let command = Command::Common { expect: number, body };
+        let command = Command::ReplaceDocument { expected: number, body };
         assert!(cluster.voters[leader].as_mut().unwrap().propose(number, &command));
         cluster.play(2);
-        assert_eq!(cluster.ended.get(&number), Some(&Ended::Played(Ok(number + 1))));
+        assert_eq!(cluster.ended.get(&number), Some(&ProposalOutcome::Applied(Ok(number + 1))));
         let kept = &cluster.disks[leader].kept;
         let bytes: usize = kept.entries.iter().map(|e| e.data.len()).sum();
         most = most.max(bytes + kept.snapshot.get_data().len());
@@ -158,13 +164,16 @@
     println!("{most} bytes in a log at the most");
     // The same number again is refused by the log itself.
     let leader = cluster.leader().unwrap();
-    let again = Command::Common { expect: 999, body: Vec::new() };
+    let again = Command::ReplaceDocument { expected: 999, body: Vec::new() };
     cluster.voters[leader].as_mut().unwrap().propose(5000, &again);
     cluster.play(4);
-    assert_eq!(cluster.ended.get(&5000), Some(&Ended::Played(Err(Refused::Common { number: 1000 }))));
+    assert_eq!(
+        cluster.ended.get(&5000),
+        Some(&ProposalOutcome::Applied(Err(CommandError::UnexpectedDocument { number: 1000 })))
+    );
     cluster.start(lags);
     cluster.check().unwrap();
-    let common = &cluster.steps(lags).unwrap().common;
+    let common = &cluster.steps(lags).unwrap().shared_document;
     assert_eq!((common.number, common.body[0]), (1000, (999 % 251) as u8));
 }
 
@@ -186,13 +195,16 @@
             cluster.play(8);
             if let Some(leader) = cluster.leader() {
                 let voter = cluster.voters[leader].as_mut().unwrap();
-                let expect = voter.steps().common.number;
-                voter.propose(round, &Command::Common { expect, body: round.to_be_bytes().to_vec() });
+                let expect = voter.version_state().shared_document.number;
+                voter.propose(
+                    round,
+                    &Command::ReplaceDocument { expected: expect, body: round.to_be_bytes().to_vec() },
+                );
             }
             cluster.play(6);
         }
         for (round, ended) in &cluster.ended {
-            if let Ended::Played(Ok(number)) = ended {
+            if let ProposalOutcome::Applied(Ok(number)) = ended {
                 assert_eq!(
                     said.insert(*number, *round),
                     None,
@@ -201,7 +213,7 @@
             }
         }
         cluster.check().unwrap_or_else(|e| panic!("seed {seed}: {e}"));
-        let common = cluster.steps(0).unwrap().common.clone();
+        let common = cluster.steps(0).unwrap().shared_document.clone();
         done += said.len();
         if let Some((number, round)) = said.last_key_value() {
             assert!(
--- a/crates/consensus/tests/fleet/mod.rs
+++ b/crates/consensus/tests/fleet/mod.rs
@@ -3,13 +3,16 @@
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use maplehook_cluster::Name;
-use maplehook_consensus::store::{Batch, Store};
-use maplehook_consensus::talk::{Op, Reply, Say};
-use maplehook_consensus::voter::{Voter, id};
-use maplehook_consensus::{Agreeing, Local, PLACES, Put, Setup, Standing, Ways as Maker};
+use maplehook_consensus::messages::{AdminReply, AdminRequest, PeerMessage};
+use maplehook_consensus::store::{Store, WriteBatch};
+use maplehook_consensus::voter::{Voter, voter_id};
+use maplehook_consensus::{
+    ConsensusConfig, ConsensusService, LocalStatus, PartChannels as Maker, PartProposal,
+    SHARED_DOCUMENT_TOPIC, SharedDocumentStatus,
+};
 use maplehook_transport::Talk;
 use maplehook_transport::frames::Message;
-use maplehook_versions::grants::{CutOff, Times};
+use maplehook_versions::lease_manager::{LeaseExpiryPolicy, LeaseTimes};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -32,21 +35,21 @@
 
 pub struct Fleet {
     pub names: Vec<Name>,
-    pub parts: Vec<Option<Agreeing>>,
+    pub parts: Vec<Option<ConsensusService>>,
     pub places: Vec<Option<Maker>>,
     pub rollout: Vec<Option<Maker>>,
-    pub times: Times,
+    pub times: LeaseTimes,
     pub runtime: Runtime,
     /// Whose serving thread acts on nothing new.
     pub stuck: Arc<Mutex<BTreeSet<usize>>>,
     ways: Arc<Mutex<Ways>>,
     voters: usize,
-    cut_off: CutOff,
+    cut_off: LeaseExpiryPolicy,
     place: PathBuf,
 }
 
 impl Fleet {
-    pub fn new(members: usize, contradiction_ms: u64, cut_off: CutOff) -> Self {
+    pub fn new(members: usize, contradiction_ms: u64, cut_off: LeaseExpiryPolicy) -> Self {
         static FLEETS: AtomicU32 = AtomicU32::new(0);
         let own = FLEETS.fetch_add(1, Ordering::Relaxed);
         let place = std::env::temp_dir().join(format!("maplehook-fleet-{}-{own}", std::process::id()));
@@ -55,7 +58,7 @@
             parts: names.iter().map(|_| None).collect(),
             places: names.iter().map(|_| None).collect(),
             rollout: names.iter().map(|_| None).collect(),
-            times: Times::new(Duration::from_millis(contradiction_ms)).unwrap(),
+            times: LeaseTimes::new(Duration::from_millis(contradiction_ms)).unwrap(),
             runtime: Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap(),
             stuck: Arc::default(),
             ways: Arc::default(),
@@ -65,7 +68,7 @@
             names,
         };
         (0..members).for_each(|n| fleet.start(n, FILE));
-        until("all act on version 1", || fleet.alive().all(|part| part.acting.borrow().epoch == 1));
+        until("all act on version 1", || fleet.alive().all(|part| part.active_version.borrow().epoch == 1));
         fleet
     }
 
@@ -74,22 +77,22 @@
         let ((say, mut said), (tell, heard)) = (mpsc::channel(1024), mpsc::channel(1024));
         let own = self.names[n].clone();
         self.ways.lock().unwrap().ears.insert(own.clone(), tell);
-        let setup = Setup {
-            own: own.clone(),
+        let setup = ConsensusConfig {
+            local_name: own.clone(),
             voters: self.names[..self.voters].to_vec(),
             members: self.names.iter().cloned().collect(),
-            times: self.times,
-            cut_off: self.cut_off,
+            lease_times: self.times,
+            expiry_policy: self.cut_off,
             directory: (n < self.voters).then(|| self.place.join(own.as_str())),
             file: file.into(),
         };
-        let mut part = Agreeing::start(setup, Talk { say, heard }).unwrap();
+        let mut part = ConsensusService::start(setup, Talk { say, heard }).unwrap();
         let ways = Arc::clone(&self.ways);
         self.runtime.spawn(async move {
             while let Some((to, message)) = said.recv().await {
                 let mut ways = ways.lock().unwrap();
-                ways.mistaken |=
-                    message.topic == PLACES && postcard::from_bytes::<Say>(&message.body).is_ok();
+                ways.mistaken |= message.topic == SHARED_DOCUMENT_TOPIC
+                    && postcard::from_bytes::<PeerMessage>(&message.body).is_ok();
                 // `Say::Acts` and `Say::Common`, by their first byte.
                 let new = message.topic == 3 && matches!(message.body.first(), Some(12 | 13));
                 if new && (ways.old.contains(&own) || ways.old.contains(&to)) {
@@ -103,14 +106,14 @@
                 }
             }
         });
-        let (mut acting, applied) = (part.acting.clone(), part.applied.clone());
-        let (mut standing, acts) = (part.standing.clone(), part.acts.clone());
+        let (mut acting, applied) = (part.active_version.clone(), part.applied_epoch.clone());
+        let (mut standing, acts) = (part.failover_status.clone(), part.applied_document.clone());
         let stuck = Arc::clone(&self.stuck);
         self.runtime.spawn(async move {
             loop {
                 let epoch = acting.borrow_and_update().epoch;
                 applied.send_if_modified(|before| std::mem::replace(before, epoch) != epoch);
-                let number = standing.borrow_and_update().common.as_ref().map_or(0, |common| common.number);
+                let number = standing.borrow_and_update().received.as_ref().map_or(0, |common| common.number);
                 if !stuck.lock().unwrap().contains(&n) {
                     acts.send_if_modified(|before| std::mem::replace(before, number) != number);
                 }
@@ -120,7 +123,7 @@
                 }
             }
         });
-        self.places[n] = part.places.take();
+        self.places[n] = part.failover.take();
         self.rollout[n] = part.rollout.take();
         self.parts[n] = Some(part);
     }
@@ -153,25 +156,25 @@
         self.ways.lock().unwrap().mistaken
     }
 
-    pub fn alive(&self) -> impl Iterator<Item = &Agreeing> {
+    pub fn alive(&self) -> impl Iterator<Item = &ConsensusService> {
         self.parts.iter().flatten()
     }
 
-    pub fn standing(&self, n: usize) -> Standing {
-        self.parts[n].as_ref().unwrap().standing.borrow().clone()
+    pub fn standing(&self, n: usize) -> SharedDocumentStatus {
+        self.parts[n].as_ref().unwrap().failover_status.borrow().clone()
     }
 
     /// The number that is held here with a lease.
     pub fn holds(&self, n: usize) -> Option<u64> {
         let standing = self.standing(n);
-        standing.until.filter(|until| *until > Instant::now())?;
-        standing.common.map(|common| common.number)
+        standing.lease_end.filter(|until| *until > Instant::now())?;
+        standing.received.map(|common| common.number)
     }
 
     pub fn leader(&self) -> usize {
         let mut found = None;
         until("somebody leads, and knows that", || {
-            found = (0..self.parts.len()).find(|n| self.parts[*n].is_some() && self.standing(*n).leads);
+            found = (0..self.parts.len()).find(|n| self.parts[*n].is_some() && self.standing(*n).is_leader);
             found.is_some()
         });
         found.unwrap()
@@ -185,28 +188,28 @@
         begin_put(self.places[n].as_ref().unwrap(), expect, body)
     }
 
-    pub fn wish(&self, n: usize, op: Op) -> (Local, Reply) {
-        let wishes = self.parts[n].as_ref().unwrap().wishes();
-        self.runtime.block_on(wishes.ask(op)).unwrap()
+    pub fn wish(&self, n: usize, op: AdminRequest) -> (LocalStatus, AdminReply) {
+        let wishes = self.parts[n].as_ref().unwrap().admin_client();
+        self.runtime.block_on(wishes.request(op)).unwrap()
     }
 
-    pub fn propose(&self, n: usize, mark: &str) -> Reply {
-        self.wish(n, Op::Propose { text: shared(mark), expect: None }).1
+    pub fn propose(&self, n: usize, mark: &str) -> AdminReply {
+        self.wish(n, AdminRequest::Propose { text: shared(mark), expected: None }).1
     }
 
     /// Its log as an earlier program would have compacted it: without the common document.
     pub fn age(&self, n: usize) {
         let (store, kept) = Store::open(&self.place.join(self.names[n].as_str())).unwrap().unwrap();
-        let mut voter = Voter::new(id(&self.names[n]), &self.names, kept.clone()).unwrap();
-        voter.settle(&mut |_| Ok(())).unwrap();
+        let mut voter = Voter::new(voter_id(&self.names[n]), &self.names, kept.clone()).unwrap();
+        voter.process_ready(&mut |_| Ok(())).unwrap();
         let seats: BTreeMap<u64, String> = BTreeMap::new();
         let mut snapshot = kept.snapshot.clone();
-        let commit = kept.hard.commit;
+        let commit = kept.hard_state.commit;
         if let Some(entry) = kept.entries.iter().find(|entry| entry.index == commit) {
             (snapshot.mut_metadata().index, snapshot.mut_metadata().term) = (entry.index, entry.term);
         }
-        snapshot.set_data(postcard::to_stdvec(&(voter.steps(), seats)).unwrap().into());
-        store.write(&Batch { hard: None, snapshot: Some(&snapshot), entries: &[] }).unwrap();
+        snapshot.set_data(postcard::to_stdvec(&(voter.version_state(), seats)).unwrap().into());
+        store.write(&WriteBatch { hard_state: None, snapshot: Some(&snapshot), entries: &[] }).unwrap();
     }
 
     pub fn disk(&self, n: usize) -> u64 {
@@ -217,7 +220,10 @@
 
 pub fn begin_put(maker: &Maker, expect: u64, body: &[u8]) -> oneshot::Receiver<Result<u64, String>> {
     let (done, ended) = oneshot::channel();
-    maker.put.blocking_send(Put { expect, body: body.to_vec(), done }).unwrap();
+    maker
+        .proposals
+        .blocking_send(PartProposal { expected: expect, body: body.to_vec(), outcome: done })
+        .unwrap();
     ended
 }
 
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,7 +1,8 @@
 //! The store on disk, as an earlier program wrote it: it is opened, and holds what was written.
 
 use maplehook_consensus::store::{
-    Batch, Kept, Store, founders, founding, has_voted, keep_founders, seat, take_seat,
+    PersistedState, Store, WriteBatch, bootstrap_number, create_replacement, has_voted, read_founders,
+    replacement_number, write_founders,
 };
 use maplehook_golden::{assert_text, hex};
 use protobuf::Message as _;
@@ -22,8 +23,8 @@
 
 /// What a voter writes in its life: a log, entries, a vote, its founders; then a place of another voter.
 fn written(directory: &Path) {
-    founding(directory, 42).unwrap();
-    keep_founders(directory, &[("b1".into(), 42), ("b2".into(), 43)]).unwrap();
+    bootstrap_number(directory, 42).unwrap();
+    write_founders(directory, &[("b1".into(), 42), ("b2".into(), 43)]).unwrap();
     let mut begins = raft::eraftpb::Snapshot::default();
     begins.mut_metadata().index = 1;
     begins.mut_metadata().term = 1;
@@ -36,14 +37,14 @@
     };
     let entries = [entry(2, b"two"), entry(3, b"three")];
     let hard = HardState { term: 2, vote: 7, commit: 3, ..HardState::default() };
-    store.write(&Batch { hard: Some(&hard), snapshot: None, entries: &entries }).unwrap();
+    store.write(&WriteBatch { hard_state: Some(&hard), snapshot: None, entries: &entries }).unwrap();
 }
 
-fn described(kept: &Kept) -> String {
+fn described(kept: &PersistedState) -> String {
     let bytes = |message: &dyn Fn() -> Vec<u8>| hex(&message());
     let mut text = format!(
         "hard {}\nsnapshot {}\n",
-        bytes(&|| kept.hard.write_to_bytes().unwrap()),
+        bytes(&|| kept.hard_state.write_to_bytes().unwrap()),
         bytes(&|| kept.snapshot.write_to_bytes().unwrap())
     );
     for entry in &kept.entries {
@@ -61,15 +62,15 @@
     let directory = std::env::temp_dir().join(format!("maplehook-golden-store-{}", std::process::id()));
     copied(&recorded, &directory);
     assert!(has_voted(&directory));
-    assert_eq!(founding(&directory, 1).unwrap(), 42);
-    assert_eq!(founders(&directory), [("b1".to_owned(), 42), ("b2".to_owned(), 43)]);
-    assert_eq!(seat(&directory).unwrap(), None);
+    assert_eq!(bootstrap_number(&directory, 1).unwrap(), 42);
+    assert_eq!(read_founders(&directory), [("b1".to_owned(), 42), ("b2".to_owned(), 43)]);
+    assert_eq!(replacement_number(&directory).unwrap(), None);
     let (store, kept) = Store::open(&directory).unwrap().unwrap();
     assert_text("store.txt", &described(&kept));
     drop(store);
-    let (store, kept) = take_seat(&directory, 5).unwrap();
+    let (store, kept) = create_replacement(&directory, 5).unwrap();
     assert_text("store-replaced.txt", &described(&kept));
     drop(store);
-    assert_eq!(seat(&directory).unwrap(), Some(5));
+    assert_eq!(replacement_number(&directory).unwrap(), Some(5));
     std::fs::remove_dir_all(directory).unwrap();
 }
--- a/crates/consensus/tests/killed.rs
+++ b/crates/consensus/tests/killed.rs
@@ -2,9 +2,9 @@
 //! there afterwards, whole, and nothing is half in force.
 
 use maplehook_cluster::Name;
-use maplehook_consensus::store::{self, Kept, Store, WRITE_POINTS};
-use maplehook_consensus::voter::{Ended, Voter, begins, id, seat_id};
-use maplehook_versions::steps::{Command, Step, digest};
+use maplehook_consensus::store::{self, PersistedState, Store, WRITE_POINTS};
+use maplehook_consensus::voter::{ProposalOutcome, Voter, initial_snapshot, replacement_voter_id, voter_id};
+use maplehook_versions::version_state::{Command, Phase, digest};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -26,26 +26,26 @@
     let (store, kept) = match Store::open(place).unwrap() {
         Some(opened) => opened,
         None => {
-            store::founding(place, 7).unwrap();
-            store::keep_founders(place, &[("b1".into(), 7)]).unwrap();
-            let begins = begins(&[own()]);
-            (Store::create(place, &begins).unwrap(), Kept::beginning(&begins))
+            store::bootstrap_number(place, 7).unwrap();
+            store::write_founders(place, &[("b1".into(), 7)]).unwrap();
+            let begins = initial_snapshot(&[own()]);
+            (Store::create(place, &begins).unwrap(), PersistedState::initial(&begins))
         }
     };
-    let seat = store::seat(place).unwrap();
-    let id = seat.map_or_else(|| id(&own()), |number| seat_id(&own(), number));
+    let seat = store::replacement_number(place).unwrap();
+    let id = seat.map_or_else(|| voter_id(&own()), |number| replacement_voter_id(&own(), number));
     (Voter::new(id, &[own()], kept).unwrap(), store)
 }
 
-fn settle(voter: &mut Voter, store: &Store) -> Vec<(u64, Ended)> {
-    voter.settle(&mut |batch| store.write(batch)).unwrap().ended
+fn settle(voter: &mut Voter, store: &Store) -> Vec<(u64, ProposalOutcome)> {
+    voter.process_ready(&mut |batch| store.write(batch)).unwrap().outcomes
 }
 
 fn lead(voter: &mut Voter, store: &Store) {
     for _ in 0..200 {
         voter.tick();
         settle(voter, store);
-        if voter.knows() {
+        if voter.is_established_leader() {
             return;
         }
     }
@@ -95,16 +95,22 @@
     let (mut voter, store) = open(&place);
     lead(&mut voter, &store);
     for ticket in 0..COMMANDS {
-        let epoch = voter.steps().epoch;
-        let next = voter.steps().versions.last().map_or(1, |version| version.number + 1);
-        let command = match voter.steps().step {
-            Step::Strictest { .. } => Command::Advance { epoch },
-            _ => Command::Propose { epoch, expect: None, text: text(next), by: "b1".into(), at_ms: 0 },
+        let epoch = voter.version_state().epoch;
+        let next = voter.version_state().versions.last().map_or(1, |version| version.number + 1);
+        let command = match voter.version_state().phase {
+            Phase::Transition { .. } => Command::Advance { epoch },
+            _ => Command::Propose {
+                epoch,
+                expected: None,
+                text: text(next),
+                proposed_by: "b1".into(),
+                proposed_at_unix_ms: 0,
+            },
         };
         assert!(voter.propose(ticket, &command));
         for (_, ended) in settle(&mut voter, &store) {
-            let Ended::Played(Ok(number)) = ended else { panic!("{ended:?}") };
-            println!("agreed {number} {}", voter.steps().epoch);
+            let ProposalOutcome::Applied(Ok(number)) = ended else { panic!("{ended:?}") };
+            println!("agreed {number} {}", voter.version_state().epoch);
         }
     }
 }
@@ -141,7 +147,7 @@
             acknowledged.extend(agreed);
             let (mut voter, store) = open(&place);
             lead(&mut voter, &store);
-            let steps = voter.steps();
+            let steps = voter.version_state();
             let newest = steps.versions.last().map_or(0, |version| version.number);
             for (number, epoch) in &acknowledged {
                 assert!(
@@ -193,8 +199,8 @@
             match Store::open(&place) {
                 // It has not begun, or is done.
                 Ok(Some((_, kept))) => {
-                    let seated = store::seat(&place).unwrap() == Some(99);
-                    assert_eq!(kept.hard.commit, u64::from(!seated), "{point} {pass}");
+                    let seated = store::replacement_number(&place).unwrap() == Some(99);
+                    assert_eq!(kept.hard_state.commit, u64::from(!seated), "{point} {pass}");
                 }
                 // In between it is nobody: it has no log, and says that it has none, or has lost it.
                 Ok(None) => {}
@@ -202,8 +208,8 @@
             }
             // The command is given again.
             assert!(seats("none").success());
-            assert_eq!(store::seat(&place).unwrap(), Some(99));
-            assert!(Store::open(&place).unwrap().is_some_and(|(_, kept)| kept == Kept::default()));
+            assert_eq!(store::replacement_number(&place).unwrap(), Some(99));
+            assert!(Store::open(&place).unwrap().is_some_and(|(_, kept)| kept == PersistedState::default()));
             std::fs::remove_dir_all(&place).unwrap();
         }
     }
@@ -214,5 +220,5 @@
 #[ignore = "the other test starts it"]
 fn a_seat() {
     let Some(place) = doomed() else { return };
-    store::take_seat(&place, 99).unwrap();
+    store::create_replacement(&place, 99).unwrap();
 }
--- a/crates/consensus/tests/lost.rs
+++ b/crates/consensus/tests/lost.rs
@@ -3,17 +3,17 @@
 mod fleet;
 
 use fleet::{FILE, Fleet, shared, until};
-use maplehook_consensus::Mode;
-use maplehook_consensus::talk::{Op, Reply};
-use maplehook_versions::grants::CutOff;
+use maplehook_consensus::EnforcementMode;
+use maplehook_consensus::messages::{AdminReply, AdminRequest};
+use maplehook_versions::lease_manager::LeaseExpiryPolicy;
 use std::time::{Duration, Instant};
 
 fn label(fleet: &Fleet, n: usize) -> String {
-    fleet.parts[n].as_ref().unwrap().acting.borrow().label.clone()
+    fleet.parts[n].as_ref().unwrap().active_version.borrow().label.clone()
 }
 
 fn everywhere(fleet: &Fleet, label: &str) -> bool {
-    fleet.alive().all(|part| part.acting.borrow().label == label)
+    fleet.alive().all(|part| part.active_version.borrow().label == label)
 }
 
 #[test]
@@ -38,7 +38,7 @@
 }
 
 fn goes_on(contradiction_ms: u64, lost: usize, kills: bool, at_leader: bool) {
-    let mut fleet = Fleet::new(4, contradiction_ms, CutOff::Careful);
+    let mut fleet = Fleet::new(4, contradiction_ms, LeaseExpiryPolicy::Conservative);
     let leader = fleet.leader();
     // Never the leader itself: that is another matter.
     let lost = if lost == leader { 0 } else { lost };
@@ -53,13 +53,17 @@
     let begun = Instant::now();
     let reply = fleet.propose(at, "next");
     let took = begun.elapsed();
-    assert_eq!(reply, Reply::Done(2), "lost {lost}, asked {at}, after {took:?}");
-    assert!(took < fleet.times.longest_lease() + Duration::from_millis(300), "{took:?}");
+    assert_eq!(reply, AdminReply::Done(2), "lost {lost}, asked {at}, after {took:?}");
+    assert!(took < fleet.times.max_lease() + Duration::from_millis(300), "{took:?}");
     if kills {
         fleet.start(lost, FILE);
     } else {
-        let cut = fleet.parts[lost].as_ref().unwrap().acting.borrow().clone();
-        assert_eq!(cut.mode(Instant::now()), Mode::Careful, "its lease ended before the step began");
+        let cut = fleet.parts[lost].as_ref().unwrap().active_version.borrow().clone();
+        assert_eq!(
+            cut.mode(Instant::now()),
+            EnforcementMode::Conservative,
+            "its lease ended before the step began"
+        );
         fleet.heal();
     }
     until("it is told when it returns", || everywhere(&fleet, "2"));
@@ -77,7 +81,7 @@
 }
 
 fn goes_on_without_the_leader(kills: bool) {
-    let mut fleet = Fleet::new(4, 3000, CutOff::Refuse);
+    let mut fleet = Fleet::new(4, 3000, LeaseExpiryPolicy::Reject);
     let first = fleet.leader();
     if kills {
         fleet.kill(first)
@@ -86,15 +90,15 @@
     }
     let mut next = None;
     until("another one leads", || {
-        next = (0..4).find(|n| *n != first && fleet.standing(*n).leads);
+        next = (0..4).find(|n| *n != first && fleet.standing(*n).is_leader);
         next.is_some()
     });
     let begun = Instant::now();
-    assert_eq!(fleet.propose(next.unwrap(), "next"), Reply::Done(2));
-    assert!(begun.elapsed() < fleet.times.longest_lease() + Duration::from_millis(400));
+    assert_eq!(fleet.propose(next.unwrap(), "next"), AdminReply::Done(2));
+    assert!(begun.elapsed() < fleet.times.max_lease() + Duration::from_millis(400));
     if !kills {
-        let before = fleet.parts[first].as_ref().unwrap().acting.borrow().clone();
-        assert_eq!(before.mode(Instant::now()), Mode::Refuses, "its lease had ended");
+        let before = fleet.parts[first].as_ref().unwrap().active_version.borrow().clone();
+        assert_eq!(before.mode(Instant::now()), EnforcementMode::RejectAll, "its lease had ended");
     }
     let all = || (0..4).filter(|n| *n != first).all(|n| label(&fleet, n) == "2");
     until("all that are left have it", all);
@@ -103,47 +107,51 @@
 /// Whoever is there and refuses is heard, also while another one is lost.
 #[test]
 fn a_refusal_stays_one() {
-    let mut fleet = Fleet::new(4, 1000, CutOff::Careful);
+    let mut fleet = Fleet::new(4, 1000, LeaseExpiryPolicy::Conservative);
     let leader = fleet.leader();
     let others: Vec<usize> = (0..4).filter(|n| *n != leader).collect();
     // Its own file has [clients] known and no reserve for it, say: here, the first tenant has another name.
     let text = shared("next") + "[[tenant]]\nname = \"other\"\n";
     fleet.kill(others[0]);
     let begun = Instant::now();
-    let reply = fleet.wish(leader, Op::Propose { text, expect: None }).1;
-    assert!(matches!(&reply, Reply::Refused(why) if why.contains("tenant")), "{reply:?}");
+    let reply = fleet.wish(leader, AdminRequest::Propose { text, expected: None }).1;
+    assert!(matches!(&reply, AdminReply::Rejected(why) if why.contains("tenant")), "{reply:?}");
     assert!(begun.elapsed() < Duration::from_millis(500), "{:?}", begun.elapsed());
 }
 
 /// One comes back that can't act on what was agreed without it: it stays careful, is named, and holds nobody up.
 #[test]
 fn whoever_returns_and_cannot_act_on_it_stays_careful_and_is_named() {
-    let mut fleet = Fleet::new(4, 1000, CutOff::Careful);
+    let mut fleet = Fleet::new(4, 1000, LeaseExpiryPolicy::Conservative);
     let leader = fleet.leader();
     let away = 3;
     fleet.kill(away);
-    assert_eq!(fleet.propose(leader, "next"), Reply::Done(2));
+    assert_eq!(fleet.propose(leader, "next"), AdminReply::Done(2));
     until("without it", || everywhere(&fleet, "2"));
     // Beside [eureka] the upstreams of its file stay; those that were agreed on are others.
     let file = FILE.replace("address = \"127.0.0.1:9\"", "address = \"127.0.0.1:10\"")
         + "[eureka]\nservers = [\"127.0.0.1:9\"]\napp = \"DESKS\"\n";
     fleet.start(away, &file);
-    until("it says what is wrong", || fleet.wish(away, Op::Status).0.voter.is_some());
-    let acting = fleet.parts[away].as_ref().unwrap().acting.borrow().clone();
-    assert_eq!(acting.mode(Instant::now()), Mode::Careful);
+    until("it says what is wrong", || fleet.wish(away, AdminRequest::Status).0.voter_problem.is_some());
+    let acting = fleet.parts[away].as_ref().unwrap().active_version.borrow().clone();
+    assert_eq!(acting.mode(Instant::now()), EnforcementMode::Conservative);
     until("the leader names it", || {
-        fleet.wish(leader, Op::Status).0.voter.is_some_and(|why| why.starts_with("b4 can't act on it"))
+        fleet
+            .wish(leader, AdminRequest::Status)
+            .0
+            .voter_problem
+            .is_some_and(|why| why.starts_with("b4 can't act on it"))
     });
     until("nobody waits for it", || {
-        let reply = fleet.wish(leader, Op::Status).1;
-        matches!(reply, Reply::Overview(stands) if stands.members.iter().all(|member| !member.waits))
+        let reply = fleet.wish(leader, AdminRequest::Status).1;
+        matches!(reply, AdminReply::Status(stands) if stands.members.iter().all(|member| !member.is_pending))
     });
     // It is there and refuses what it can't act on either.
     let reply = fleet.propose(leader, "third");
-    assert!(matches!(&reply, Reply::Refused(why) if why.starts_with("b4: ")), "{reply:?}");
+    assert!(matches!(&reply, AdminReply::Rejected(why) if why.starts_with("b4: ")), "{reply:?}");
     // What is under way is not held up by it.
     fleet.cut(away);
-    assert_eq!(fleet.propose(leader, "third"), Reply::Done(3));
+    assert_eq!(fleet.propose(leader, "third"), AdminReply::Done(3));
     fleet.heal();
     until("the others go on", || (0..3).all(|n| label(&fleet, n) == "3"));
 }
--- a/crates/consensus/tests/seats.rs
+++ b/crates/consensus/tests/seats.rs
@@ -2,15 +2,15 @@
 
 mod voters;
 
-use maplehook_consensus::store::Kept;
-use maplehook_consensus::voter::{Ended, begins};
-use maplehook_versions::steps::Command;
+use maplehook_consensus::store::PersistedState;
+use maplehook_consensus::voter::{ProposalOutcome, initial_snapshot};
+use maplehook_versions::version_state::Command;
 use voters::Cluster;
 
 /// Three voters; the fourth is a member and no voter: its disk has no log.
 fn three_of_four(seed: u64) -> Cluster {
     let mut cluster = Cluster::new(4, seed, false);
-    let begins = begins(&cluster.names[..3]);
+    let begins = initial_snapshot(&cluster.names[..3]);
     for n in 0..3 {
         cluster.disks[n].kept.snapshot = begins.clone();
         cluster.crash(n);
@@ -41,7 +41,7 @@
         assert!(!cluster.replace(901, leader, 3, 78), "one at a time");
         cluster.play(200);
         assert!(
-            matches!(cluster.ended.get(&900), Some(Ended::Played(Ok(_)))),
+            matches!(cluster.ended.get(&900), Some(ProposalOutcome::Applied(Ok(_)))),
             "{:?}",
             cluster.ended.get(&900)
         );
@@ -76,12 +76,12 @@
     let mut changed = 0;
     for seed in 0..20u64 {
         let mut cluster = Cluster::new(5, seed, false);
-        let begins = begins(&cluster.names[..3]);
+        let begins = initial_snapshot(&cluster.names[..3]);
         for n in 0..5 {
             if n < 3 {
                 cluster.disks[n].kept.snapshot = begins.clone();
             } else {
-                cluster.disks[n].kept = Kept::default();
+                cluster.disks[n].kept = PersistedState::default();
             }
             cluster.crash(n);
         }
@@ -95,7 +95,7 @@
                 0 => cluster.crash(victim),
                 1 => {
                     let had: Vec<usize> =
-                        (0..5).filter(|n| cluster.disks[*n].kept != Kept::default()).collect();
+                        (0..5).filter(|n| cluster.disks[*n].kept != PersistedState::default()).collect();
                     had.into_iter().for_each(|n| cluster.start(n));
                 }
                 2 => {
@@ -120,7 +120,7 @@
             cluster.play(6);
         }
         let ended = cluster.ended.iter().filter(|(ticket, _)| **ticket % 1000 >= 500);
-        changed += ended.filter(|(_, ended)| matches!(ended, Ended::Played(_))).count();
+        changed += ended.filter(|(_, ended)| matches!(ended, ProposalOutcome::Applied(_))).count();
         cluster.check().unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     }
     assert!(changed > 20, "{changed}");
@@ -153,7 +153,7 @@
         }
         cluster.play(1);
         let voter = cluster.voters[replaced].as_mut().unwrap();
-        if voter.unseated() {
+        if voter.is_replaced() {
             assert!(!voter.propose(1, &Command::Undo { epoch: 0 }), "it leads no more");
         }
     }
@@ -162,14 +162,14 @@
     voters.sort();
     assert_eq!(cluster.votes(rest), voters);
     assert!(cluster.leader().is_some_and(|n| n == rest || n == 3), "{:?}", cluster.leader());
-    assert!(cluster.voters[replaced].as_ref().unwrap().unseated());
+    assert!(cluster.voters[replaced].as_ref().unwrap().is_replaced());
 }
 
 /// A voter that lags hears the leader, though that took its place after all that the lagging one knows.
 #[test]
 fn whoever_lags_hears_a_leader_that_came_later() {
     let mut cluster = Cluster::new(5, 23, false);
-    let begins = begins(&cluster.names[..3]);
+    let begins = initial_snapshot(&cluster.names[..3]);
     for n in 0..3 {
         cluster.disks[n].kept.snapshot = begins.clone();
         cluster.crash(n);
@@ -188,7 +188,7 @@
     // Of the two that know of each other the new one leads.
     for _ in 0..20 {
         if let Some(leads) = cluster.leader().filter(|n| *n != 3) {
-            cluster.voters[leads].as_mut().unwrap().hand_over();
+            cluster.voters[leads].as_mut().unwrap().transfer_leadership();
         }
         cluster.play(20);
     }
--- a/crates/consensus/tests/voters/mod.rs
+++ b/crates/consensus/tests/voters/mod.rs
@@ -3,9 +3,9 @@
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use maplehook_cluster::Name;
-use maplehook_consensus::store::{Batch, Kept};
-use maplehook_consensus::voter::{Ended, Voter, begins, id, seat_id};
-use maplehook_versions::steps::{Command, Steps};
+use maplehook_consensus::store::{PersistedState, WriteBatch};
+use maplehook_consensus::voter::{ProposalOutcome, Voter, initial_snapshot, replacement_voter_id, voter_id};
+use maplehook_versions::version_state::{Command, VersionState};
 use protobuf::Message as _;
 use raft::eraftpb::{MessageType, Snapshot};
 use std::collections::BTreeMap;
@@ -13,18 +13,18 @@
 /// A disk: what is synced outlives a crash.
 #[derive(Clone)]
 pub struct Disk {
-    pub kept: Kept,
+    pub kept: PersistedState,
     /// A planted flaw: it says that it has synced and has not.
     pub lies: bool,
 }
 
 impl Disk {
-    fn write(&mut self, batch: &Batch<'_>) {
+    fn write(&mut self, batch: &WriteBatch<'_>) {
         if self.lies {
             return;
         }
-        if let Some(hard) = batch.hard {
-            self.kept.hard = hard.clone();
+        if let Some(hard) = batch.hard_state {
+            self.kept.hard_state = hard.clone();
         }
         if let Some(snapshot) = batch.snapshot {
             self.kept.snapshot = snapshot.clone();
@@ -51,7 +51,7 @@
     pub ways: Vec<(usize, usize, Vec<u8>)>,
     pub rng: fastrand::Rng,
     pub loss: f64,
-    pub ended: BTreeMap<u64, Ended>,
+    pub ended: BTreeMap<u64, ProposalOutcome>,
     /// Versions that somebody was told are agreed, by number.
     pub acknowledged: BTreeMap<u64, String>,
     pub texts: BTreeMap<u64, String>,
@@ -62,16 +62,16 @@
 impl Cluster {
     pub fn new(n: usize, seed: u64, lies: bool) -> Self {
         let names: Vec<Name> = (0..n).map(|k| Name::new(&format!("b{k}")).unwrap()).collect();
-        let begins: Snapshot = begins(&names);
-        let mut kept = Kept { snapshot: begins.clone(), ..Kept::default() };
-        (kept.hard.term, kept.hard.commit) = (1, 1);
+        let begins: Snapshot = initial_snapshot(&names);
+        let mut kept = PersistedState { snapshot: begins.clone(), ..PersistedState::default() };
+        (kept.hard_state.term, kept.hard_state.commit) = (1, 1);
         let disks = vec![Disk { kept, lies }; n];
         let voters = disks
             .iter()
             .zip(&names)
-            .map(|(d, own)| Voter::new(id(own), &names, d.kept.clone()).ok())
+            .map(|(d, own)| Voter::new(voter_id(own), &names, d.kept.clone()).ok())
             .collect();
-        let ids = names.iter().map(id).collect();
+        let ids = names.iter().map(voter_id).collect();
         Self {
             names,
             ids,
@@ -102,7 +102,7 @@
     pub fn settle(&mut self, n: usize) {
         let (Some(voter), disk) = (&mut self.voters[n], &mut self.disks[n]) else { return };
         let settled = voter
-            .settle(&mut |batch| {
+            .process_ready(&mut |batch| {
                 disk.write(batch);
                 Ok(())
             })
@@ -111,9 +111,10 @@
             let Some(to) = self.ids.iter().position(|id| *id == to) else { continue };
             self.ways.push((n, to, bytes));
         }
-        for (ticket, ended) in settled.ended {
+        for (ticket, ended) in settled.outcomes {
             // A change of voters has no text.
-            if let (Ended::Played(Ok(number)), Some(text)) = (&ended, self.texts.get(&ticket).cloned())
+            if let (ProposalOutcome::Applied(Ok(number)), Some(text)) =
+                (&ended, self.texts.get(&ticket).cloned())
                 && self.acknowledged.insert(*number, text.clone()).is_some_and(|before| before != text)
             {
                 self.broken = Some(format!("version {number} was acknowledged twice"));
@@ -151,29 +152,35 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        (0..self.voters.len()).find(|n| self.voters[*n].as_ref().is_some_and(Voter::knows))
+        (0..self.voters.len()).find(|n| self.voters[*n].as_ref().is_some_and(Voter::is_established_leader))
     }
 
     pub fn propose(&mut self, ticket: u64) -> bool {
         let Some(leader) = self.leader() else { return false };
         let Some(voter) = &mut self.voters[leader] else { return false };
-        let epoch = voter.steps().epoch;
+        let epoch = voter.version_state().epoch;
         let text = format!("text {ticket}");
-        let command = match voter.steps().step {
-            maplehook_versions::steps::Step::Strictest { .. } => Command::Advance { epoch },
-            _ => Command::Propose { epoch, expect: None, text: text.clone(), by: "b0".into(), at_ms: 0 },
+        let command = match voter.version_state().phase {
+            maplehook_versions::version_state::Phase::Transition { .. } => Command::Advance { epoch },
+            _ => Command::Propose {
+                epoch,
+                expected: None,
+                text: text.clone(),
+                proposed_by: "b0".into(),
+                proposed_at_unix_ms: 0,
+            },
         };
         if matches!(command, Command::Propose { .. }) {
             self.texts.insert(ticket, text);
         } else {
-            let to = voter.steps().versions.last().unwrap().text.clone();
+            let to = voter.version_state().versions.last().unwrap().text.clone();
             self.texts.insert(ticket, to);
         }
         voter.propose(ticket, &command)
     }
 
-    pub fn steps(&self, n: usize) -> Option<&Steps> {
-        self.voters[n].as_ref().map(Voter::steps)
+    pub fn steps(&self, n: usize) -> Option<&VersionState> {
+        self.voters[n].as_ref().map(Voter::version_state)
     }
 
     /// What was acknowledged is there, at everybody, the same.
@@ -191,8 +198,9 @@
         for n in (0..self.voters.len()).filter(|n| voters.contains(&self.names[*n].to_string())) {
             let steps = self.steps(n).ok_or("it does not run")?;
             if *steps != first {
-                let words =
-                    |steps: &Steps| format!("epoch {}, {} versions", steps.epoch, steps.versions.len());
+                let words = |steps: &VersionState| {
+                    format!("epoch {}, {} versions", steps.epoch, steps.versions.len())
+                };
                 return Err(format!("voter {n} has {}, the leader {leader} {}", words(steps), words(&first)));
             }
         }
@@ -213,19 +221,21 @@
     /// already says its number again, and whoever takes itself for a voter takes none.
     pub fn asked(&mut self, leader: usize, n: usize, number: u64) -> Option<u64> {
         let leads = self.voters[leader].as_ref()?;
-        let (named, changes) = (leads.names_voter(&self.names[n]), leads.changes());
+        let (named, changes) = (leads.is_voter_name(&self.names[n]), leads.has_pending_conf_change());
         if changes || named {
             return None;
         }
         let voter = self.voters[n].as_ref();
-        if voter.is_some_and(Voter::waits) {
+        if voter.is_some_and(Voter::awaits_snapshot) {
             return self.numbers.get(&n).copied();
         }
-        if voter.is_some_and(|voter| !voter.unseated()) {
+        if voter.is_some_and(|voter| !voter.is_replaced()) {
             return None;
         }
         // One that does not run can't answer, but for those that have had no part in votes yet.
-        if voter.is_none() && (self.disks[n].kept != Kept::default() || self.numbers.contains_key(&n)) {
+        if voter.is_none()
+            && (self.disks[n].kept != PersistedState::default() || self.numbers.contains_key(&n))
+        {
             return None;
         }
         self.comes(n, number);
@@ -235,8 +245,8 @@
     /// A member with an empty disk, which waits for a place under a number of its own.
     pub fn comes(&mut self, n: usize, number: u64) {
         self.numbers.insert(n, number);
-        self.ids[n] = seat_id(&self.names[n], number);
-        self.disks[n].kept = Kept::default();
+        self.ids[n] = replacement_voter_id(&self.names[n], number);
+        self.disks[n].kept = PersistedState::default();
         self.voters[n] = None;
         self.start(n);
     }
@@ -244,7 +254,7 @@
     pub fn replace(&mut self, ticket: u64, old: usize, new: usize, number: u64) -> bool {
         let Some(leader) = self.leader() else { return false };
         let (old, new) = (self.names[old].clone(), self.names[new].clone());
-        self.voters[leader].as_mut().unwrap().replace(ticket, &old, &new, number)
+        self.voters[leader].as_mut().unwrap().replace_voter(ticket, &old, &new, number)
     }
 
     pub fn votes(&self, n: usize) -> Vec<String> {
--- a/crates/failover-agent/src/act.rs
+++ b/crates/failover-agent/src/act.rs
@@ -15,7 +15,7 @@
     /// Says by what to act, if that is something else than before.
     pub(crate) fn act(&mut self) {
         let (Some(config), now) = (self.config(), self.now()) else { return };
-        let until = self.standing().until;
+        let until = self.standing().lease_end;
         let holds = until.is_some_and(|until| Instant::now() < until);
         let (sights, demand) = self.sights();
         let Some(acting) = &mut self.acting else { return };
--- a/crates/failover-agent/src/board.rs
+++ b/crates/failover-agent/src/board.rs
@@ -5,7 +5,7 @@
 use crate::shown::{Shown, ShownRow, trips};
 use crate::talk::{Agreed, Reply, Wish};
 use maplehook_address_announcement::{Announce, Answer, Own};
-use maplehook_consensus::Standing;
+use maplehook_consensus::SharedDocumentStatus;
 use maplehook_history_checker::What;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -107,7 +107,7 @@
 #[derive(Clone)]
 pub struct Board {
     pub(crate) stands: watch::Receiver<Stands>,
-    pub(crate) standing: Option<watch::Receiver<Standing>>,
+    pub(crate) standing: Option<watch::Receiver<SharedDocumentStatus>>,
     pub(crate) wishes: mpsc::Sender<Wished>,
     pub(crate) past: Arc<Mutex<VecDeque<Past>>>,
     pub(crate) writer: Writer,
@@ -180,7 +180,7 @@
         let stands = self.stands.borrow().clone();
         let config = stands.config.as_ref()?;
         let address = config.addresses.iter().find(|address| address.name == name)?;
-        let lease = self.standing.as_ref().and_then(|standing| standing.borrow().until);
+        let lease = self.standing.as_ref().and_then(|standing| standing.borrow().lease_end);
         let now = Instant::now();
         let since = |at: Instant| at.saturating_duration_since(self.epoch);
         let site = config.topology.region_name(config.topology.region_of(config.own)).to_owned();
@@ -235,7 +235,7 @@
     }
 }
 
-pub(crate) fn shown(stands: &Stands, standing: Option<&Standing>) -> Shown {
+pub(crate) fn shown(stands: &Stands, standing: Option<&SharedDocumentStatus>) -> Shown {
     let Some(config) = &stands.config else { return Shown::default() };
     let topology = &config.topology;
     let mut shown = match &stands.agreed {
@@ -251,7 +251,7 @@
     shown.own_region = topology.region_name(topology.region_of(config.own)).to_owned();
     if let Some(standing) = standing {
         shown.leader = standing.leader.as_ref().map(ToString::to_string);
-        let newest = standing.common.as_ref().map_or(0, |common| common.number);
+        let newest = standing.received.as_ref().map_or(0, |common| common.number);
         for (name, acts) in &standing.members {
             match acts {
                 None => shown.without.push(name.to_string()),
--- a/crates/failover-agent/src/run.rs
+++ b/crates/failover-agent/src/run.rs
@@ -11,7 +11,7 @@
 use crate::talk::{Agreed, Reply};
 use bytes::Bytes;
 use maplehook_cluster::Name;
-use maplehook_consensus::{Put, Standing};
+use maplehook_consensus::{PartProposal, SharedDocumentStatus};
 use maplehook_failover::Acting;
 use maplehook_history_checker::What;
 use maplehook_locality::Zone;
@@ -107,7 +107,7 @@
         self.setup.config.borrow().clone()
     }
 
-    pub(crate) fn standing(&self) -> Standing {
+    pub(crate) fn standing(&self) -> SharedDocumentStatus {
         self.setup.link.as_ref().map(|link| link.standing.borrow().clone()).unwrap_or_default()
     }
 
@@ -127,7 +127,7 @@
         loop {
             // A version without places leaves nothing to look at.
             let looks = self.acting.is_some() || !self.passed_on.is_empty();
-            let until = self.standing().until.map(tokio::time::Instant::from_std);
+            let until = self.standing().lease_end.map(tokio::time::Instant::from_std);
             let runs_out = until.filter(|until| *until > tokio::time::Instant::now());
             tokio::select! {
                 _ = &mut stopped => break,
@@ -192,7 +192,7 @@
     /// What is agreed on has changed, or who leads, or the lease.
     fn stood(&mut self) {
         let standing = self.standing();
-        if let Some(common) = standing.common.as_ref().filter(|common| common.number != self.number) {
+        if let Some(common) = standing.received.as_ref().filter(|common| common.number != self.number) {
             match Agreed::decode(&common.body) {
                 Some(agreed) => {
                     self.note_agreed(&agreed);
@@ -220,22 +220,22 @@
     }
 
     /// This one leads from now on, or no more.
-    fn lead(&mut self, standing: &Standing) {
-        let Some(config) = self.config().filter(|_| standing.leads) else {
+    fn lead(&mut self, standing: &SharedDocumentStatus) {
+        let Some(config) = self.config().filter(|_| standing.is_leader) else {
             if self.leading.take().is_some() {
                 tracing::info!("leads places no more");
                 self.give_up("the leader has lost its place");
             }
             return;
         };
-        let number = standing.agreed.as_ref().map_or(0, |agreed| agreed.number);
+        let number = standing.committed.as_ref().map_or(0, |agreed| agreed.number);
         if self.on_its_way.is_none() && number > self.rests_on {
             // A body that was given up, or another one's, has come to stand there after all.
             self.leading = None;
         }
         if self.leading.is_none() {
             self.rests_on = number;
-            let stands = standing.agreed.as_ref().map(|agreed| Agreed::decode(&agreed.body));
+            let stands = standing.committed.as_ref().map(|agreed| Agreed::decode(&agreed.body));
             let stands = match stands {
                 Some(None) => {
                     tracing::error!(
@@ -251,7 +251,7 @@
             };
             tracing::info!("leads places");
             let mut leading = Leading::new((*config).clone(), stands, self.now());
-            leading.set_longest_lease(standing.longest_lease);
+            leading.set_longest_lease(standing.max_lease);
             self.leading = Some(leading);
         }
     }
@@ -259,7 +259,7 @@
     fn note_agreed(&self, agreed: &Agreed) {
         let plan = &agreed.places.plan;
         if plan.epoch > 0 && self.board.writer.is_on() {
-            let digest = maplehook_versions::steps::digest(&format!("{:?}", plan.rows));
+            let digest = maplehook_versions::version_state::digest(&format!("{:?}", plan.rows));
             self.board.writer.note(What::Agreed { epoch: plan.epoch, digest: digest[..16].to_owned() });
         }
     }
@@ -292,15 +292,15 @@
         let (now, standing) = (self.now(), self.standing());
         let Some(leading) = &mut self.leading else { return };
         // Who is behind is said of what stands in the log: of an earlier body than this rests on it says nothing.
-        let number = standing.agreed.as_ref().map_or(0, |agreed| agreed.number);
+        let number = standing.committed.as_ref().map_or(0, |agreed| agreed.number);
         if self.on_its_way.is_some() || number != self.rests_on {
             return;
         }
         let aged = self.stood_at.elapsed();
         let behind: Vec<(String, Duration)> = standing
-            .behind
+            .lagging_members
             .iter()
-            .map(|behind| (behind.name.to_string(), behind.left.saturating_sub(aged)))
+            .map(|behind| (behind.name.to_string(), behind.max_remaining.saturating_sub(aged)))
             .filter(|(_, left)| !left.is_zero())
             .collect();
         let in_touch: Vec<(String, bool)> =
@@ -314,7 +314,9 @@
         let expect = self.rests_on;
         let (done, ended) = oneshot::channel();
         let sent = match &self.setup.link {
-            Some(link) => link.places.put.try_send(Put { expect, body, done }).is_ok(),
+            Some(link) => {
+                link.places.proposals.try_send(PartProposal { expected: expect, body, outcome: done }).is_ok()
+            }
             None => false,
         };
         self.on_its_way = Some(OnItsWay { done: ended, until: Instant::now() + WISH, wisher });
@@ -359,7 +361,9 @@
     }
 }
 
-async fn changed(standing: &mut Option<watch::Receiver<Standing>>) -> Result<(), watch::error::RecvError> {
+async fn changed(
+    standing: &mut Option<watch::Receiver<SharedDocumentStatus>>,
+) -> Result<(), watch::error::RecvError> {
     match standing {
         Some(standing) => {
             standing.changed().await?;
@@ -372,7 +376,7 @@
 
 async fn heard(link: &mut Option<Link>) -> Option<(Name, Bytes)> {
     match link {
-        Some(link) => link.places.heard.recv().await,
+        Some(link) => link.places.incoming.recv().await,
         None => std::future::pending().await,
     }
 }
--- a/crates/failover-agent/src/taking.rs
+++ b/crates/failover-agent/src/taking.rs
@@ -5,7 +5,7 @@
 use crate::history::Writer;
 use crate::rates::Seen;
 use crate::run::Runner;
-use maplehook_consensus::{Standing, Ways};
+use maplehook_consensus::{PartChannels, SharedDocumentStatus};
 use maplehook_failover::Acts;
 use maplehook_transport::Measured;
 use std::collections::VecDeque;
@@ -22,11 +22,11 @@
 /// A balancer's part in the agreement, as far as places go.
 pub struct Link {
     /// How it stands with what is agreed on.
-    pub standing: watch::Receiver<Standing>,
+    pub standing: watch::Receiver<SharedDocumentStatus>,
     /// By which number is acted.
     pub acts: watch::Sender<u64>,
     /// The ways.
-    pub places: Ways,
+    pub places: PartChannels,
 }
 
 /// What it takes part with.
--- a/crates/failover-agent/src/tell.rs
+++ b/crates/failover-agent/src/tell.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use maplehook_cluster::Name;
 use maplehook_cluster::words::fnv;
-use maplehook_consensus::PLACES;
+use maplehook_consensus::SHARED_DOCUMENT_TOPIC;
 use maplehook_failover::trips::{PEERS_MOST, Way};
 use maplehook_failover::{Acting, Report, Sight};
 use maplehook_transport::frames::Message;
@@ -25,7 +25,10 @@
         let Ok(body) = postcard::to_allocvec(say) else { return };
         if let Some(link) = &self.setup.link {
             // What does not fit is lost, as on a way.
-            let _ = link.places.say.try_send((to.clone(), Message { topic: PLACES, body: body.into() }));
+            let _ = link
+                .places
+                .outgoing
+                .try_send((to.clone(), Message { topic: SHARED_DOCUMENT_TOPIC, body: body.into() }));
         }
     }
 
--- a/crates/proxy/src/nearness.rs
+++ b/crates/proxy/src/nearness.rs
@@ -3,13 +3,13 @@
 use crate::versions::PlacesOf;
 use maplehook::parts::driver::Driver;
 use maplehook_config::Proxy;
-use maplehook_consensus::Agreeing;
+use maplehook_consensus::ConsensusService;
 use maplehook_core::{GroupShares, Shares, ZoneId};
 use maplehook_failover_agent::rates::{RuleSeen, Seen, ZoneSeen};
 use maplehook_failover_agent::{Acted, Config, Link, Setup, TARGETS_MOST, Taking};
 use maplehook_locality::Zone;
 use maplehook_transport::Measured;
-use maplehook_versions::numbers::{Numbered, Numbers};
+use maplehook_versions::stable_ids::{ResolvedRules, StableIds};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -37,10 +37,10 @@
 
 impl Names {
     /// Of what a version comes to here.
-    pub fn of(numbered: &Numbered) -> Self {
+    pub fn of(numbered: &ResolvedRules) -> Self {
         Self {
-            classes: numbered.classes.clone(),
-            tenants: numbered.tenants.clone(),
+            classes: numbered.class_names.clone(),
+            tenants: numbered.tenant_names.clone(),
             zones: numbered.zone_names.clone(),
         }
     }
@@ -90,17 +90,17 @@
 
 impl Part {
     /// Begins it; with a part in the agreement, where there is one.
-    pub fn begin(begin: Begin<'_>, agreeing: Option<&mut Agreeing>) -> Result<Self, String> {
+    pub fn begin(begin: Begin<'_>, agreeing: Option<&mut ConsensusService>) -> Result<Self, String> {
         let Begin { name, proxy, ready, trips, balancers, history } = begin;
         let (config, configs) = watch::channel(None);
         let (names_to, names) = watch::channel(Names::default());
         let (seen, sees) = watch::channel(Seen::default());
         let of = PlacesOf { config, names: names_to };
         // Numbers from the start on, as versions go on with them.
-        of.tell(proxy, &Numbers::default().take(proxy));
+        of.tell(proxy, &StableIds::default().assign(proxy));
         let link = agreeing.and_then(|agreeing| {
-            let places = agreeing.places.take()?;
-            let (standing, acts) = (agreeing.standing.clone(), agreeing.acts.clone());
+            let places = agreeing.failover.take()?;
+            let (standing, acts) = (agreeing.failover_status.clone(), agreeing.applied_document.clone());
             Some(Link { standing, acts, places })
         });
         let start = maplehook_transport::unix_ms();
--- a/crates/proxy/src/serve/file.rs
+++ b/crates/proxy/src/serve/file.rs
@@ -45,7 +45,7 @@
     let agrees = agreement.is_some();
     if agrees {
         // Until it is known what the others act on.
-        proxy = maplehook_versions::strict::careful(&proxy);
+        proxy = maplehook_versions::compatibility::conservative(&proxy);
     }
     let longest = proxy.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
     let mut plan = Plan {
@@ -130,7 +130,7 @@
                 of,
             );
             versions.stages = stages;
-            (versions, agreeing.acting.clone(), agreeing.applied.clone())
+            (versions, agreeing.active_version.clone(), agreeing.applied_epoch.clone())
         });
         let beside = parts.led.as_ref().map(Led::beside);
         let settings = plan.settings.clone();
--- a/crates/proxy/src/serve/parts.rs
+++ b/crates/proxy/src/serve/parts.rs
@@ -14,7 +14,7 @@
 use maplehook::parts::upstream::Upstreams;
 use maplehook_admission::{Door, Part};
 use maplehook_config::{Proxy, Tier};
-use maplehook_consensus::Agreeing;
+use maplehook_consensus::ConsensusService;
 use maplehook_core::Balancer;
 use maplehook_rollout_agent::{Link, Setup, Taking};
 use maplehook_transport::{Member, Secret};
@@ -40,7 +40,7 @@
     /// Its part in a tier. It says that it goes when this is dropped.
     pub(super) member: Option<Member>,
     /// Its part in agreeing on versions.
-    pub(super) agreeing: Option<Agreeing>,
+    pub(super) agreeing: Option<ConsensusService>,
     /// Its part in places.
     pub(super) places: Option<nearness::Part>,
     /// Its part in changes in stages.
@@ -99,7 +99,7 @@
             staging = proxy.map(|proxy| stages(tier, proxy, file, &mut began)).transpose()?.flatten();
             let shuts = staging.as_ref().map(|staging| staging.board.clone());
             board.rollout = shuts.clone().map(|shown| rollout::Desk::new(shown, Arc::clone(&sealed)));
-            board.settings = Some(Arc::new(Guard::new(Arc::clone(&sealed), began.wishes(), shuts)));
+            board.settings = Some(Arc::new(Guard::new(Arc::clone(&sealed), began.admin_client(), shuts)));
             (agreeing, seal) = (Some(began), Some(sealed));
         }
         let places = proxy.map(|proxy| {
@@ -167,14 +167,14 @@
     tier: &Tier,
     proxy: &Proxy,
     file: String,
-    agreeing: &mut Agreeing,
+    agreeing: &mut ConsensusService,
 ) -> Result<Option<Taking>, String> {
     let Some(ways) = agreeing.rollout.take() else { return Ok(None) };
     let link = Link {
-        standing: agreeing.rollout_standing.clone(),
+        standing: agreeing.rollout_status.clone(),
         ways,
-        acting: agreeing.acting.clone(),
-        wishes: agreeing.wishes(),
+        acting: agreeing.active_version.clone(),
+        wishes: agreeing.admin_client(),
     };
     let names = tier.peers.keys().chain([&tier.name]).map(ToString::to_string).collect();
     let setup = Setup {
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -6,9 +6,9 @@
 use crate::wishes::{Done, PATH, Shown};
 use hyper::StatusCode;
 use maplehook_config::Operator;
-use maplehook_consensus::talk::Op;
+use maplehook_consensus::messages::AdminRequest;
 use maplehook_transport::Secret;
-use maplehook_versions::steps::Version;
+use maplehook_versions::version_state::Version;
 use std::error::Error;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -101,13 +101,13 @@
                 let text = read(address, &format!("{PATH}?history"))?;
                 let versions: Vec<Version> = serde_json::from_str(&text)?;
                 let row = |v: &Version| {
-                    let undone = if v.undone { "  undone" } else { "" };
+                    let undone = if v.is_undone { "  undone" } else { "" };
                     format!(
                         "{:>6}  {}  by {} at {} ms{undone}\n",
                         v.number,
                         &v.digest[..12.min(v.digest.len())],
-                        v.by,
-                        v.at_ms
+                        v.proposed_by,
+                        v.proposed_at_unix_ms
                     )
                 };
                 let table = versions.iter().map(row).collect();
@@ -121,12 +121,14 @@
                 let (a, b) = (version(address, *a)?.0, version(address, *b)?.0);
                 Ok(Outcome { text: differences(&a.text, &b.text), code: 0 })
             }
-            Action::Undo => self.wish(address, operator, &Op::Undo),
+            Action::Undo => self.wish(address, operator, &AdminRequest::Undo),
             Action::ReplaceVoter { old, new } => {
-                let op = Op::Replace { old: old.clone(), new: new.clone() };
+                let op = AdminRequest::Replace { old: old.clone(), new: new.clone() };
                 self.wish(address, operator, &op)
             }
-            Action::Forget { name } => self.wish(address, operator, &Op::Forget { name: name.clone() }),
+            Action::Forget { name } => {
+                self.wish(address, operator, &AdminRequest::Forget { name: name.clone() })
+            }
             Action::Propose { file, expect, wait } => self.propose(address, operator, file, *expect, *wait),
         }
     }
@@ -137,7 +139,12 @@
         Ok((text, shown))
     }
 
-    fn wish(&self, address: SocketAddr, operator: &Operator, op: &Op) -> Result<Outcome, Box<dyn Error>> {
+    fn wish(
+        &self,
+        address: SocketAddr,
+        operator: &Operator,
+        op: &AdminRequest,
+    ) -> Result<Outcome, Box<dyn Error>> {
         let of_file = operator.tier.as_ref().map(|tier| tier.secret_file.clone());
         let file = self
             .secret_file
@@ -190,7 +197,7 @@
         }
         let begun = Instant::now();
         let most = Duration::from_secs(wait.unwrap_or(0));
-        let op = Op::Propose { text: shared, expect };
+        let op = AdminRequest::Propose { text: shared, expected: expect };
         // What has no answer, or is not possible yet, may be said again: the same text is the same version.
         let proposed = loop {
             match self.wish(address, operator, &op) {
--- a/crates/proxy/src/versions.rs
+++ b/crates/proxy/src/versions.rs
@@ -15,10 +15,10 @@
 use maplehook::tally::Counting;
 use maplehook_canary::Side;
 use maplehook_config::Proxy;
-use maplehook_consensus::{Acting, Mode};
+use maplehook_consensus::{ActiveVersion, EnforcementMode};
 use maplehook_failover_agent::Config;
 use maplehook_rollout_agent::{Acked, Staged};
-use maplehook_versions::numbers::{Numbered, Numbers};
+use maplehook_versions::stable_ids::{ResolvedRules, StableIds};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -26,11 +26,11 @@
 use tokio::time::{Instant, sleep_until};
 
 /// What is acted on: the epoch, how it is read, and the change and side of a stage.
-type Present = (u64, Mode, Option<(u64, Side)>);
+type Present = (u64, EnforcementMode, Option<(u64, Side)>);
 
 /// Whom a version concerns.
 pub struct Versions {
-    numbers: Numbers,
+    numbers: StableIds,
     /// Whether another process of this balancer grants, too.
     two: bool,
     /// The list, where it is the file's.
@@ -59,7 +59,7 @@
 
 impl PlacesOf {
     /// A version is in force from now on, or a file from the start on.
-    pub fn tell(&self, proxy: &Proxy, numbered: &Numbered) {
+    pub fn tell(&self, proxy: &Proxy, numbered: &ResolvedRules) {
         let names = Names::of(numbered);
         self.names.send_if_modified(|before| {
             let news = *before != names;
@@ -86,15 +86,15 @@
         refuses: Arc<AtomicBool>,
         places: PlacesOf,
     ) -> Self {
-        let mut numbers = Numbers::default();
-        places.tell(began_with, &numbers.take(began_with));
+        let mut numbers = StableIds::default();
+        places.tell(began_with, &numbers.assign(began_with));
         Self { numbers, two: false, lists, requests, entrance, upstreams, refuses, places, stages: None }
     }
 
     /// Follows what is to be acted on, as long as the process lives.
     pub async fn follow(
         mut self,
-        mut acting: watch::Receiver<Acting>,
+        mut acting: watch::Receiver<ActiveVersion>,
         applied: watch::Sender<u64>,
         driver: Rc<Driver>,
         counting: Rc<Counting>,
@@ -108,13 +108,14 @@
         loop {
             let now = Instant::now();
             let wanted = acting.borrow_and_update().clone();
-            let until = wanted.until.map(Instant::from_std);
+            let until = wanted.lease_end.map(Instant::from_std);
             let mode = wanted.mode(now.into_std());
-            let holds = mode == Mode::Rules;
+            let holds = mode == EnforcementMode::Current;
             let told_staged = staged.as_mut().and_then(|staged| staged.borrow_and_update().clone());
             // It takes the place of this very version, as long as that is acted on in full.
-            let stage =
-                told_staged.clone().filter(|stage| mode == Mode::Rules && stage.rests_on == wanted.label);
+            let stage = told_staged
+                .clone()
+                .filter(|stage| mode == EnforcementMode::Current && stage.rests_on == wanted.label);
             let key = (wanted.epoch, mode, stage.as_ref().map(|stage| (stage.number, stage.side)));
             self.upstreams.lease(maplehook_config_follower::lease(&wanted, mode, now.into_std()));
             if present.replace(key) != Some(key) {
@@ -159,42 +160,42 @@
     /// one, which the decisions are still to be told.
     fn apply(
         &mut self,
-        acting: &Acting,
-        mode: Mode,
+        acting: &ActiveVersion,
+        mode: EnforcementMode,
         stage: Option<&Staged>,
         driver: &Rc<Driver>,
         counting: &Counting,
     ) -> bool {
-        let proxy = stage.map_or_else(|| acting.of(mode), |stage| &stage.rules);
-        let numbered = self.numbers.take(proxy);
+        let proxy = stage.map_or_else(|| acting.rules_for(mode), |stage| &stage.rules);
+        let numbered = self.numbers.assign(proxy);
         self.places.tell(proxy, &numbered);
         let guarantees: Vec<f64> = numbered.settings.tenants.iter().map(|t| t.allowance_per_s).collect();
         if let Some(part) = &self.stages {
             part.counts.aim(numbered.settings.classes.iter().map(|class| class.aim).collect());
         }
-        let entries = Fixed::listed(proxy.listed(|zone| numbered.zone(zone))).into_entries();
-        driver.retune(supervised::halved(numbered.settings, self.two), numbered.gone);
-        counting.name(&numbered.classes);
+        let entries = Fixed::listed(proxy.listed(|zone| numbered.zone_id(zone))).into_entries();
+        driver.retune(supervised::halved(numbered.settings, self.two), numbered.removed_tenants);
+        counting.name(&numbered.class_names);
         self.entrance.guarantee(&guarantees);
         self.entrance.know(proxy.clients.known.clone());
         let listed = self.lists.as_ref().is_some_and(|lists| lists.set(entries));
         let label = proxy.version.then(|| match stage.map(|stage| stage.side) {
-            Some(Side::New) => acting.told(mode) + ";new",
-            Some(Side::Old) | None => acting.told(mode),
+            Some(Side::New) => acting.label_for(mode) + ";new",
+            Some(Side::Old) | None => acting.label_for(mode),
         });
         let refused = proxy.clients.refused.clone();
         self.requests.replace(numbered.rules, numbered.passages, refused, label.as_deref());
-        self.requests.refuse(mode == Mode::Refuses);
-        self.refuses.store(mode == Mode::Refuses, Ordering::Release);
+        self.requests.refuse(mode == EnforcementMode::RejectAll);
+        self.refuses.store(mode == EnforcementMode::RejectAll, Ordering::Release);
         match mode {
-            Mode::Rules => {
+            EnforcementMode::Current => {
                 tracing::info!(version = acting.label, stage = ?stage.map(|stage| (stage.number, stage.side)), "in force here");
             }
-            Mode::Careful => tracing::warn!(
+            EnforcementMode::Conservative => tracing::warn!(
                 version = acting.label,
                 "no word from the other balancers: nothing is sent twice until there is"
             ),
-            Mode::Refuses => {
+            EnforcementMode::RejectAll => {
                 tracing::warn!(version = acting.label, "no word from the other balancers: all is refused")
             }
         }
--- a/crates/proxy/src/wishes.rs
+++ b/crates/proxy/src/wishes.rs
@@ -2,10 +2,10 @@
 
 use crate::signed::Seal;
 use hyper::StatusCode;
-use maplehook_consensus::talk::{Op, Overview, Reply};
-use maplehook_consensus::{Local, Wishes};
+use maplehook_consensus::messages::{AdminReply, AdminRequest, ClusterStatus};
+use maplehook_consensus::{AdminClient, LocalStatus};
 use maplehook_rollout_agent::Board as Staging;
-use maplehook_versions::steps::Step;
+use maplehook_versions::version_state::Phase;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 use std::sync::Arc;
@@ -19,23 +19,23 @@
 /// Takes operators' wishes, from whoever has the secret.
 pub struct Guard {
     seal: Arc<Seal>,
-    wishes: Wishes,
+    wishes: AdminClient,
     staging: Option<Staging>,
 }
 
 impl Guard {
     /// Of calls under this seal; while settings are changed in stages there is no other change of them.
-    pub fn new(seal: Arc<Seal>, wishes: Wishes, staging: Option<Staging>) -> Self {
+    pub fn new(seal: Arc<Seal>, wishes: AdminClient, staging: Option<Staging>) -> Self {
         Self { seal, wishes, staging }
     }
 
     /// The answer to a `GET`, by its query.
     pub async fn show(&self, query: Option<&str>) -> (StatusCode, String) {
         let op = match query {
-            None | Some("") => Op::Status,
-            Some("history") => Op::History,
+            None | Some("") => AdminRequest::Status,
+            Some("history") => AdminRequest::History,
             Some(query) => match query.strip_prefix("show=").and_then(|number| number.parse().ok()) {
-                Some(number) => Op::Show { number },
+                Some(number) => AdminRequest::Show { number },
                 None => return (StatusCode::BAD_REQUEST, "?history or ?show=NUMBER\n".into()),
             },
         };
@@ -49,7 +49,7 @@
             return (StatusCode::FORBIDDEN, why.into());
         }
         match serde_json::from_slice(body) {
-            Ok(op @ (Op::Propose { .. } | Op::Undo)) => {
+            Ok(op @ (AdminRequest::Propose { .. } | AdminRequest::Undo)) => {
                 match self.staging.as_ref().and_then(Staging::shuts_settings) {
                     Some(why) => (StatusCode::CONFLICT, why + "\n"),
                     None => self.ask(op).await,
@@ -60,19 +60,19 @@
         }
     }
 
-    async fn ask(&self, op: Op) -> (StatusCode, String) {
-        let is_status = op == Op::Status;
-        let Some((local, reply)) = self.wishes.ask(op).await else {
+    async fn ask(&self, op: AdminRequest) -> (StatusCode, String) {
+        let is_status = op == AdminRequest::Status;
+        let Some((local, reply)) = self.wishes.request(op).await else {
             return (StatusCode::SERVICE_UNAVAILABLE, "the agreement's thread does not answer\n".into());
         };
         let (status, shown) = match reply {
-            Reply::Overview(overview) => (StatusCode::OK, json(&Shown::of(&local, Some(&overview)))),
+            AdminReply::Status(overview) => (StatusCode::OK, json(&Shown::of(&local, Some(&overview)))),
             // What is known here is worth something.
-            Reply::Unavailable(_) if is_status => (StatusCode::OK, json(&Shown::of(&local, None))),
-            Reply::Done(version) => (StatusCode::OK, json(&Done { version })),
-            Reply::Versions(versions) => (StatusCode::OK, json(&versions)),
-            Reply::Refused(why) => (StatusCode::CONFLICT, why),
-            Reply::Unavailable(why) => (StatusCode::SERVICE_UNAVAILABLE, why),
+            AdminReply::Unavailable(_) if is_status => (StatusCode::OK, json(&Shown::of(&local, None))),
+            AdminReply::Done(version) => (StatusCode::OK, json(&Done { version })),
+            AdminReply::Versions(versions) => (StatusCode::OK, json(&versions)),
+            AdminReply::Rejected(why) => (StatusCode::CONFLICT, why),
+            AdminReply::Unavailable(why) => (StatusCode::SERVICE_UNAVAILABLE, why),
         };
         (status, shown + "\n")
     }
@@ -140,42 +140,42 @@
     pub differ: Vec<(String, Vec<String>)>,
 }
 
-fn label(step: Step) -> String {
+fn label(step: Phase) -> String {
     match step {
-        Step::Unsettled => "0".into(),
-        Step::Settled(number) => number.to_string(),
-        Step::Strictest { from, to } => format!("{from}-{to}"),
+        Phase::Initial => "0".into(),
+        Phase::Stable(number) => number.to_string(),
+        Phase::Transition { from, to } => format!("{from}-{to}"),
     }
 }
 
 impl Shown {
-    fn of(local: &Local, overview: Option<&Overview>) -> Self {
+    fn of(local: &LocalStatus, overview: Option<&ClusterStatus>) -> Self {
         let ms = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
         let members = overview.map(|overview| {
-            let member = |stands: &maplehook_consensus::talk::Stands| ShownMember {
+            let member = |stands: &maplehook_consensus::messages::MemberStatus| ShownMember {
                 name: stands.name.clone(),
-                version: stands.epoch.filter(|epoch| *epoch == overview.epoch).map(|_| label(overview.step)),
+                version: stands.epoch.filter(|epoch| *epoch == overview.epoch).map(|_| label(overview.phase)),
                 epoch: stands.epoch,
-                waits: stands.waits,
-                waits_ms: stands.waits_ms,
+                waits: stands.is_pending,
+                waits_ms: stands.max_wait_ms,
             };
             overview.members.iter().map(member).collect()
         });
         Self {
-            in_force: local.in_force,
-            step: local.step.to_string(),
-            label: label(local.step),
+            in_force: local.active_version,
+            step: local.phase.to_string(),
+            label: label(local.phase),
             epoch: local.epoch,
             epoch_agreed: overview.map(|overview| overview.epoch),
             digest: local.digest.clone(),
-            lease_ms_left: local.lease_left.map(ms),
-            careful: local.careful,
+            lease_ms_left: local.lease_remaining.map(ms),
+            careful: local.lacks_lease,
             leader: local.leader.clone(),
-            trouble: local.voter.clone(),
+            trouble: local.voter_problem.clone(),
             members: members.unwrap_or_default(),
             voters: overview.map(|overview| overview.voters.clone()).unwrap_or_default(),
-            agreed: overview.map(|overview| label(overview.step)),
-            differ: overview.map(|overview| overview.differ.clone()).unwrap_or_default(),
+            agreed: overview.map(|overview| label(overview.phase)),
+            differ: overview.map(|overview| overview.differing_files.clone()).unwrap_or_default(),
         }
     }
 
--- a/crates/proxy/tests/library.rs
+++ b/crates/proxy/tests/library.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use maplehook::{Call, Engine, Outcome};
 use maplehook_config_follower::Follower;
-use maplehook_consensus::Mode;
+use maplehook_consensus::EnforcementMode;
 use maplehook_core::{ClassId, TenantId};
 use maplehook_test_servers::until;
 use maplehook_testbed::balancer::Keeps;
@@ -98,7 +98,7 @@
     // Cut off it is careful, and serves; the others go on without it within what is promised.
     world.between(&[0, 1, 2], &[3], |trouble| trouble.silent = true);
     world.between(&[3], &[0, 1, 2], |trouble| trouble.silent = true);
-    until("it is careful", || follower.followed().mode == Mode::Careful);
+    until("it is careful", || follower.followed().mode == EnforcementMode::Conservative);
     assert!(served(&call(&runtime, &engine, &follower, 40)));
     let (code, said) = propose(&world, "effect = \"idempotent\"", "effect = \"at_most_once\"");
     assert_eq!(code, Some(0), "{said}");
@@ -117,7 +117,7 @@
     let (world, engine, follower) = world("when_cut_off = \"refuse\"\n");
     assert!(served(&call(&runtime, &engine, &follower, 1)));
     world.between(&[0, 1, 2], &[3], |trouble| trouble.silent = true);
-    until("its lease has run out", || follower.followed().mode == Mode::Refuses);
+    until("its lease has run out", || follower.followed().mode == EnforcementMode::RejectAll);
     let before: u64 = world.apps.iter().map(|app| app.requests() as u64).sum();
     assert!(!served(&call(&runtime, &engine, &follower, 2)));
     assert_eq!(world.apps.iter().map(|app| app.requests() as u64).sum::<u64>(), before);
--- a/crates/rollout-agent/src/document.rs
+++ b/crates/rollout-agent/src/document.rs
@@ -1,7 +1,7 @@
 //! What is agreed on of changes in stages: one part of the common document.
 
 use maplehook_canary::Report;
-use maplehook_consensus::PART_MOST;
+use maplehook_consensus::MAX_PART_BYTES;
 use maplehook_rollout::{Rollout, State};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -112,8 +112,11 @@
     /// For the log; an error where it is too long.
     pub fn encode(&self) -> Result<Vec<u8>, String> {
         let bytes = postcard::to_allocvec(self).map_err(|e| e.to_string())?;
-        if bytes.len() > PART_MOST {
-            return Err(format!("{} bytes are more than the {PART_MOST} that may be agreed on", bytes.len()));
+        if bytes.len() > MAX_PART_BYTES {
+            return Err(format!(
+                "{} bytes are more than the {MAX_PART_BYTES} that may be agreed on",
+                bytes.len()
+            ));
         }
         Ok(bytes)
     }
--- a/crates/rollout-agent/src/parts.rs
+++ b/crates/rollout-agent/src/parts.rs
@@ -4,7 +4,7 @@
 //! [`strict`]: maplehook_versions::strict
 
 use maplehook_config::Proxy;
-use maplehook_versions::strict::{contradictions, strictest};
+use maplehook_versions::compatibility::{conflicts, strictest};
 use std::collections::BTreeMap;
 
 /// What one side acts on while the other acts on `other`: its own times, weights and guarantees, and for the rest the strictest
@@ -44,9 +44,9 @@
 /// What of a change may be staged; an error where none of it may, or where even its strictest reading contradicts.
 pub fn parts(old: &Proxy, new: &Proxy) -> Result<Parts, String> {
     const ORDINARY: &str = "propose it the ordinary way: maplehook settings propose FILE";
-    let kept_back = contradictions(old, new);
+    let kept_back = conflicts(old, new);
     let (before, after) = (staged(old, new), staged(new, old));
-    let left = contradictions(&before, &after);
+    let left = conflicts(&before, &after);
     if !left.is_empty() {
         return Err(format!("even read strictly this contradicts: {}; {ORDINARY}", left.join("; ")));
     }
@@ -204,7 +204,7 @@
         #[test]
         fn the_sides_never_contradict(old in any_proxy(), new in any_proxy()) {
             if parts(&old, &new).is_ok() {
-                let found = contradictions(&staged(&old, &new), &staged(&new, &old));
+                let found = conflicts(&staged(&old, &new), &staged(&new, &old));
                 prop_assert!(found.is_empty(), "{found:?}");
             }
         }
--- a/crates/rollout-agent/src/put.rs
+++ b/crates/rollout-agent/src/put.rs
@@ -5,18 +5,18 @@
 use crate::run::{CALM, OnItsWay, Runner, WISH, Wisher, read};
 use crate::taking::WISHES_MOST;
 use crate::talk::{Reply, Wish};
-use maplehook_consensus::talk::{Op, Reply as Said};
-use maplehook_consensus::{Mode, Put, Standing, Wishes};
+use maplehook_consensus::messages::{AdminReply as Said, AdminRequest};
+use maplehook_consensus::{AdminClient, EnforcementMode, PartProposal, SharedDocumentStatus};
 use maplehook_transport::unix_ms;
-use maplehook_versions::steps::digest;
+use maplehook_versions::version_state::digest;
 use std::sync::Arc;
 use std::time::Instant;
 use tokio::sync::oneshot;
 
 impl Runner {
     /// This one leads from now on, or no more.
-    pub(crate) fn lead(&mut self, standing: &Standing) {
-        if !standing.leads {
+    pub(crate) fn lead(&mut self, standing: &SharedDocumentStatus) {
+        if !standing.is_leader {
             if self.leading.take().is_some() {
                 tracing::info!("leads changes in stages no more");
                 if let Some((wisher, _)) = self.on_its_way.take().and_then(|on| on.wisher) {
@@ -29,14 +29,14 @@
             }
             return;
         }
-        let number = standing.agreed.as_ref().map_or(0, |agreed| agreed.number);
+        let number = standing.committed.as_ref().map_or(0, |agreed| agreed.number);
         if self.on_its_way.is_none() && number > self.rests_on {
             // A document that was given up, or another one's, has come to stand there after all.
             self.leading = None;
         }
         if self.leading.is_none() {
             self.rests_on = number;
-            let stands = standing.agreed.as_ref().map(|agreed| Document::decode(&agreed.body));
+            let stands = standing.committed.as_ref().map(|agreed| Document::decode(&agreed.body));
             let Some(stands) = stands.unwrap_or_else(|| Some(Document::default())) else {
                 // Written by a later program: whoever understands it has to lead.
                 return;
@@ -49,12 +49,12 @@
     /// The version in force, if one is here and none is on its way.
     fn in_force(&self) -> Option<u64> {
         let acting = self.setup.link.acting.borrow();
-        (acting.mode(Instant::now()) == Mode::Rules).then(|| acting.label.parse().ok()).flatten()
+        (acting.mode(Instant::now()) == EnforcementMode::Current).then(|| acting.label.parse().ok()).flatten()
     }
 
     pub(crate) fn decide(&mut self) {
         let (now, in_force) = (self.now(), self.in_force());
-        if self.on_its_way.is_some() || !self.standing().leads {
+        if self.on_its_way.is_some() || !self.standing().is_leader {
             return;
         }
         let Some(leading) = &mut self.leading else { return };
@@ -85,7 +85,13 @@
 
     fn put(&mut self, body: Vec<u8>, wisher: Option<(Wisher, u64)>) {
         let (done, ended) = oneshot::channel();
-        let sent = self.setup.link.ways.put.try_send(Put { expect: self.rests_on, body, done }).is_ok();
+        let sent = self
+            .setup
+            .link
+            .ways
+            .proposals
+            .try_send(PartProposal { expected: self.rests_on, body, outcome: done })
+            .is_ok();
         self.on_its_way = Some(OnItsWay { done: ended, until: Instant::now() + WISH, wisher });
         if !sent {
             self.ended(Err("the agreement's thread is busy".into()));
@@ -121,7 +127,7 @@
 
     /// An operator wants something, here or at another balancer.
     pub(crate) fn wish(&mut self, wish: Wish, wisher: Wisher, by: Option<String>) {
-        if self.leading.is_some() && self.standing().leads {
+        if self.leading.is_some() && self.standing().is_leader {
             if self.on_its_way.is_some() {
                 if self.waits.len() >= WISHES_MOST {
                     return self.end(wisher, Reply::Unavailable("too many wishes are under way".into()));
@@ -145,14 +151,14 @@
 }
 
 /// Proposes settings as the next version: its number, or why it can't be one; `None`: nobody knows, and it is tried again.
-async fn propose(wishes: &Wishes, text: String, rests_on: u64) -> Option<Result<u64, String>> {
+async fn propose(wishes: &AdminClient, text: String, rests_on: u64) -> Option<Result<u64, String>> {
     let of = digest(&text);
-    let (_, reply) = wishes.ask(Op::Propose { text, expect: Some(rests_on) }).await?;
+    let (_, reply) = wishes.request(AdminRequest::Propose { text, expected: Some(rests_on) }).await?;
     match reply {
         Said::Done(version) => Some(Ok(version)),
-        Said::Refused(why) => match wishes.ask(Op::Status).await {
+        Said::Rejected(why) => match wishes.request(AdminRequest::Status).await {
             // A leader before this one has proposed it.
-            Some((local, _)) if local.digest == of => Some(Ok(local.in_force)),
+            Some((local, _)) if local.digest == of => Some(Ok(local.active_version)),
             _ => Some(Err(why)),
         },
         _ => {
--- a/crates/rollout-agent/src/run.rs
+++ b/crates/rollout-agent/src/run.rs
@@ -13,7 +13,7 @@
 use maplehook_canary::{Report, Side};
 use maplehook_cluster::Name;
 use maplehook_config::Proxy;
-use maplehook_consensus::Standing;
+use maplehook_consensus::SharedDocumentStatus;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -105,7 +105,7 @@
         self.begun.elapsed()
     }
 
-    pub(crate) fn standing(&self) -> Standing {
+    pub(crate) fn standing(&self) -> SharedDocumentStatus {
         self.setup.link.standing.borrow().clone()
     }
 
@@ -137,7 +137,7 @@
                     self.say(None);
                 }
                 Some(report) = reports.recv() => self.say(Some(report)),
-                Some((from, body)) = self.setup.link.ways.heard.recv() => self.hear(&from, &body),
+                Some((from, body)) = self.setup.link.ways.incoming.recv() => self.hear(&from, &body),
                 Some((wish, reply)) = wished.recv() => self.wish(wish, Wisher::Here(reply), None),
                 ended = done(&mut self.on_its_way) => self.ended(ended),
                 proposed = proposed(&mut self.proposing) => self.proposed(proposed),
@@ -171,7 +171,7 @@
     /// What is agreed on has changed, or who leads, or the lease.
     fn stood(&mut self) {
         let standing = self.standing();
-        if let Some(common) = standing.common.as_ref().filter(|common| common.number != self.number) {
+        if let Some(common) = standing.received.as_ref().filter(|common| common.number != self.number) {
             self.number = common.number;
             match Document::decode(&common.body) {
                 Some(document) => self.document = Arc::new(document),
@@ -193,7 +193,7 @@
 
     /// By what to act here, and whether to count.
     fn act(&mut self) {
-        let until = self.standing().until;
+        let until = self.standing().lease_end;
         let silent =
             until.map_or(self.begun.elapsed(), |until| Instant::now().saturating_duration_since(until));
         let wanted = wanted(&self.document, &self.setup.name, silent);
--- a/crates/rollout-agent/src/taking.rs
+++ b/crates/rollout-agent/src/taking.rs
@@ -4,7 +4,7 @@
 use crate::run::Runner;
 use maplehook_canary::{Report, Side};
 use maplehook_config::Proxy;
-use maplehook_consensus::{Acting, Standing, Ways, Wishes};
+use maplehook_consensus::{ActiveVersion, AdminClient, PartChannels, SharedDocumentStatus};
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::Duration;
@@ -18,13 +18,13 @@
 /// A balancer's part in the agreement, as far as changes in stages go.
 pub struct Link {
     /// How it stands with what is agreed on.
-    pub standing: watch::Receiver<Standing>,
+    pub standing: watch::Receiver<SharedDocumentStatus>,
     /// The ways.
-    pub ways: Ways,
+    pub ways: PartChannels,
     /// The version in force.
-    pub acting: watch::Receiver<Acting>,
+    pub acting: watch::Receiver<ActiveVersion>,
     /// Takes proposals.
-    pub wishes: Wishes,
+    pub wishes: AdminClient,
 }
 
 /// What it takes part with.
--- a/crates/rollout-agent/src/tell.rs
+++ b/crates/rollout-agent/src/tell.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use maplehook_canary::Report;
 use maplehook_cluster::Name;
-use maplehook_consensus::PLACES;
+use maplehook_consensus::SHARED_DOCUMENT_TOPIC;
 use maplehook_transport::frames::Message;
 use std::time::Instant;
 
@@ -19,7 +19,12 @@
     fn tell(&self, to: &Name, say: &Say) {
         let Ok(body) = postcard::to_allocvec(say) else { return };
         // What does not fit is lost, as on a way.
-        let _ = self.setup.link.ways.say.try_send((to.clone(), Message { topic: PLACES, body: body.into() }));
+        let _ = self
+            .setup
+            .link
+            .ways
+            .outgoing
+            .try_send((to.clone(), Message { topic: SHARED_DOCUMENT_TOPIC, body: body.into() }));
     }
 
     pub(crate) fn end(&self, wisher: Wisher, reply: Reply) {
--- a/crates/versions/src/strict.rs
+++ b/crates/versions/src/compatibility.rs
@@ -21,7 +21,7 @@
 use std::collections::BTreeMap;
 
 /// What of two versions may not be acted on at the same time, in words; empty: they may stand side by side.
-pub fn contradictions(a: &Proxy, b: &Proxy) -> Vec<String> {
+pub fn conflicts(a: &Proxy, b: &Proxy) -> Vec<String> {
     let mut found = Vec::new();
     for (name, class, passage) in classes(a) {
         let Some((_, other, other_passage)) = classes(b).find(|(other, ..)| *other == name) else { continue };
@@ -57,7 +57,7 @@
             _ => found.push(format!("upstream {name}: listed differently")),
         }
     }
-    found.extend(crate::places::contradictions(a, b));
+    found.extend(crate::locality_rules::conflicts(a, b));
     found
 }
 
@@ -150,12 +150,12 @@
     let new_names = upstreams(new);
     let gone = old.upstreams.iter().filter(|upstream| !new_names.contains_key(upstream.name.as_str()));
     strict.upstreams.extend(gone.cloned().map(|upstream| Upstream { drained: true, ..upstream }));
-    strict.places = crate::places::strictest(old, new);
+    strict.places = crate::locality_rules::strictest(old, new);
     strict
 }
 
 /// The strictest reading there is, of a version that may no longer be in force: nothing is sent twice.
-pub fn careful(proxy: &Proxy) -> Proxy {
+pub fn conservative(proxy: &Proxy) -> Proxy {
     let mut careful = proxy.clone();
     for class in &mut careful.settings.classes {
         class.effect = Effect::AtMostOnce;
--- a/crates/versions/src/lib.rs
+++ b/crates/versions/src/lib.rs
@@ -4,10 +4,10 @@
 //! of bytes beside them. [`strict`] says
 //! what contradicts what, and reads two versions as strictly as either. `docs/design/agreement.md` has the reasons.
 
-pub mod common;
-pub mod grants;
-pub mod holder;
-pub mod numbers;
-pub mod places;
-pub mod steps;
-pub mod strict;
+pub mod compatibility;
+pub mod lease_holder;
+pub mod lease_manager;
+pub mod locality_rules;
+pub mod shared_document;
+pub mod stable_ids;
+pub mod version_state;
--- a/crates/versions/src/places.rs
+++ b/crates/versions/src/locality_rules.rs
@@ -14,12 +14,12 @@
 }
 
 /// A rule that forbids nothing.
-fn free() -> Rule {
+fn unrestricted_rule() -> Rule {
     Rule { name: "free".into(), ..Rule::near_first() }
 }
 
 /// One version's rules under another's numbers. What it does not name is free.
-fn under(places: &Places, of: &Proxy, proxy: &Proxy, topology: &Topology) -> Rules {
+fn renumbered(places: &Places, of: &Proxy, proxy: &Proxy, topology: &Topology) -> Rules {
     let zone = |old: &Zone| topology.zone(places.topology.zone_name(*old));
     let mut rules: Vec<Rule> = places
         .rules
@@ -31,7 +31,7 @@
             Rule { never, ..rule.clone() }
         })
         .collect();
-    rules.push(free());
+    rules.push(unrestricted_rule());
     let last = rules.len() - 1;
     let (classes, names) = (&proxy.classes, tenants(proxy));
     let (old_classes, old_tenants) = (&of.classes, tenants(of));
@@ -44,17 +44,20 @@
 }
 
 /// Rules that forbid nothing, for whoever has none.
-fn none(proxy: &Proxy) -> Rules {
-    Rules::new(vec![free()], proxy.classes.len(), tenants(proxy).len(), |_, _| 0)
+fn unrestricted_rules(proxy: &Proxy) -> Rules {
+    Rules::new(vec![unrestricted_rule()], proxy.classes.len(), tenants(proxy).len(), |_, _| 0)
 }
 
 /// What contradicts, in words.
-pub fn contradictions(a: &Proxy, b: &Proxy) -> Vec<String> {
+pub fn conflicts(a: &Proxy, b: &Proxy) -> Vec<String> {
     let Some(topology) = b.places.as_ref().or(a.places.as_ref()).map(|places| &places.topology) else {
         return Vec::new();
     };
     let of = |proxy: &Proxy| {
-        proxy.places.as_ref().map_or_else(|| none(b), |places| under(places, proxy, b, topology))
+        proxy
+            .places
+            .as_ref()
+            .map_or_else(|| unrestricted_rules(b), |places| renumbered(places, proxy, b, topology))
     };
     contradict::contradictions(&of(a), &of(b), &b.classes, &tenants(b))
 }
@@ -65,11 +68,11 @@
         (None, None) => None,
         (None, Some(places)) => Some(places.clone()),
         (Some(places), None) => {
-            let rules = under(places, old, new, &places.topology);
+            let rules = renumbered(places, old, new, &places.topology);
             Some(Places { rules, ..places.clone() })
         }
         (Some(before), Some(places)) => {
-            let old_rules = under(before, old, new, &places.topology);
+            let old_rules = renumbered(before, old, new, &places.topology);
             Some(Places { rules: contradict::strictest(&old_rules, &places.rules), ..places.clone() })
         }
     }
@@ -103,7 +106,7 @@
             &["book", "look"],
             "rule y { prefer own zone > anywhere; beyond region at most 30%; when lost anywhere; }",
         );
-        assert!(!contradictions(&old, &new).is_empty());
+        assert!(!conflicts(&old, &new).is_empty());
         let strict = strictest(&old, &new).unwrap();
         let (book, look) = (strict.rules.of(0, 0), strict.rules.of(1, 0));
         let (book, look) = (&strict.rules.all()[book], &strict.rules.all()[look]);
@@ -117,11 +120,11 @@
         let old = proxy(&["book"], "rule x { prefer own zone > anywhere; never zone \"c\"; }");
         let new = proxy(&["look", "book"], "");
         assert!(new.places.is_none());
-        assert!(!contradictions(&old, &new).is_empty());
+        assert!(!conflicts(&old, &new).is_empty());
         let strict = strictest(&old, &new).unwrap();
         let rule = |class: usize| &strict.rules.all()[strict.rules.of(class, 0)];
         assert_eq!((rule(0).never.len(), rule(1).never.len()), (0, 1));
-        assert!(contradictions(&new, &new).is_empty() && strictest(&new, &new).is_none());
-        assert!(contradictions(&old, &old).is_empty());
+        assert!(conflicts(&new, &new).is_empty() && strictest(&new, &new).is_none());
+        assert!(conflicts(&old, &old).is_empty());
     }
 }
--- a/crates/versions/src/numbers.rs
+++ b/crates/versions/src/stable_ids.rs
@@ -7,49 +7,49 @@
 
 /// Names that have numbers.
 #[derive(Debug, Default)]
-pub struct Numbers {
+pub struct StableIds {
     classes: Vec<(String, Class, Passage)>,
     tenants: Vec<String>,
     zones: Vec<String>,
 }
 
 /// A version's rules, under this process's numbers.
-pub struct Numbered {
+pub struct ResolvedRules {
     /// The decision module's settings.
     pub settings: Settings,
     /// The names of the classes, by their numbers.
-    pub classes: Vec<String>,
+    pub class_names: Vec<String>,
     /// How heads are read.
     pub rules: Rules,
     /// How messages of each class pass.
     pub passages: Vec<Passage>,
     /// The names of the tenants, by their numbers.
-    pub tenants: Vec<String>,
+    pub tenant_names: Vec<String>,
     /// The numbers of the version's zones.
-    pub zones: Vec<ZoneId>,
+    pub zone_ids: Vec<ZoneId>,
     /// The names of all zones that there were, by their numbers.
     pub zone_names: Vec<String>,
     /// Tenants that it does not name any more.
-    pub gone: Vec<TenantId>,
+    pub removed_tenants: Vec<TenantId>,
 }
 
-fn number(names: &mut Vec<String>, name: &str) -> usize {
+fn position_or_insert(names: &mut Vec<String>, name: &str) -> usize {
     names.iter().position(|known| known == name).unwrap_or_else(|| {
         names.push(name.to_owned());
         names.len() - 1
     })
 }
 
-impl Numbered {
+impl ResolvedRules {
     /// This process's number of one of the version's zones.
-    pub fn zone(&self, zone: ZoneId) -> ZoneId {
-        self.zones.get(usize::from(zone.0)).copied().unwrap_or(zone)
+    pub fn zone_id(&self, zone: ZoneId) -> ZoneId {
+        self.zone_ids.get(usize::from(zone.0)).copied().unwrap_or(zone)
     }
 }
 
-impl Numbers {
+impl StableIds {
     /// Names that stay keep their numbers; of what has vanished the number stays, and nothing comes under it.
-    pub fn take(&mut self, proxy: &Proxy) -> Numbered {
+    pub fn assign(&mut self, proxy: &Proxy) -> ResolvedRules {
         let mut of = Vec::new();
         for (k, name) in proxy.classes.iter().enumerate() {
             let class = (name.clone(), proxy.settings.classes[k].clone(), proxy.passages[k].clone());
@@ -69,7 +69,8 @@
         // Where no tenant has a name there is one that has none.
         let unnamed = [String::new()];
         let named = if proxy.tenants.is_empty() { &unnamed[..] } else { &proxy.tenants };
-        let numbers: Vec<usize> = named.iter().map(|name| number(&mut self.tenants, name)).collect();
+        let numbers: Vec<usize> =
+            named.iter().map(|name| position_or_insert(&mut self.tenants, name)).collect();
         let mut tenants = vec![Tenant { allowance_per_s: 0.0 }; self.tenants.len()];
         for (n, tenant) in numbers.iter().zip(&proxy.settings.tenants) {
             tenants[*n] = tenant.clone();
@@ -84,18 +85,21 @@
         } else {
             self.tenants.iter().enumerate().map(utterable).collect()
         };
-        let zones =
-            proxy.zones.iter().map(|name| ZoneId(number(&mut self.zones, name).min(255) as u8)).collect();
+        let zones = proxy
+            .zones
+            .iter()
+            .map(|name| ZoneId(position_or_insert(&mut self.zones, name).min(255) as u8))
+            .collect();
         let classes = self.classes.iter().map(|(_, class, _)| class.clone()).collect();
-        Numbered {
+        ResolvedRules {
             settings: Settings { classes, tenants, ..proxy.settings.clone() },
-            classes: self.classes.iter().map(|(name, ..)| name.clone()).collect(),
+            class_names: self.classes.iter().map(|(name, ..)| name.clone()).collect(),
             rules: Rules::new(proxy.routes.iter().map(route).collect(), names, proxy.headers.clone()),
             passages: self.classes.iter().map(|(.., passage)| passage.clone()).collect(),
-            tenants: self.tenants.clone(),
-            zones,
+            tenant_names: self.tenants.clone(),
+            zone_ids: zones,
             zone_names: self.zones.clone(),
-            gone,
+            removed_tenants: gone,
         }
     }
 }
@@ -127,21 +131,21 @@
         /// Whatever versions follow one another: a name has one number for good, and what has vanished has no part.
         #[test]
         fn a_name_keeps_its_number(versions in prop::collection::vec((some(), some()), 1..8)) {
-            let mut numbers = Numbers::default();
+            let mut numbers = StableIds::default();
             let mut known: Vec<String> = Vec::new();
             let mut tenants: std::collections::BTreeMap<String, usize> = Default::default();
             for (classes, named) in &versions {
-                let numbered = numbers.take(&proxy(classes, named));
-                prop_assert_eq!(&numbered.classes[..known.len()], &known[..]);
-                known.clone_from(&numbered.classes);
+                let numbered = numbers.assign(&proxy(classes, named));
+                prop_assert_eq!(&numbered.class_names[..known.len()], &known[..]);
+                known.clone_from(&numbered.class_names);
                 prop_assert_eq!(numbered.settings.classes.len(), known.len());
                 prop_assert_eq!(numbered.passages.len(), known.len());
                 for (n, name) in numbers.tenants.iter().enumerate() {
                     prop_assert_eq!(*tenants.entry(name.clone()).or_insert(n), n, "tenant {}", name);
-                    let gone = numbered.gone.contains(&TenantId(n as u32));
+                    let gone = numbered.removed_tenants.contains(&TenantId(n as u32));
                     prop_assert_eq!(gone, !named.contains(&name.as_str()));
                 }
-                for gone in &numbered.gone {
+                for gone in &numbered.removed_tenants {
                     prop_assert_eq!(numbered.settings.tenants[gone.0 as usize].allowance_per_s, 0.0);
                 }
             }
--- a/crates/versions/tests/common.rs
+++ b/crates/versions/tests/common.rs
@@ -1,9 +1,11 @@
 //! The common document under any order of events: numbers rise by one, and nobody acts on an earlier body unknown to the leader.
 
 use maplehook_cluster::Name;
-use maplehook_versions::common::{BODY_MOST, Document, Given, Holding};
-use maplehook_versions::grants::Times;
-use maplehook_versions::steps::{Command, Refused, Steps};
+use maplehook_versions::lease_manager::LeaseTimes;
+use maplehook_versions::shared_document::{
+    DocumentLeaseHolder, DocumentLeaseManager, MAX_BODY_BYTES, SharedDocument,
+};
+use maplehook_versions::version_state::{Command, CommandError, VersionState};
 use proptest::prelude::*;
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,20 +16,20 @@
     /// Whatever is put: the number in force has to be expected, each is the next one, the last body alone is there.
     #[test]
     fn numbers_rise_by_one(puts in prop::collection::vec((0u64..12, prop::collection::vec(any::<u8>(), 0..6), any::<bool>()), 0..40)) {
-        let mut steps = Steps::default();
+        let mut steps = VersionState::default();
         for (expect, body, long) in puts {
             let before = steps.clone();
-            let body = if long { vec![1; BODY_MOST + 1] } else { body };
-            let played = steps.play(&Command::Common { expect, body: body.clone() });
-            let number = before.common.number;
+            let body = if long { vec![1; MAX_BODY_BYTES + 1] } else { body };
+            let played = steps.apply(&Command::ReplaceDocument { expected: expect, body: body.clone() });
+            let number = before.shared_document.number;
             if long {
-                prop_assert_eq!(played, Err(Refused::BodyTooLong));
+                prop_assert_eq!(played, Err(CommandError::DocumentTooLong));
             } else if expect != number {
-                prop_assert_eq!(played, Err(Refused::Common { number }));
+                prop_assert_eq!(played, Err(CommandError::UnexpectedDocument { number }));
             } else {
                 prop_assert_eq!(played, Ok(number + 1));
-                prop_assert_eq!(&steps.common, &Document { number: number + 1, body: body.into(), gap: false });
-                prop_assert_eq!((steps.epoch, steps.step), (before.epoch, before.step));
+                prop_assert_eq!(&steps.shared_document, &SharedDocument { number: number + 1, body: body.into(), has_gap: false });
+                prop_assert_eq!((steps.epoch, steps.phase), (before.epoch, before.phase));
                 continue;
             }
             prop_assert_eq!(&steps, &before);
@@ -37,27 +39,27 @@
     /// A log that lacks some, since an earlier program passed them over, is as the others from the next one on.
     #[test]
     fn a_gap_closes_with_the_next(missed in 1u64..9, more in 1u64..5) {
-        let (mut whole, mut gap) = (Document::default(), Document { gap: true, ..Document::default() });
+        let (mut whole, mut gap) = (SharedDocument::default(), SharedDocument { has_gap: true, ..SharedDocument::default() });
         for number in 0..missed + more {
             let body = number.to_be_bytes();
-            whole.play(number, &body).unwrap();
+            whole.replace(number, &body).unwrap();
             if number >= missed {
-                prop_assert_eq!(gap.play(number, &body), Ok(number + 1));
+                prop_assert_eq!(gap.replace(number, &body), Ok(number + 1));
                 prop_assert_eq!(&gap, &whole);
             }
         }
         // Then it is as strict as they are.
-        prop_assert!(gap.play(missed + more + 1, b"").is_err());
+        prop_assert!(gap.replace(missed + more + 1, b"").is_err());
     }
 }
 
 #[test]
 fn a_snapshot_without_it_takes_nothing_away() {
-    let known = Document { number: 4, body: Arc::from(&b"four"[..]), gap: false };
-    let lacks = Document { gap: true, ..Document::default() };
-    assert_eq!(lacks.after(known.clone()), Document { gap: true, ..known.clone() });
-    assert_eq!(Document::default().after(known.clone()), Document::default());
-    assert!(Document { number: u64::MAX, gap: true, ..known }.play(u64::MAX, b"").is_err());
+    let known = SharedDocument { number: 4, body: Arc::from(&b"four"[..]), has_gap: false };
+    let lacks = SharedDocument { has_gap: true, ..SharedDocument::default() };
+    assert_eq!(lacks.restored_over(known.clone()), SharedDocument { has_gap: true, ..known.clone() });
+    assert_eq!(SharedDocument::default().restored_over(known.clone()), SharedDocument::default());
+    assert!(SharedDocument { number: u64::MAX, has_gap: true, ..known }.replace(u64::MAX, b"").is_err());
 }
 
 #[derive(Clone, Debug)]
@@ -93,7 +95,7 @@
 }
 
 struct Member {
-    holding: Holding,
+    holding: DocumentLeaseHolder,
     acts: u64,
     next: u64,
     /// How its clock goes, against the leader's.
@@ -113,17 +115,17 @@
     /// behind, and for at least as long.
     #[test]
     fn nobody_acts_on_an_earlier_body_unknown_to_the_leader(events in events()) {
-        let times = Times::new(Duration::from_secs(2)).unwrap();
+        let times = LeaseTimes::new(Duration::from_secs(2)).unwrap();
         let names: Vec<Name> = (0..3).map(|n| Name::new(&format!("b{n}")).unwrap()).collect();
         let mut now = Duration::from_secs(1);
-        let elect = |now| Given::new(times, names.iter().cloned().collect(), now);
+        let elect = |now| DocumentLeaseManager::new(times, names.iter().cloned().collect(), now);
         let mut given = elect(now);
         let mut newest = 0u64;
         let body = |number: u64| -> Arc<[u8]> { Arc::from(number.to_be_bytes()) };
         let rates = [0.995, 1.0, 1.005];
         let mut members: Vec<Member> = rates
             .iter()
-            .map(|rate| Member { holding: Holding::new(times), acts: 0, next: 0, rate: *rate })
+            .map(|rate| Member { holding: DocumentLeaseHolder::new(times), acts: 0, next: 0, rate: *rate })
             .collect();
         let mut ways: Vec<Said> = Vec::new();
         for event in events {
@@ -132,7 +134,7 @@
                     let member = &mut members[n];
                     member.next += 1;
                     let clock = member.clock(now);
-                    member.holding.ask(member.next, clock);
+                    member.holding.begin_request(member.next, clock);
                     let (acts, has) = (member.acts, member.holding.newest().0);
                     ways.push(Said::Asks { from: n, request: member.next, acts, has });
                 }
@@ -141,18 +143,18 @@
                     match said {
                         _ if lost => {}
                         Said::Asks { from, request, acts, has } => {
-                            given.heard(&names[from], Some(acts), has);
+                            given.record_report(&names[from], Some(acts), has);
                             prop_assert!(given.grant(now, &names[from]));
                             ways.push(Said::Grants { to: from, request: Some(request), number: newest });
                         }
                         Said::Grants { to, request, number } => {
-                            members[to].holding.granted(request, number, Some(body(number)));
+                            members[to].holding.accept_grant(request, number, Some(body(number)));
                         }
                     }
                 }
                 Event::Put => newest += 1,
                 Event::Push => {
-                    for name in given.lack(now, newest) {
+                    for name in given.holders_without(now, newest) {
                         let to = names.iter().position(|other| *other == name).unwrap();
                         ways.push(Said::Grants { to, request: None, number: newest });
                     }
@@ -161,15 +163,15 @@
                 Event::Restart(n) => {
                     // Requests keep their numbers apart by the start of whoever says them.
                     let next = members[n].next;
-                    members[n] = Member { holding: Holding::new(times), acts: 0, next, rate: rates[n] };
+                    members[n] = Member { holding: DocumentLeaseHolder::new(times), acts: 0, next, rate: rates[n] };
                 }
                 Event::Elect => given = elect(now),
                 Event::Pass(ms) => now += Duration::from_millis(ms),
                 Event::Deliver(..) => {}
             }
-            let behind = given.behind(now, newest);
+            let behind = given.lagging_members(now, newest);
             for (member, name) in members.iter().zip(&names) {
-                let Some(left) = member.holding.until().and_then(|until| until.checked_sub(member.clock(now)))
+                let Some(left) = member.holding.lease_end().and_then(|until| until.checked_sub(member.clock(now)))
                 else {
                     continue;
                 };
--- a/crates/versions/tests/strict.rs
+++ b/crates/versions/tests/strict.rs
@@ -2,7 +2,7 @@
 
 use maplehook_config::{Proxy, parse};
 use maplehook_core::Effect;
-use maplehook_versions::strict::{careful, contradictions, strictest};
+use maplehook_versions::compatibility::{conflicts, conservative, strictest};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -119,8 +119,8 @@
             prop_assert!(guarantees(&other).get(name).is_none_or(|other| granted == *other));
         }
         prop_assert_eq!(&strictest(&a, &a), &a);
-        prop_assert!(contradictions(&a, &a).is_empty());
-        prop_assert_eq!(contradictions(&a, &b).is_empty(), contradictions(&b, &a).is_empty());
+        prop_assert!(conflicts(&a, &a).is_empty());
+        prop_assert_eq!(conflicts(&a, &b).is_empty(), conflicts(&b, &a).is_empty());
         // Once more with either changes nothing that matters.
         let again = strictest(&one, &b);
         prop_assert_eq!(effects(&again), effects(&one));
@@ -130,7 +130,7 @@
     /// Whoever is cut off keeps within any version's promises on repeats.
     #[test]
     fn careful_is_within_every_version(a in version(), b in version()) {
-        let careful = careful(&a);
+        let careful = conservative(&a);
         for (name, effect) in effects(&careful) {
             prop_assert_eq!(effect, Effect::AtMostOnce);
             prop_assert!(effects(&b).get(name).is_none_or(|other| effect.stricter(*other) == effect));
@@ -149,7 +149,7 @@
         );
         parse(&text).unwrap().proxy.unwrap()
     };
-    let found = contradictions(&file("idempotent", false), &file("at_most_once", true));
+    let found = conflicts(&file("idempotent", false), &file("at_most_once", true));
     assert_eq!(found.len(), 2, "{found:?}");
     assert!(found[0].contains("class book") && found[1].contains("upstream u"), "{found:?}");
 }
--- a/tools/simulator/src/agreed/mod.rs
+++ b/tools/simulator/src/agreed/mod.rs
@@ -8,9 +8,9 @@
 pub mod storm;
 
 use maplehook_cluster::Name;
-use maplehook_versions::grants::{CutOff, Grants, Times};
-use maplehook_versions::holder::{Acts, Holder, Told};
-use maplehook_versions::steps::{Command, Step, Steps};
+use maplehook_versions::lease_holder::{EffectiveRules, LeaseHolder, PhaseUpdate};
+use maplehook_versions::lease_manager::{LeaseExpiryPolicy, LeaseManager, LeaseTimes};
+use maplehook_versions::version_state::{Command, Phase, VersionState};
 use stateright::{Checker, Model, Property};
 use std::time::Duration;
 
@@ -64,14 +64,14 @@
     None,
     /// Asked, of this leader, by this epoch.
     Asked(u64, usize, u64),
-    Answered(u64, Told),
+    Answered(u64, PhaseUpdate),
 }
 
 /// A leader, or one that does not know yet that it is none.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Leader {
-    grants: Grants,
-    steps: Steps,
+    grants: LeaseManager,
+    steps: VersionState,
 }
 
 /// Everything.
@@ -79,7 +79,7 @@
 pub struct State {
     now: Duration,
     passed: u8,
-    holders: Vec<Holder>,
+    holders: Vec<LeaseHolder>,
     exchanges: Vec<Exchange>,
     asks: Vec<u8>,
     /// The present one is the last.
@@ -117,12 +117,12 @@
     pub flaw: Option<Flaw>,
 }
 
-fn times() -> Times {
+fn times() -> LeaseTimes {
     // A second is within what can be kept.
-    Times::new(Duration::from_secs(1)).unwrap_or(Times {
-        contradiction: Duration::ZERO,
+    LeaseTimes::new(Duration::from_secs(1)).unwrap_or(LeaseTimes {
+        max_contradiction: Duration::ZERO,
         lease: Duration::ZERO,
-        renew: Duration::ZERO,
+        renew_interval: Duration::ZERO,
     })
 }
 
@@ -131,8 +131,8 @@
 }
 
 impl Agreement {
-    fn grants(&self, elected: Duration) -> Grants {
-        Grants::new(times(), CutOff::Careful, names().into_iter().collect(), elected)
+    fn grants(&self, elected: Duration) -> LeaseManager {
+        LeaseManager::new(times(), LeaseExpiryPolicy::Conservative, names().into_iter().collect(), elected)
     }
 
     /// A member's clock: one goes slow, one fast, by what is allowed.
@@ -141,22 +141,25 @@
     }
 
     fn free(&self, leader: &Leader, now: Duration) -> bool {
-        self.flaw == Some(Flaw::NobodyWaitedFor) || leader.grants.waits(now, &leader.steps).is_empty()
+        self.flaw == Some(Flaw::NobodyWaitedFor)
+            || leader.grants.pending_members(now, &leader.steps).is_empty()
     }
 
-    fn acts(&self, state: &State, n: usize) -> Option<Step> {
+    fn acts(&self, state: &State, n: usize) -> Option<Phase> {
         let now = self.clock(n, state.now);
-        match state.holders[n].acts(now) {
-            Acts::Step(step) => Some(step),
-            _ if self.flaw == Some(Flaw::LeaseNotLookedAt) => state.holders[n].told().map(|told| told.step),
+        match state.holders[n].effective_rules(now) {
+            EffectiveRules::Phase(step) => Some(step),
+            _ if self.flaw == Some(Flaw::LeaseNotLookedAt) => {
+                state.holders[n].current().map(|told| told.phase)
+            }
             _ => None,
         }
     }
 
     /// Whether no two act on steps that contradict each other.
     fn sound(&self, state: &State) -> bool {
-        let acts: Vec<Step> = (0..MEMBERS).filter_map(|n| self.acts(state, n)).collect();
-        acts.iter().all(|a| acts.iter().all(|b| a.agrees(*b)))
+        let acts: Vec<Phase> = (0..MEMBERS).filter_map(|n| self.acts(state, n)).collect();
+        acts.iter().all(|a| acts.iter().all(|b| a.is_compatible_with(*b)))
     }
 
     /// Explores all of it: states seen, and the moves to a contradiction if there is one.
@@ -172,16 +175,22 @@
     type Action = Move;
 
     fn init_states(&self) -> Vec<State> {
-        let mut steps = Steps::default();
-        let first = Command::Propose { epoch: 0, expect: None, text: "0".into(), by: "a".into(), at_ms: 0 };
+        let mut steps = VersionState::default();
+        let first = Command::Propose {
+            epoch: 0,
+            expected: None,
+            text: "0".into(),
+            proposed_by: "a".into(),
+            proposed_at_unix_ms: 0,
+        };
         // The first version is in force, and everybody has just got a lease for it.
-        let _ = steps.play(&first);
+        let _ = steps.apply(&first);
         let mut grants = self.grants(Duration::ZERO);
-        let mut holders = vec![Holder::new(times(), CutOff::Careful); MEMBERS];
+        let mut holders = vec![LeaseHolder::new(times(), LeaseExpiryPolicy::Conservative); MEMBERS];
         for (holder, name) in holders.iter_mut().zip(names()) {
-            let number = holder.ask(Duration::ZERO);
+            let number = holder.begin_request(Duration::ZERO);
             grants.grant(Duration::ZERO, &name, steps.epoch);
-            holder.granted(number, steps.epoch, Some(Told::of(&steps)));
+            holder.accept_grant(number, steps.epoch, Some(PhaseUpdate::from_state(&steps)));
         }
         vec![State {
             now: Duration::ZERO,
@@ -212,9 +221,9 @@
             actions.push(Move::Elect);
         }
         if self.free(leader, state.now) {
-            match leader.steps.step {
-                Step::Settled(_) if state.proposed < self.bounds.changes => actions.push(Move::Propose),
-                Step::Strictest { .. } => {
+            match leader.steps.phase {
+                Phase::Stable(_) if state.proposed < self.bounds.changes => actions.push(Move::Propose),
+                Phase::Transition { .. } => {
                     actions.push(Move::Advance);
                     if !state.undone {
                         actions.push(Move::Undo);
@@ -234,7 +243,7 @@
         match action {
             Move::Ask(n, leader) => {
                 let holder = &mut state.holders[n];
-                let number = holder.ask(self.clock(n, state.now));
+                let number = holder.begin_request(self.clock(n, state.now));
                 state.exchanges[n] = Exchange::Asked(number, leader, holder.epoch());
                 state.asks[n] += 1;
             }
@@ -247,16 +256,16 @@
                 }
                 let leader = &mut state.leaders[leader];
                 leader.grants.grant(state.now, &names()[n], epoch);
-                state.exchanges[n] = Exchange::Answered(number, Told::of(&leader.steps));
+                state.exchanges[n] = Exchange::Answered(number, PhaseUpdate::from_state(&leader.steps));
             }
             Move::Hear(n) => {
                 let exchange = std::mem::replace(&mut state.exchanges[n], Exchange::None);
                 let Exchange::Answered(mut number, told) = exchange else { return None };
                 let clock = self.clock(n, state.now);
                 if self.flaw == Some(Flaw::ClockAfterAnswer) {
-                    number = state.holders[n].ask(clock);
+                    number = state.holders[n].begin_request(clock);
                 }
-                state.holders[n].granted(number, told.epoch, Some(told));
+                state.holders[n].accept_grant(number, told.epoch, Some(told));
             }
             Move::Elect => {
                 let steps = state.leaders[present].steps.clone();
@@ -276,21 +285,26 @@
                 state.proposed += 1;
                 let steps = &mut state.leaders[present].steps;
                 let text = state.proposed.to_string();
-                let propose =
-                    Command::Propose { epoch: steps.epoch, expect: None, text, by: "a".into(), at_ms: 0 };
-                steps.play(&propose).ok()?;
+                let propose = Command::Propose {
+                    epoch: steps.epoch,
+                    expected: None,
+                    text,
+                    proposed_by: "a".into(),
+                    proposed_at_unix_ms: 0,
+                };
+                steps.apply(&propose).ok()?;
                 if self.flaw == Some(Flaw::NoMiddleStep) {
-                    steps.play(&Command::Advance { epoch: steps.epoch }).ok()?;
+                    steps.apply(&Command::Advance { epoch: steps.epoch }).ok()?;
                 }
             }
             Move::Advance => {
                 let steps = &mut state.leaders[present].steps;
-                steps.play(&Command::Advance { epoch: steps.epoch }).ok()?;
+                steps.apply(&Command::Advance { epoch: steps.epoch }).ok()?;
             }
             Move::Undo => {
                 state.undone = true;
                 let steps = &mut state.leaders[present].steps;
-                steps.play(&Command::Undo { epoch: steps.epoch }).ok()?;
+                steps.apply(&Command::Undo { epoch: steps.epoch }).ok()?;
             }
             Move::Time => {
                 state.passed += 1;
@@ -307,7 +321,7 @@
 
 impl Agreement {
     /// A leader that takes it that nobody holds anything.
-    fn hastened(&self, steps: &Steps, mut grants: Grants) -> Grants {
+    fn hastened(&self, steps: &VersionState, mut grants: LeaseManager) -> LeaseManager {
         for name in names() {
             grants.grant(Duration::ZERO, &name, steps.epoch);
         }
