--- a/tools/simulator/src/agreed/storm.rs
+++ b/tools/simulator/src/agreed/storm.rs
@@ -4,9 +4,9 @@
 //! Who acts on what is looked at after every event; what two act on that contradicts is measured.
 
 use maplehook_cluster::Name;
-use maplehook_versions::grants::{CutOff, Grants, Times};
-use maplehook_versions::holder::{Acts, Holder, Told};
-use maplehook_versions::steps::{Command, Step, Steps};
+use maplehook_versions::lease_holder::{EffectiveRules, LeaseHolder, PhaseUpdate};
+use maplehook_versions::lease_manager::{LeaseExpiryPolicy, LeaseManager, LeaseTimes};
+use maplehook_versions::version_state::{Command, Phase, VersionState};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -42,7 +42,7 @@
 }
 
 struct Node {
-    holder: Holder,
+    holder: LeaseHolder,
     process: u32,
     drift: f64,
     /// Until when it stands still, or is gone.
@@ -56,8 +56,8 @@
     now: Duration,
     nodes: Vec<Node>,
     names: Vec<Name>,
-    steps: Steps,
-    grants: Grants,
+    steps: VersionState,
+    grants: LeaseManager,
     /// How manieth leader; what earlier ones knew.
     term: usize,
     no_leader_until: Duration,
@@ -65,14 +65,15 @@
     next: u64,
     loss: f64,
     most: Duration,
-    told: Vec<(u64, usize, Told)>,
+    told: Vec<(u64, usize, PhaseUpdate)>,
     answered: u64,
 }
 
-fn times() -> Times {
-    let none = Times { contradiction: CONTRADICTION, lease: CONTRADICTION, renew: CONTRADICTION };
+fn times() -> LeaseTimes {
+    let none =
+        LeaseTimes { max_contradiction: CONTRADICTION, lease: CONTRADICTION, renew_interval: CONTRADICTION };
     // Five seconds are within what can be kept.
-    Times::new(CONTRADICTION).unwrap_or(none)
+    LeaseTimes::new(CONTRADICTION).unwrap_or(none)
 }
 
 impl Play {
@@ -98,15 +99,15 @@
 
     /// The longest-lasting pair of steps that are acted on now and contradict each other: whether there is one.
     fn contradicts(&self) -> bool {
-        let mut acted: Vec<Step> = Vec::new();
+        let mut acted: Vec<Phase> = Vec::new();
         for n in (0..self.nodes.len()).filter(|n| self.runs(*n)) {
-            if let Acts::Step(step) = self.nodes[n].holder.acts(self.clock(n))
+            if let EffectiveRules::Phase(step) = self.nodes[n].holder.effective_rules(self.clock(n))
                 && !acted.contains(&step)
             {
                 acted.push(step);
             }
         }
-        acted.iter().any(|a| acted.iter().any(|b| !a.agrees(*b)))
+        acted.iter().any(|a| acted.iter().any(|b| !a.is_compatible_with(*b)))
     }
 
     fn poll(&mut self, n: usize) {
@@ -114,14 +115,14 @@
             return;
         }
         let clock = self.clock(n);
-        if clock >= self.nodes[n].holder.renews() {
-            let number = self.nodes[n].holder.ask(clock);
+        if clock >= self.nodes[n].holder.renewal_due() {
+            let number = self.nodes[n].holder.begin_request(clock);
             let (epoch, term) = (self.nodes[n].holder.epoch(), self.term);
             if let Some(wait) = self.way() {
                 self.after(wait, Due::Request { from: n, number, epoch, term });
             }
         }
-        let wait = self.nodes[n].holder.renews().saturating_sub(clock).max(Duration::from_millis(5));
+        let wait = self.nodes[n].holder.renewal_due().saturating_sub(clock).max(Duration::from_millis(5));
         self.after(wait, Due::Poll(n));
     }
 
@@ -143,7 +144,7 @@
                 }
                 let name = self.names[from].clone();
                 self.grants.grant(self.now, &name, epoch);
-                let (told, process) = (Told::of(&self.steps), self.nodes[from].process);
+                let (told, process) = (PhaseUpdate::from_state(&self.steps), self.nodes[from].process);
                 self.answered += 1;
                 let answer = self.answered;
                 self.told.push((answer, from, told));
@@ -166,12 +167,12 @@
                 }
                 let at = self.told.iter().position(|(known, ..)| *known == answer);
                 if let Some((_, _, told)) = at.map(|at| self.told.swap_remove(at)) {
-                    self.nodes[to].holder.granted(number, told.epoch, Some(told));
+                    self.nodes[to].holder.accept_grant(number, told.epoch, Some(told));
                 }
             }
             Due::Back(n) => {
                 if std::mem::take(&mut self.nodes[n].dead) {
-                    self.nodes[n].holder = Holder::new(times(), CutOff::Careful);
+                    self.nodes[n].holder = LeaseHolder::new(times(), LeaseExpiryPolicy::Conservative);
                     self.nodes[n].process += 1;
                 }
                 self.poll(n);
@@ -211,7 +212,8 @@
     fn now_leads(&mut self) {
         // It waits from its election on.
         let members = self.names.iter().cloned().collect();
-        self.grants = Grants::new(times(), CutOff::Careful, members, self.no_leader_until);
+        self.grants =
+            LeaseManager::new(times(), LeaseExpiryPolicy::Conservative, members, self.no_leader_until);
     }
 }
 
@@ -219,20 +221,31 @@
 pub fn play(members: usize, seed: u64, calm: bool) -> Storm {
     let mut draw = ChaCha8Rng::seed_from_u64(seed);
     let names: Vec<Name> = (0..members).filter_map(|n| Name::new(&format!("b{n}"))).collect();
-    let mut steps = Steps::default();
-    let first = Command::Propose { epoch: 0, expect: None, text: "0".into(), by: "b0".into(), at_ms: 0 };
+    let mut steps = VersionState::default();
+    let first = Command::Propose {
+        epoch: 0,
+        expected: None,
+        text: "0".into(),
+        proposed_by: "b0".into(),
+        proposed_at_unix_ms: 0,
+    };
     // Nothing stands in its way.
-    let _ = steps.play(&first);
+    let _ = steps.apply(&first);
     let nodes = (0..members)
         .map(|_| Node {
-            holder: Holder::new(times(), CutOff::Careful),
+            holder: LeaseHolder::new(times(), LeaseExpiryPolicy::Conservative),
             process: 0,
             drift: 0.99 + 0.02 * draw.random::<f64>(),
             away: Duration::ZERO,
             dead: false,
         })
         .collect();
-    let grants = Grants::new(times(), CutOff::Careful, names.iter().cloned().collect(), Duration::ZERO);
+    let grants = LeaseManager::new(
+        times(),
+        LeaseExpiryPolicy::Conservative,
+        names.iter().cloned().collect(),
+        Duration::ZERO,
+    );
     let mut play = Play {
         draw,
         now: Duration::from_secs(1),
@@ -269,22 +282,28 @@
         // The leader's look, every 50 ms.
         if play.now >= tick + Duration::from_millis(50) {
             tick = play.now;
-            let free =
-                play.no_leader_until <= play.now && play.grants.waits(play.now, &play.steps).is_empty();
-            match play.steps.step {
-                Step::Strictest { .. } if free => {
-                    let _ = play.steps.play(&Command::Advance { epoch: play.steps.epoch });
+            let free = play.no_leader_until <= play.now
+                && play.grants.pending_members(play.now, &play.steps).is_empty();
+            match play.steps.phase {
+                Phase::Transition { .. } if free => {
+                    let _ = play.steps.apply(&Command::Advance { epoch: play.steps.epoch });
                 }
-                Step::Settled(_) if free && proposed_at.is_some() => {
+                Phase::Stable(_) if free && proposed_at.is_some() => {
                     storm.took.extend(proposed_at.take().map(|at| play.now - at));
                     next_change = play.now + Duration::from_millis(play.draw.random_range(100..3000));
                 }
-                Step::Settled(_) if free && play.now >= next_change => {
+                Phase::Stable(_) if free && play.now >= next_change => {
                     text += 1;
                     let epoch = play.steps.epoch;
                     let (text, by) = (text.to_string(), "b0".to_owned());
-                    let propose = Command::Propose { epoch, expect: None, text, by, at_ms: 0 };
-                    if play.steps.play(&propose).is_ok() {
+                    let propose = Command::Propose {
+                        epoch,
+                        expected: None,
+                        text,
+                        proposed_by: by,
+                        proposed_at_unix_ms: 0,
+                    };
+                    if play.steps.apply(&propose).is_ok() {
                         proposed_at = Some(play.now);
                     }
                 }
@@ -292,7 +311,9 @@
             }
             for n in (0..members).filter(|n| play.runs(*n)) {
                 looks += 1;
-                careful += u64::from(play.nodes[n].holder.acts(play.clock(n)) == Acts::Careful);
+                careful += u64::from(
+                    play.nodes[n].holder.effective_rules(play.clock(n)) == EffectiveRules::Conservative,
+                );
             }
         }
         match (play.contradicts(), contradicts_since) {
--- a/tools/simulator/src/places/agreeing.rs
+++ b/tools/simulator/src/places/agreeing.rs
@@ -10,8 +10,8 @@
 use maplehook_failover_agent::lead::Leading;
 use maplehook_failover_agent::talk::Agreed;
 use maplehook_locality::{Region, Rules, Zone};
-use maplehook_versions::common::{Given, Holding};
-use maplehook_versions::grants::Times;
+use maplehook_versions::lease_manager::LeaseTimes;
+use maplehook_versions::shared_document::{DocumentLeaseHolder, DocumentLeaseManager};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,7 +48,7 @@
 /// A balancer's part.
 pub struct Member {
     name: Name,
-    holding: Holding,
+    holding: DocumentLeaseHolder,
     /// Its machine.
     pub acting: Acting,
     number: u64,
@@ -63,7 +63,7 @@
 struct Leader {
     at: usize,
     leading: Leading,
-    given: Given,
+    given: DocumentLeaseManager,
     /// When what is on its way stands in the log, the number that it rests on, and its bytes.
     on_its_way: Option<(Duration, u64, Vec<u8>)>,
     asked: BTreeMap<usize, Duration>,
@@ -73,7 +73,7 @@
 
 /// Everybody's part.
 pub struct Agreeing {
-    times: Times,
+    times: LeaseTimes,
     config: Config,
     /// By balancer.
     pub members: Vec<Member>,
@@ -91,9 +91,10 @@
     pub bodies: u64,
 }
 
-fn times() -> Times {
-    let none = Times { contradiction: CONTRADICTION, lease: CONTRADICTION, renew: CONTRADICTION };
-    Times::new(CONTRADICTION).unwrap_or(none)
+fn times() -> LeaseTimes {
+    let none =
+        LeaseTimes { max_contradiction: CONTRADICTION, lease: CONTRADICTION, renew_interval: CONTRADICTION };
+    LeaseTimes::new(CONTRADICTION).unwrap_or(none)
 }
 
 /// The addresses that are announced: one by every region, one by one of them.
@@ -153,7 +154,7 @@
         acting.balancers(ground.posts.len());
         Some(Member {
             name: Name::new(&format!("b{n:03}"))?,
-            holding: Holding::new(self.times),
+            holding: DocumentLeaseHolder::new(self.times),
             acting,
             number: 0,
             requests: 0,
@@ -178,12 +179,12 @@
 
     /// Whether a balancer holds a lease.
     pub fn holds(&self, n: usize, now: Duration) -> bool {
-        self.members[n].holding.until().is_some_and(|until| now < until) && self.members[n].number > 0
+        self.members[n].holding.lease_end().is_some_and(|until| now < until) && self.members[n].number > 0
     }
 
     /// Until when, if it ever did.
     pub fn until(&self, n: usize) -> Option<Duration> {
-        self.members[n].holding.until()
+        self.members[n].holding.lease_end()
     }
 
     fn hears(ground: &Ground, a: usize, b: usize) -> bool {
@@ -235,10 +236,10 @@
         let Some(to) = self.leader().filter(|_| now >= self.members[n].next_ask) else { return };
         let old = ground.posts[n].old;
         let member = &mut self.members[n];
-        member.next_ask = now + self.times.renew;
+        member.next_ask = now + self.times.renew_interval;
         member.requests += 1;
         let request = member.requests;
-        member.holding.ask(request, now);
+        member.holding.begin_request(request, now);
         let (acts, has) = ((!old).then_some(member.number), member.holding.newest().0);
         self.say(ground, now, n, to, Word::Ask { to, from: n, request, acts, has });
     }
@@ -281,7 +282,7 @@
                     return;
                 };
                 leader.asked.insert(from, now);
-                leader.given.heard(&name, acts, has);
+                leader.given.record_report(&name, acts, has);
                 if !leader.given.grant(now, &name) {
                     return;
                 }
@@ -294,7 +295,7 @@
                     return;
                 }
                 let member = &mut self.members[to];
-                member.holding.granted(request, entry.number, Some(Arc::clone(&entry.body)));
+                member.holding.accept_grant(request, entry.number, Some(Arc::clone(&entry.body)));
                 let number = member.holding.newest().0;
                 if number == entry.number && number > member.number {
                     member.acting.agreed(&entry.agreed.places);
@@ -329,7 +330,7 @@
             Leader {
                 at,
                 leading: Leading::new(config, (*self.log.agreed).clone(), now),
-                given: Given::new(self.times, members, now),
+                given: DocumentLeaseManager::new(self.times, members, now),
                 on_its_way: None,
                 asked: BTreeMap::new(),
                 lonely: None,
@@ -357,7 +358,7 @@
             leader.leading.ended(stands);
             if stands {
                 let entry = self.log.clone();
-                let lack = leader.given.lack(now, entry.number);
+                let lack = leader.given.holders_without(now, entry.number);
                 let to: Vec<usize> =
                     (0..self.members.len()).filter(|n| lack.contains(&self.members[*n].name)).collect();
                 for to in to {
@@ -369,11 +370,11 @@
         if steps.is_multiple_of(LOOK_EACH) && sound {
             let behind: Vec<(String, Duration)> = leader
                 .given
-                .behind(now, self.log.number)
+                .lagging_members(now, self.log.number)
                 .into_iter()
                 .map(|(name, left)| (name.to_string(), left))
                 .collect();
-            let lease = self.times.longest_lease();
+            let lease = self.times.max_lease();
             let in_touch: Vec<(String, bool)> = leader
                 .asked
                 .iter()
--- a/tools/simulator/src/places/explore/leads.rs
+++ b/tools/simulator/src/places/explore/leads.rs
@@ -6,7 +6,7 @@
 use maplehook_address_announcement::{Decider, SiteHealth};
 use maplehook_failover_agent::talk::Agreed;
 use maplehook_locality::Region;
-use maplehook_versions::common::Given;
+use maplehook_versions::shared_document::DocumentLeaseManager;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -53,7 +53,7 @@
         Leader {
             at,
             decider: Decider::new(vec![address()], sites, Some(&self.stands.addresses), now),
-            given: Given::new(times(), names().into_iter().collect(), elected),
+            given: DocumentLeaseManager::new(times(), names().into_iter().collect(), elected),
             number: self.log.number,
             stands: Arc::clone(&self.stands),
             proposed: None,
@@ -69,7 +69,7 @@
         self.on_the_way = rest;
         for (_, at, expect, agreed) in due {
             let expect = if self.flaw == Some(Flaw::PutWithoutExpect) { self.log.number } else { expect };
-            let stands = self.log.play(expect, &agreed.encode()).is_ok();
+            let stands = self.log.replace(expect, &agreed.encode()).is_ok();
             if stands {
                 self.sound(&agreed)?;
                 (self.stands, self.since) = (Arc::clone(&agreed), self.now());
@@ -136,7 +136,7 @@
         }
         let newest = if flaw == Some(Flaw::BehindIsOld) { number.saturating_sub(1) } else { number };
         let mut behind: BTreeMap<Region, Duration> = BTreeMap::new();
-        for (name, left) in leader.given.behind(now, newest) {
+        for (name, left) in leader.given.lagging_members(now, newest) {
             let of = names().iter().position(|known| *known == name).map(|n| Region(SITES[n] as u16));
             of.into_iter().for_each(|region| {
                 let most = behind.entry(region).or_default();
--- a/tools/simulator/src/places/explore/members.rs
+++ b/tools/simulator/src/places/explore/members.rs
@@ -34,7 +34,7 @@
         let member = &mut self.members[n];
         member.request += 1;
         let request = member.request;
-        member.holding.ask(request, clock);
+        member.holding.begin_request(request, clock);
         let (acts, has) =
             (member.agreed.as_ref().map_or(0, |(number, _)| *number), member.holding.newest().0);
         let due = member.late.max(t);
@@ -47,7 +47,7 @@
             _ => return,
         };
         leader.heard[n] = Some(t);
-        leader.given.heard(&names()[n], Some(acts), has);
+        leader.given.record_report(&names()[n], Some(acts), has);
         if leader.given.grant(now, &names()[n]) {
             member.answers.push((due, request, number, body));
         }
@@ -61,9 +61,9 @@
         for (_, mut request, number, body) in due {
             if flaw == Some(Flaw::LeaseFromAnswer) {
                 request += 1000;
-                member.holding.ask(request, clock);
+                member.holding.begin_request(request, clock);
             }
-            member.holding.granted(Some(request), number, Some(Arc::clone(&body)));
+            member.holding.accept_grant(Some(request), number, Some(Arc::clone(&body)));
             if member.holding.newest().0 == number && number > 0 {
                 member.agreed = Agreed::decode(&body).map(|agreed| (number, Arc::new(agreed)));
             }
@@ -99,7 +99,7 @@
     fn answer(&self, n: usize) -> Option<Duration> {
         let (member, clock) = (&self.members[n], self.clock(n));
         let past = self.flaw == Some(Flaw::AnnouncesPastLease);
-        let until = member.holding.until().map(|until| if past { clock + times().lease } else { until });
+        let until = member.holding.lease_end().map(|until| if past { clock + times().lease } else { until });
         let own = Own {
             site: NAMES[SITES[n]].into(),
             ready: true,
@@ -117,7 +117,7 @@
     pub(super) fn acts(&self, n: usize) -> Option<u64> {
         let (member, clock) = (&self.members[n], self.clock(n));
         let (_, agreed) = member.agreed.as_ref().filter(|_| self.runs(n))?;
-        let holds = member.holding.until().is_some_and(|until| clock < until);
+        let holds = member.holding.lease_end().is_some_and(|until| clock < until);
         let lease = holds || self.flaw == Some(Flaw::ActsPastLease);
         let zone = Zone(SITES[n] as u16);
         let mut acting = Acting::new(topology(), Rules::near_first(1, 1), zone, clock);
--- a/tools/simulator/src/places/explore/world.rs
+++ b/tools/simulator/src/places/explore/world.rs
@@ -5,8 +5,8 @@
 use maplehook_failover::{Document, Row, Share, WHOLE};
 use maplehook_failover_agent::talk::Agreed;
 use maplehook_locality::{Region, Zone};
-use maplehook_versions::common::{Document as Log, Given, Holding};
-use maplehook_versions::grants::Times;
+use maplehook_versions::lease_manager::LeaseTimes;
+use maplehook_versions::shared_document::{DocumentLeaseHolder, DocumentLeaseManager, SharedDocument as Log};
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::sync::Arc;
@@ -104,7 +104,7 @@
 pub(super) struct Leader {
     pub(super) at: usize,
     pub(super) decider: Decider,
-    pub(super) given: Given,
+    pub(super) given: DocumentLeaseManager,
     /// What it takes for what stands in the log.
     pub(super) number: u64,
     pub(super) stands: Arc<Agreed>,
@@ -117,7 +117,7 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct Member {
-    pub(super) holding: Holding,
+    pub(super) holding: DocumentLeaseHolder,
     pub(super) request: u64,
     pub(super) agreed: Option<(u64, Arc<Agreed>)>,
     /// Until which step.
@@ -153,9 +153,13 @@
     pub(super) held: [Duration; 2],
 }
 
-pub(super) fn times() -> Times {
-    let none = Times { contradiction: Duration::ZERO, lease: Duration::ZERO, renew: Duration::ZERO };
-    Times::new(Duration::from_secs(6)).unwrap_or(none)
+pub(super) fn times() -> LeaseTimes {
+    let none = LeaseTimes {
+        max_contradiction: Duration::ZERO,
+        lease: Duration::ZERO,
+        renew_interval: Duration::ZERO,
+    };
+    LeaseTimes::new(Duration::from_secs(6)).unwrap_or(none)
 }
 
 pub(super) fn names() -> Vec<Name> {
@@ -201,7 +205,7 @@
     /// One in which the first site holds the address.
     pub fn new(flaw: Option<Flaw>) -> Result<Self, String> {
         let member = || Member {
-            holding: Holding::new(times()),
+            holding: DocumentLeaseHolder::new(times()),
             request: 0,
             agreed: None,
             stopped: 0,
@@ -303,7 +307,7 @@
             Act::Elect => self.lead_anew(),
             Act::Crash(n) => {
                 let member = &mut self.members[n];
-                (member.holding, member.agreed) = (Holding::new(times()), None);
+                (member.holding, member.agreed) = (DocumentLeaseHolder::new(times()), None);
                 member.answers.clear();
                 member.polls.clear();
                 // What it asked for before says nothing to it now.
@@ -335,7 +339,7 @@
             return Err(format!("two sites announce it at {now:?}"));
         }
         // Whoever acts on an earlier plan than the newest may not go on for longer than is stated.
-        if now > self.since + times().contradiction {
+        if now > self.since + times().max_contradiction {
             let newest = self.stands.places.plan.epoch;
             let old = (0..SITES.len()).find(|n| {
                 let behind =
--- a/tools/testbed/src/fleet.rs
+++ b/tools/testbed/src/fleet.rs
@@ -2,12 +2,12 @@
 //! change costs. The ways between them are queues, so that bytes are those of the messages alone.
 
 use maplehook_cluster::Name;
-use maplehook_consensus::talk::{Op, Reply};
-use maplehook_consensus::{Agreeing, Setup, Wishes};
+use maplehook_consensus::messages::{AdminReply, AdminRequest};
+use maplehook_consensus::{AdminClient, ConsensusConfig, ConsensusService};
 use maplehook_transport::Talk;
 use maplehook_transport::frames::Message;
-use maplehook_versions::grants::{CutOff, Times};
-use maplehook_versions::steps::Step;
+use maplehook_versions::lease_manager::{LeaseExpiryPolicy, LeaseTimes};
+use maplehook_versions::version_state::Phase;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::Path;
@@ -23,7 +23,7 @@
 
 /// A member's part.
 struct Part {
-    agreeing: Agreeing,
+    agreeing: ConsensusService,
     said: Arc<AtomicU64>,
     messages: Arc<AtomicU64>,
 }
@@ -60,7 +60,7 @@
 }
 
 fn measured(members: usize, bytes: usize, contradiction: Duration, place: &Path) -> Result<String, String> {
-    let times = Times::new(contradiction).ok_or("that time can't be kept")?;
+    let times = LeaseTimes::new(contradiction).ok_or("that time can't be kept")?;
     let names: Vec<Name> = (0..members).filter_map(|n| Name::new(&format!("b{n}"))).collect();
     let voters: Vec<Name> = names.iter().take(3).cloned().collect();
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
@@ -71,16 +71,16 @@
         let ((say, said), (tell, heard)) = (mpsc::channel(WAITING), mpsc::channel(WAITING));
         ears.insert(name.clone(), tell);
         let directory = voters.contains(name).then(|| place.join(name.as_str()));
-        let setup = Setup {
-            own: name.clone(),
+        let setup = ConsensusConfig {
+            local_name: name.clone(),
             voters: voters.clone(),
             members: names.iter().cloned().collect(),
-            times,
-            cut_off: CutOff::Careful,
+            lease_times: times,
+            expiry_policy: LeaseExpiryPolicy::Conservative,
             directory,
             file: first.clone(),
         };
-        let agreeing = Agreeing::start(setup, Talk { say, heard })?;
+        let agreeing = ConsensusService::start(setup, Talk { say, heard })?;
         let (counted, messages) = (Arc::default(), Arc::default());
         mouths.push((name.clone(), said, Arc::clone(&counted), Arc::clone(&messages)));
         parts.push(Part { agreeing, said: counted, messages });
@@ -100,7 +100,8 @@
         });
     }
     for part in &parts {
-        let (mut acting, applied) = (part.agreeing.acting.clone(), part.agreeing.applied.clone());
+        let (mut acting, applied) =
+            (part.agreeing.active_version.clone(), part.agreeing.applied_epoch.clone());
         runtime.spawn(async move {
             while acting.changed().await.is_ok() {
                 let epoch = acting.borrow_and_update().epoch;
@@ -108,7 +109,8 @@
             }
         });
     }
-    let epochs = || -> Vec<u64> { parts.iter().map(|part| part.agreeing.acting.borrow().epoch).collect() };
+    let epochs =
+        || -> Vec<u64> { parts.iter().map(|part| part.agreeing.active_version.borrow().epoch).collect() };
     let until = |epoch: u64| -> Result<Duration, String> {
         let begun = Instant::now();
         while epochs().iter().any(|acts| *acts < epoch) {
@@ -150,7 +152,7 @@
     let (shared, _) = maplehook_config::shared(&long).map_err(|e| e.to_string())?;
     let said = count(&parts);
     let begun = Instant::now();
-    propose(&runtime, &parts[members - 1].agreeing.wishes(), &shared)?;
+    propose(&runtime, &parts[members - 1].agreeing.admin_client(), &shared)?;
     until(2)?;
     let strictest = begun.elapsed();
     until(3)?;
@@ -172,14 +174,14 @@
     Ok(text)
 }
 
-fn propose(runtime: &tokio::runtime::Runtime, wishes: &Wishes, text: &str) -> Result<(), String> {
+fn propose(runtime: &tokio::runtime::Runtime, wishes: &AdminClient, text: &str) -> Result<(), String> {
     let begun = Instant::now();
     loop {
-        let op = Op::Propose { text: text.to_owned(), expect: None };
-        match runtime.block_on(wishes.ask(op)) {
-            Some((_, Reply::Done(_))) => return Ok(()),
-            Some((_, Reply::Refused(why))) => return Err(why),
-            Some((local, _)) if matches!(local.step, Step::Strictest { .. }) => return Ok(()),
+        let op = AdminRequest::Propose { text: text.to_owned(), expected: None };
+        match runtime.block_on(wishes.request(op)) {
+            Some((_, AdminReply::Done(_))) => return Ok(()),
+            Some((_, AdminReply::Rejected(why))) => return Err(why),
+            Some((local, _)) if matches!(local.phase, Phase::Transition { .. }) => return Ok(()),
             other if begun.elapsed() > MOST => return Err(format!("{:?}", other.map(|(_, reply)| reply))),
             // Whoever checks a long text takes a while; saying it again is harmless.
             _ => std::thread::sleep(Duration::from_millis(100)),
