--- a/crates/proxy/src/rollout_command.rs
+++ b/crates/proxy/src/rollout_command.rs
@@ -122,7 +122,7 @@
 /// A plan's text and what it changes, which lies beside it; or what is wrong with either, with its lines.
 fn of_file(path: &Path) -> Result<Result<(String, What), String>, Box<dyn Error>> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let plan = match maplehook_rollout::plan::read(&text) {
+    let plan = match maplehook_rollout::plan::parse(&text) {
         Ok(plan) => plan,
         Err(faults) => return Ok(Err(format!("{}:\n{faults}\n", path.display()))),
     };
--- a/crates/rollout-agent/src/document.rs
+++ b/crates/rollout-agent/src/document.rs
@@ -2,7 +2,7 @@
 
 use maplehook_canary::IntervalReport;
 use maplehook_consensus::MAX_PART_BYTES;
-use maplehook_rollout::{Rollout, State};
+use maplehook_rollout::{Rollout, RolloutState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -72,7 +72,7 @@
     /// Whether no other change may begin.
     pub fn runs(&self) -> bool {
         let settings = matches!(self.content, Content::Settings { .. });
-        let unsaid = settings && self.rollout.state == State::Done && self.version.is_none();
+        let unsaid = settings && self.rollout.state == RolloutState::Completed && self.version.is_none();
         unsaid || !self.rollout.state.is_over()
     }
 
@@ -153,16 +153,16 @@
 }
 
 /// How a state is said.
-pub fn words(state: &State) -> String {
+pub fn words(state: &RolloutState) -> String {
     match state {
-        State::Running(stage) => format!("running stage {}", stage + 1),
-        State::Held { stage, why, .. } => format!("held at stage {}: {why}", stage + 1),
-        State::Undoing { why } => format!("undoing: {why}"),
-        State::Undone { why } => format!("undone: {why}"),
-        State::FailedToUndo { why, who } => {
+        RolloutState::Running(stage) => format!("running stage {}", stage + 1),
+        RolloutState::Paused { stage, why, .. } => format!("held at stage {}: {why}", stage + 1),
+        RolloutState::RollingBack { why } => format!("undoing: {why}"),
+        RolloutState::RolledBack { why } => format!("undone: {why}"),
+        RolloutState::RollbackFailed { why, members: who } => {
             format!("undone ({why}), but not known to be as before: {}", who.join(", "))
         }
-        State::Planned | State::Done => state.word().into(),
+        RolloutState::Planned | RolloutState::Completed => state.name().into(),
     }
 }
 
--- a/crates/rollout-agent/src/judging.rs
+++ b/crates/rollout-agent/src/judging.rs
@@ -5,7 +5,7 @@
 use maplehook_canary::report::{MAX_GROUPS, Reports};
 use maplehook_canary::{IntervalReport, Judge, Side, Verdict};
 use maplehook_cluster::Name;
-use maplehook_rollout::{Judged, State};
+use maplehook_rollout::{RolloutState, StageVerdict};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -118,10 +118,10 @@
         now: Duration,
         change: &Change,
         heard: &mut BTreeMap<String, Heard>,
-    ) -> Option<Judged> {
+    ) -> Option<StageVerdict> {
         let rollout = &change.rollout;
         let (plan, stage) = (&rollout.plan, self.of.1);
-        if !self.placed && rollout.is_placed() {
+        if !self.placed && rollout.is_stage_changed() {
             // Only now is it a stage: what was before counts for what is usual alone.
             (self.judge, self.placed) = (judge(change, stage, &self.judge.baseline()), true);
         }
@@ -133,19 +133,23 @@
         }
         self.judge.record_interval(&sides, &reports);
         let least = &plan.stages[stage.min(plan.stages.len() - 1)];
-        let intervals = least.least.as_millis().div_ceil(plan.interval.as_millis().max(1)) as u64;
-        let verdict = self.judge.verdict(intervals, least.least_requests);
-        let long = now.saturating_sub(self.begun) >= plan.short;
-        let held = matches!(rollout.state, State::Held { operator: false, .. });
+        let intervals =
+            least.min_duration.as_millis().div_ceil(plan.report_interval.as_millis().max(1)) as u64;
+        let verdict = self.judge.verdict(intervals, least.min_requests);
+        let long = now.saturating_sub(self.begun) >= plan.inconclusive_after;
+        let held = matches!(rollout.state, RolloutState::Paused { by_operator: false, .. });
         let judged = match &verdict {
-            Verdict::Regression(why) => Some(Judged::Worse(why.clone())),
-            Verdict::SharedFault(why) => Some(Judged::Shared(why.clone())),
-            Verdict::Pass | Verdict::Inconclusive(_) if held => Some(Judged::Clear),
-            Verdict::Pass if self.placed && rollout.is_placed() => Some(Judged::Well),
-            Verdict::Inconclusive(why) if long => Some(Judged::Short(format!("too little to say: {why}"))),
-            Verdict::Pass if long => {
-                Some(Judged::Short(format!("not changed yet: {}", rollout.unplaced().join(", "))))
+            Verdict::Regression(why) => Some(StageVerdict::Regression(why.clone())),
+            Verdict::SharedFault(why) => Some(StageVerdict::SharedFault(why.clone())),
+            Verdict::Pass | Verdict::Inconclusive(_) if held => Some(StageVerdict::Recovered),
+            Verdict::Pass if self.placed && rollout.is_stage_changed() => Some(StageVerdict::Pass),
+            Verdict::Inconclusive(why) if long => {
+                Some(StageVerdict::Inconclusive(format!("too little to say: {why}")))
             }
+            Verdict::Pass if long => Some(StageVerdict::Inconclusive(format!(
+                "not changed yet: {}",
+                rollout.pending_members().join(", ")
+            ))),
             Verdict::Pass | Verdict::Inconclusive(_) => None,
         };
         self.verdict = Some(verdict);
@@ -160,7 +164,7 @@
         change: &Change,
         heard: &mut BTreeMap<String, Heard>,
     ) -> (BTreeMap<Name, Side>, Reports) {
-        let (rollout, interval) = (&change.rollout, change.rollout.plan.interval);
+        let (rollout, interval) = (&change.rollout, change.rollout.plan.report_interval);
         let fresh = FRESH.max(interval * 3);
         let (mut sides, mut reports) = (BTreeMap::new(), Reports::new());
         for member in rollout.order.members() {
@@ -188,7 +192,7 @@
 }
 
 fn judge(change: &Change, stage: usize, usual: &[f64]) -> Judge {
-    let bounds = change.rollout.plan.bounds.clone();
+    let bounds = change.rollout.plan.thresholds.clone();
     match &change.before {
         Some(before) if change.is_everybody(stage) => Judge::with_reference(bounds, before.clone()),
         _ => Judge::new(bounds, usual),
--- a/crates/rollout-agent/src/lead.rs
+++ b/crates/rollout-agent/src/lead.rs
@@ -9,7 +9,7 @@
 use maplehook_canary::Side;
 use maplehook_config::Proxy;
 use maplehook_rollout::order::Member;
-use maplehook_rollout::{Command, Rollout, State};
+use maplehook_rollout::{Command, Rollout, RolloutState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -89,15 +89,16 @@
     /// Where balancers say that they stand.
     fn place(&self, change: &mut Change) {
         let number = change.rollout.number;
-        let undoes = change.rollout.undone_at > 0;
+        let undoes = change.rollout.rollback_step > 0;
         for (name, heard) in &self.heard {
             let Some((of, side, step)) = heard.stands else { continue };
             let known = change.rollout.sides.get(name);
             // Which step one has heard of matters for what is undone alone: the log need not have it each time.
-            let news = known
-                .is_none_or(|(before, had)| *before != side || (undoes && *had < change.rollout.undone_at));
+            let news = known.is_none_or(|(before, had)| {
+                *before != side || (undoes && *had < change.rollout.rollback_step)
+            });
             if of == number && news {
-                let stands = Command::Stands { name: name.clone(), side, heard: step };
+                let stands = Command::ReportSide { name: name.clone(), side, known_step: step };
                 play(change, &stands);
             }
         }
@@ -106,11 +107,11 @@
     /// Another version came into force: the change rests on nothing any more.
     fn foreign(&self, change: &mut Change, in_force: Option<u64>) {
         let Content::Settings { rests_on, .. } = change.content else { return };
-        let undone = change.rollout.undone_at > 0 || change.rollout.state == State::Done;
+        let undone = change.rollout.rollback_step > 0 || change.rollout.state == RolloutState::Completed;
         if let Some(version) = in_force.filter(|version| *version > rests_on && !undone) {
             let (step, why) =
                 (change.rollout.step, format!("version {version} has come into force meanwhile"));
-            play(change, &Command::Undo { step, why });
+            play(change, &Command::RollBack { step, why });
         }
     }
 
@@ -127,12 +128,14 @@
         if now < self.next {
             return;
         }
-        self.next = (self.next + change.rollout.plan.interval).max(now);
+        self.next = (self.next + change.rollout.plan.report_interval).max(now);
         if let Some(judged) = judging.interval(now, change, &mut self.heard) {
             let last = change.before.is_none() && stage + 1 < change.rollout.order.stages();
             let before = judging.before().filter(|_| last && change.is_everybody(stage + 1));
             let step = change.rollout.step;
-            if play(change, &Command::Judge { step, stage, judged }) && change.rollout.judged > stage {
+            if play(change, &Command::ApplyVerdict { step, stage, verdict: judged })
+                && change.rollout.passed_stages > stage
+            {
                 change.before = before;
             }
         }
@@ -140,20 +143,21 @@
 
     fn give_up(&mut self, now: Duration, change: &mut Change) {
         let number = change.rollout.number;
-        if !matches!(change.rollout.state, State::Undoing { .. }) {
+        if !matches!(change.rollout.state, RolloutState::RollingBack { .. }) {
             self.undoing = None;
             return;
         }
         let (of, since) = *self.undoing.get_or_insert((number, now));
-        if of == number && now.saturating_sub(since) >= change.rollout.plan.cut_off + GIVE_UP {
+        if of == number && now.saturating_sub(since) >= change.rollout.plan.lost_contact_after + GIVE_UP {
             let step = change.rollout.step;
-            play(change, &Command::GiveUp { step });
+            play(change, &Command::GiveUpRollback { step });
         }
     }
 
     /// Who may be away now, to be started with another program.
     fn release(&self, now: Duration, change: &mut Change) {
-        let (Content::Program { .. }, State::Running(stage)) = (&change.content, &change.rollout.state)
+        let (Content::Program { .. }, RolloutState::Running(stage)) =
+            (&change.content, &change.rollout.state)
         else {
             return;
         };
@@ -168,7 +172,7 @@
         let names = change.rollout.order.members().iter().map(|member| member.name.clone());
         let away =
             names.filter(|name| silent(name) || (change.released.contains(name) && !is_new(name))).collect();
-        let goes = change.rollout.order.may_go(&change.rollout.plan, &wanted, &away);
+        let goes = change.rollout.order.select_for_change(&change.rollout.plan, &wanted, &away);
         change.released.extend(goes);
     }
 
@@ -189,7 +193,7 @@
     pub fn finished(&self) -> Option<(&str, u64)> {
         let change = self.stands.change.as_ref().filter(|change| change.version.is_none())?;
         match &change.content {
-            Content::Settings { text, rests_on } if change.rollout.state == State::Done => {
+            Content::Settings { text, rests_on } if change.rollout.state == RolloutState::Completed => {
                 Some((text, *rests_on))
             }
             _ => None,
@@ -203,12 +207,15 @@
         match version {
             Ok(version) => {
                 change.version = Some(version);
-                change.rollout.used =
+                change.rollout.irreversible_feature =
                     Some(format!("version {version}, which `maplehook settings undo` takes back"));
             }
             Err(why) => {
                 let step = change.rollout.step;
-                play(change, &Command::Undo { step, why: format!("it can't be the next version: {why}") });
+                play(
+                    change,
+                    &Command::RollBack { step, why: format!("it can't be the next version: {why}") },
+                );
             }
         }
         self.propose(document).ok()
@@ -233,7 +240,7 @@
                         Some(number) => Reply::Done(number),
                         None => Reply::Refused(why),
                     })?;
-                play(&mut change, &Command::Go { step: 0 });
+                play(&mut change, &Command::Proceed { step: 0 });
                 watch(&mut change, None, ground.unix_ms);
                 document.begin(change);
                 document.number
@@ -243,17 +250,19 @@
                 let change = document.change.as_mut().ok_or_else(none)?;
                 let (step, number) = (change.rollout.step, change.rollout.number);
                 let command = match wish {
-                    Wish::Hold if matches!(change.rollout.state, State::Held { operator: true, .. }) => {
+                    Wish::Hold
+                        if matches!(change.rollout.state, RolloutState::Paused { by_operator: true, .. }) =>
+                    {
                         return Err(Reply::Done(number));
                     }
-                    Wish::Go if matches!(change.rollout.state, State::Running(_)) => {
+                    Wish::Go if matches!(change.rollout.state, RolloutState::Running(_)) => {
                         return Err(Reply::Done(number));
                     }
-                    Wish::Hold => Command::Hold { step },
-                    Wish::Go => Command::Go { step },
-                    _ => Command::Undo { step, why: format!("by an operator at {by}") },
+                    Wish::Hold => Command::Pause { step },
+                    Wish::Go => Command::Proceed { step },
+                    _ => Command::RollBack { step, why: format!("by an operator at {by}") },
                 };
-                change.rollout.play(&command).map_err(|why| Reply::Refused(why.to_string()))?;
+                change.rollout.apply(&command).map_err(|why| Reply::Refused(why.to_string()))?;
                 if document == self.stands {
                     return Err(Reply::Done(number));
                 }
@@ -267,7 +276,7 @@
     /// The change that runs, if it is this one.
     fn same(&self, plan: &str, what: &What) -> Option<u64> {
         let change = self.stands.change.as_ref().filter(|change| change.runs())?;
-        let plan = maplehook_rollout::plan::read(plan).ok()?;
+        let plan = maplehook_rollout::plan::parse(plan).ok()?;
         let content = match (what, &change.content) {
             (What::Settings { text }, Content::Settings { text: of, .. }) => text == of,
             (What::Program { path, digest }, Content::Program { path: at, digest: of }) => {
@@ -288,7 +297,7 @@
         if let Some(change) = self.stands.change.as_ref().filter(|change| change.runs()) {
             return Err(format!("change {} is {}", change.rollout.number, words(&change.rollout.state)));
         }
-        let plan = maplehook_rollout::plan::read(plan).map_err(|faults| faults.to_string())?;
+        let plan = maplehook_rollout::plan::parse(plan).map_err(|faults| faults.to_string())?;
         let mut preview = Preview::default();
         let content = match what {
             What::Settings { text } => {
@@ -314,7 +323,7 @@
         let zone = |name: &String| self.heard.get(name).map_or(String::new(), |heard| heard.zone.clone());
         let members: Vec<Member> =
             self.names.iter().map(|name| Member { name: name.clone(), zone: zone(name) }).collect();
-        let rollout = Rollout::new(self.stands.number + 1, plan, &members)?;
+        let rollout = Rollout::new(self.stands.number + 1, plan, &members).map_err(|e| e.to_string())?;
         let change = Change {
             rollout,
             content,
@@ -340,7 +349,7 @@
 
 /// Whether it was played.
 fn play(change: &mut Change, command: &Command) -> bool {
-    let played = change.rollout.play(command);
+    let played = change.rollout.apply(command);
     if let Err(why) = &played {
         tracing::debug!("{command:?}: {why}");
     }
@@ -355,7 +364,7 @@
         change.watched.last_mut().filter(|last| last.until_ms.is_none() && running != Some(last.stage))
     {
         last.until_ms = Some(unix_ms);
-        last.verdict = if change.rollout.judged > last.stage { "not worse".into() } else { verdict };
+        last.verdict = if change.rollout.passed_stages > last.stage { "not worse".into() } else { verdict };
         last.evidence = judging.map(Judging::lines).unwrap_or_default();
         last.evidence.truncate(EVIDENCE_MOST);
     }
--- a/crates/rollout-agent/src/member.rs
+++ b/crates/rollout-agent/src/member.rs
@@ -2,8 +2,8 @@
 
 use crate::document::{Content, Document, words};
 use maplehook_canary::Side;
-use maplehook_rollout::state::cut_off;
-use maplehook_rollout::{Rollout, State};
+use maplehook_rollout::side_without_leader;
+use maplehook_rollout::{Rollout, RolloutState};
 use std::time::Duration;
 
 /// Where a balancer is to be.
@@ -25,19 +25,19 @@
 pub fn wanted(document: &Document, own: &str, silent: Duration) -> Option<Wanted> {
     let change = document.change.as_ref()?;
     let Rollout { number, step, state, plan, .. } = &change.rollout;
-    let mut side = change.rollout.wanted(own);
+    let mut side = change.rollout.target_side(own);
     let program = match &change.content {
         Content::Settings { .. } => None,
         Content::Program { path, digest } => {
             // One after the other, as many of a zone as may be away.
-            if !change.released.contains(own) && *state != State::Done {
+            if !change.released.contains(own) && *state != RolloutState::Completed {
                 side = Side::Old;
             }
             Some((path.clone(), digest.clone()))
         }
     };
     let mut word = words(state);
-    if cut_off(plan, side, *state == State::Done, silent) != side {
+    if side_without_leader(plan, side, *state == RolloutState::Completed, silent) != side {
         side = Side::Old;
         word = format!("cut off for {} s: as before ({word})", silent.as_secs());
     }
@@ -55,8 +55,8 @@
         let plan =
             "[change]\nsettings = 'x'\ncut_off_s = 5\n[[stage]]\nnames = ['b1']\n[[stage]]\nshare = 1.0\n";
         let members = ["b1", "b2"].map(|name| Member { name: name.into(), zone: "a".into() });
-        let mut rollout = Rollout::new(7, maplehook_rollout::plan::read(plan).unwrap(), &members).unwrap();
-        rollout.play(&Command::Go { step: 0 }).unwrap();
+        let mut rollout = Rollout::new(7, maplehook_rollout::plan::parse(plan).unwrap(), &members).unwrap();
+        rollout.apply(&Command::Proceed { step: 0 }).unwrap();
         let change = Change {
             rollout,
             content,
--- a/crates/rollout-agent/src/run.rs
+++ b/crates/rollout-agent/src/run.rs
@@ -205,7 +205,7 @@
             self.stands.send_modify(|stands| stands.wanted = wanted);
         }
         let counts = self.document.change.as_ref().filter(|change| change.runs());
-        let counts = counts.map(|change| change.rollout.plan.interval);
+        let counts = counts.map(|change| change.rollout.plan.report_interval);
         self.counts.send_if_modified(|before| std::mem::replace(before, counts) != counts);
         let staged = self.staging();
         self.staged.send_if_modified(|before| {
@@ -217,11 +217,9 @@
 
     /// By what settings to act: until they are undone on all sides, or are the version in force.
     fn staging(&mut self) -> Option<Arc<Staged>> {
-        let change = self
-            .document
-            .change
-            .as_ref()
-            .filter(|change| change.runs() || change.rollout.state == maplehook_rollout::State::Done)?;
+        let change = self.document.change.as_ref().filter(|change| {
+            change.runs() || change.rollout.state == maplehook_rollout::RolloutState::Completed
+        })?;
         let wanted = self.wanted.as_ref()?;
         let Content::Settings { text, rests_on } = &change.content else { return None };
         let acting = self.setup.link.acting.borrow();
--- a/crates/rollout-agent/src/shown.rs
+++ b/crates/rollout-agent/src/shown.rs
@@ -3,7 +3,7 @@
 use crate::document::{Change, Document, words};
 use crate::talk::Preview;
 use maplehook_canary::Side;
-use maplehook_rollout::State;
+use maplehook_rollout::RolloutState;
 use serde::{Deserialize, Serialize};
 
 /// A balancer of a stage.
@@ -82,7 +82,7 @@
         let rollout = &change.rollout;
         Self {
             number: rollout.number,
-            state: rollout.state.word().into(),
+            state: rollout.state.name().into(),
             word: words(&rollout.state),
             step: rollout.step,
             what: change.content.words(),
@@ -91,7 +91,7 @@
             version: change.version,
             stages: stages(change, known),
             waits: waits(change, known),
-            events: rollout.events.iter().map(|event| format!("{}: {}", event.step, event.said)).collect(),
+            events: rollout.events.iter().map(|event| format!("{}: {}", event.step, event.text)).collect(),
             runs: change.runs(),
             ..Self::default()
         }
@@ -130,25 +130,27 @@
 fn waits(change: &Change, known: &[String]) -> Vec<String> {
     let rollout = &change.rollout;
     match &rollout.state {
-        State::Running(_) | State::Held { .. } => {
+        RolloutState::Running(_) | RolloutState::Paused { .. } => {
             let mut waits = Vec::new();
-            let unplaced = rollout.unplaced();
+            let unplaced = rollout.pending_members();
             if !unplaced.is_empty() {
                 waits.push(format!("to be changed: {}", unplaced.join(", ")));
             }
             match &rollout.state {
-                State::Held { operator: true, .. } => {
+                RolloutState::Paused { by_operator: true, .. } => {
                     waits.push("an operator: maplehook rollout go, or undo".into())
                 }
-                State::Held { why, .. } => waits.push(format!("the end of this: {why}")),
+                RolloutState::Paused { why, .. } => waits.push(format!("the end of this: {why}")),
                 _ => waits.extend(known.first().cloned()),
             }
             waits
         }
-        State::Undoing { .. } | State::FailedToUndo { .. } => {
-            vec![format!("to be as before: {}", rollout.doubtful().join(", "))]
+        RolloutState::RollingBack { .. } | RolloutState::RollbackFailed { .. } => {
+            vec![format!("to be as before: {}", rollout.unconfirmed_members().join(", "))]
+        }
+        RolloutState::Completed if change.runs() => {
+            vec!["the settings are proposed as the next version".into()]
         }
-        State::Done if change.runs() => vec!["the settings are proposed as the next version".into()],
         _ => Vec::new(),
     }
 }
--- a/crates/rollout-agent/tests/leading.rs
+++ b/crates/rollout-agent/tests/leading.rs
@@ -2,7 +2,7 @@
 
 use maplehook_canary::{IntervalReport, Side};
 use maplehook_config::Proxy;
-use maplehook_rollout::State;
+use maplehook_rollout::RolloutState;
 use maplehook_rollout_agent::document::Document;
 use maplehook_rollout_agent::lead::{Ground, Leading};
 use maplehook_rollout_agent::member::wanted;
@@ -72,7 +72,7 @@
         self.leading.ended(true);
     }
 
-    fn state(&self) -> State {
+    fn state(&self) -> RolloutState {
         self.log.change.as_ref().unwrap().rollout.state.clone()
     }
 
@@ -116,11 +116,11 @@
     let mut world = World::new();
     assert_eq!(world.start().unwrap(), 1);
     world.play(6.0, &good);
-    assert_eq!(world.state(), State::Running(0), "each stage has its least time");
+    assert_eq!(world.state(), RolloutState::Running(0), "each stage has its least time");
     world.play(6.0, &good);
-    assert!(matches!(world.state(), State::Running(n) if n > 0), "{:?}", world.state());
+    assert!(matches!(world.state(), RolloutState::Running(n) if n > 0), "{:?}", world.state());
     world.play(60.0, &good);
-    assert_eq!(world.state(), State::Done);
+    assert_eq!(world.state(), RolloutState::Completed);
     let change = world.log.change.as_ref().unwrap();
     assert!(change.runs() && change.watched.len() == 3, "{:?}", change.watched);
     assert!(
@@ -140,9 +140,9 @@
     let mut world = World::new();
     world.start().unwrap();
     world.play(6.0, &bad);
-    assert!(matches!(world.state(), State::Undone { why } if why.contains("failed")));
+    assert!(matches!(world.state(), RolloutState::RolledBack { why } if why.contains("failed")));
     let change = world.log.change.as_ref().unwrap();
-    assert_eq!((change.rollout.begun, change.watched.len()), (Some(0), 1));
+    assert_eq!((change.rollout.furthest_stage, change.watched.len()), (Some(0), 1));
     assert!(change.watched[0].verdict.contains("failed"), "{:?}", change.watched);
     // The next one may begin, and this one is remembered.
     assert_eq!(world.start().unwrap(), 2);
@@ -155,16 +155,16 @@
     world.start().unwrap();
     for _ in 0..80 {
         world.play(0.5, &good);
-        if matches!(world.state(), State::Running(1)) {
+        if matches!(world.state(), RolloutState::Running(1)) {
             break;
         }
     }
-    assert_eq!(world.state(), State::Running(1));
+    assert_eq!(world.state(), RolloutState::Running(1));
     world.leading = Leading::new(names(), world.log.clone(), world.now);
     world.play(5.0, &good);
-    assert_eq!(world.state(), State::Running(1), "what another has seen of it does not count");
+    assert_eq!(world.state(), RolloutState::Running(1), "what another has seen of it does not count");
     world.play(60.0, &good);
-    assert_eq!(world.state(), State::Done);
+    assert_eq!(world.state(), RolloutState::Completed);
 }
 
 #[test]
@@ -173,14 +173,18 @@
     world.start().unwrap();
     for _ in 0..200 {
         world.play(0.5, &good);
-        if matches!(world.state(), State::Running(2)) {
+        if matches!(world.state(), RolloutState::Running(2)) {
             break;
         }
     }
-    assert_eq!(world.state(), State::Running(2));
+    assert_eq!(world.state(), RolloutState::Running(2));
     world.leading = Leading::new(names(), world.log.clone(), world.now);
     world.play(6.0, &bad);
-    assert!(matches!(world.state(), State::Undone { why } if why.contains("failed")), "{:?}", world.state());
+    assert!(
+        matches!(world.state(), RolloutState::RolledBack { why } if why.contains("failed")),
+        "{:?}",
+        world.state()
+    );
 }
 
 #[test]
@@ -195,12 +199,12 @@
     assert_eq!(world.wish(&Wish::Hold).unwrap(), number);
     assert_eq!(world.wish(&Wish::Hold), Err(Reply::Done(number)));
     world.play(30.0, &good);
-    assert!(matches!(world.state(), State::Held { operator: true, .. }));
+    assert!(matches!(world.state(), RolloutState::Paused { by_operator: true, .. }));
     assert_eq!(world.wish(&Wish::Go).unwrap(), number);
     assert_eq!(world.wish(&Wish::Undo).unwrap(), number);
     assert_eq!(world.wish(&Wish::Undo), Err(Reply::Done(number)), "undone while it is undone");
     world.play(2.0, &good);
-    assert!(matches!(world.state(), State::Undone { .. }));
+    assert!(matches!(world.state(), RolloutState::RolledBack { .. }));
 }
 
 #[test]
@@ -233,15 +237,15 @@
     world.away.push("b0".into());
     world.play(8.0, &good);
     assert!(
-        matches!(world.state(), State::Undoing { why } if why.contains("b0 has told nothing")),
+        matches!(world.state(), RolloutState::RollingBack { why } if why.contains("b0 has told nothing")),
         "{:?}",
         world.state()
     );
     world.play(100.0, &good);
-    assert!(matches!(world.state(), State::FailedToUndo { who, .. } if who == ["b0"]));
+    assert!(matches!(world.state(), RolloutState::RollbackFailed { members: who, .. } if who == ["b0"]));
     world.away.clear();
     world.play(2.0, &good);
-    assert!(matches!(world.state(), State::Undone { .. }));
+    assert!(matches!(world.state(), RolloutState::RolledBack { .. }));
 }
 
 #[test]
@@ -250,7 +254,7 @@
     world.start().unwrap();
     world.in_force = 2;
     world.play(2.0, &good);
-    assert!(matches!(world.state(), State::Undone { why } if why.contains("version 2")));
+    assert!(matches!(world.state(), RolloutState::RolledBack { why } if why.contains("version 2")));
 }
 
 /// A program: as many of a zone as may be away at once, and all in the end.
@@ -269,7 +273,7 @@
         most = most.max(away);
         world.play(0.5, &good);
     }
-    assert_eq!((world.state(), most), (State::Done, 1));
+    assert_eq!((world.state(), most), (RolloutState::Completed, 1));
 }
 
 /// One that was out of reach when this leader came, and is as before, says nothing of the change; nor is it waited for but to be
@@ -285,7 +289,7 @@
     world.away.push(last);
     world.leading = Leading::new(names(), world.log.clone(), world.now);
     world.play(40.0, &good);
-    assert_eq!(world.state(), State::Running(2));
+    assert_eq!(world.state(), RolloutState::Running(2));
 }
 
 /// One of the stage can't act on it: the stage is not left, however well the others do, and an operator is told whom it waits for.
@@ -296,8 +300,10 @@
     let stays = world.log.change.as_ref().unwrap().rollout.order.members()[1].name.clone();
     world.stays.push(stays.clone());
     world.play(60.0, &good);
-    assert_eq!(world.state(), State::Running(1));
+    assert_eq!(world.state(), RolloutState::Running(1));
     world.play(60.0, &good);
-    let State::Held { why, operator: true, .. } = world.state() else { panic!("{:?}", world.state()) };
+    let RolloutState::Paused { why, by_operator: true, .. } = world.state() else {
+        panic!("{:?}", world.state())
+    };
     assert_eq!(why, format!("not changed yet: {stays}"));
 }
--- a/crates/rollout/src/command.rs
+++ b/crates/rollout/src/command.rs
@@ -1,98 +1,91 @@
-//! What is said to a change, and why it may change nothing.
+//! The commands of a rollout, and the reasons for which one is rejected.
 
 use maplehook_canary::Side;
 use serde::{Deserialize, Serialize};
-use std::fmt;
+use thiserror::Error;
 
-/// What a verdict says.
+/// What the analysis of a stage says of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Judged {
+pub enum StageVerdict {
     /// The stage is not worse.
-    Well,
-    /// It is.
-    Worse(String),
-    /// Both sides have trouble.
-    Shared(String),
-    /// They have none any more.
-    Clear,
-    /// There was too little for too long.
-    Short(String),
+    Pass,
+    /// The stage is worse, for this reason.
+    Regression(String),
+    /// Both sides have the same fault.
+    SharedFault(String),
+    /// The shared fault is over.
+    Recovered,
+    /// There was too little evidence for too long.
+    Inconclusive(String),
 }
 
-/// An entry of the log.
+/// A command: an entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// It begins, or goes on after it was held.
-    Go {
-        /// The step that is known.
+    /// Starts the rollout, or resumes a paused one.
+    Proceed {
+        /// The step that the author has seen.
         step: u64,
     },
-    /// It is held by an operator.
-    Hold {
-        /// The step that is known.
+    /// Pauses the rollout, by an operator.
+    Pause {
+        /// The step that the author has seen.
         step: u64,
     },
-    /// It is undone.
-    Undo {
-        /// The step that is known.
+    /// Rolls the change back.
+    RollBack {
+        /// The step that the author has seen.
         step: u64,
-        /// Why.
+        /// The reason, for operators.
         why: String,
     },
-    /// A member says on which side it is.
-    Stands {
-        /// Who.
+    /// A member reports which side it is on.
+    ReportSide {
+        /// The member.
         name: String,
-        /// Where.
+        /// Its side.
         side: Side,
-        /// The latest step that it has heard of: one that has not heard of an undoing may still change.
-        heard: u64,
+        /// The latest step that it knows: a member that does not know of a rollback yet may still change.
+        known_step: u64,
     },
-    /// The stage is judged.
-    Judge {
-        /// The step that is known.
+    /// Applies the verdict on a stage.
+    ApplyVerdict {
+        /// The step that the author has seen.
         step: u64,
-        /// The stage.
+        /// The stage that was analysed.
         stage: usize,
-        /// What the verdict is.
-        judged: Judged,
+        /// The verdict.
+        verdict: StageVerdict,
     },
-    /// The time in which all should have gone back is over.
-    GiveUp {
-        /// The step that is known.
+    /// Gives up waiting for members that have not confirmed the rollback in time.
+    GiveUpRollback {
+        /// The step that the author has seen.
         step: u64,
     },
 }
 
 /// Why a command changes nothing.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Refused {
-    /// Something else came first.
-    Late {
-        /// The step that holds.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Error)]
+pub enum RolloutError {
+    /// Another command came first.
+    #[error("something else came first: step {step} holds")]
+    Stale {
+        /// The present step.
         step: u64,
     },
-    /// Not in this state.
-    State(String),
-    /// The stage is not changed yet.
-    Unplaced {
-        /// Who is missing.
-        who: Vec<String>,
+    /// The command is not possible in the present state, whose name this is.
+    #[error("not while it is {0}")]
+    WrongState(String),
+    /// The stage is not changed completely yet.
+    #[error("not changed yet: {}", members.join(", "))]
+    StageIncomplete {
+        /// Members that are not known to be changed.
+        members: Vec<String>,
     },
-    /// There is no such member.
-    Unknown(String),
-    /// Going back is not possible any more.
-    Floor(String),
-}
-
-impl fmt::Display for Refused {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Late { step } => write!(f, "something else came first: step {step} holds"),
-            Self::State(word) => write!(f, "not while it is {word}"),
-            Self::Unplaced { who } => write!(f, "not changed yet: {}", who.join(", ")),
-            Self::Unknown(name) => write!(f, "there is no balancer {name:?}"),
-            Self::Floor(why) => write!(f, "there is no way back: {why}"),
-        }
-    }
+    /// There is no member of this name.
+    #[error("there is no balancer {0:?}")]
+    UnknownMember(String),
+    /// The change cannot be rolled back any more, for this reason.
+    #[error("there is no way back: {0}")]
+    Irreversible(String),
 }
--- a/crates/rollout/src/explore/machine.rs
+++ b/crates/rollout/tests/explore/machine.rs
@@ -1,9 +1,9 @@
 //! The state machine as it is, its documents known by number; and what may be broken on purpose.
 
-use crate::order::Member;
-use crate::plan::{self, Plan};
-use crate::state::{Command, Judged, Rollout, State, cut_off};
 use maplehook_canary::Side;
+use maplehook_rollout::order::Member;
+use maplehook_rollout::plan::{self, Plan};
+use maplehook_rollout::{Command, Rollout, RolloutState, StageVerdict, side_without_leader};
 use rustc_hash::FxHashMap;
 
 /// What is broken on purpose.
@@ -74,7 +74,7 @@
     plan: Plan,
     docs: Vec<Rollout>,
     essences: Vec<Essence>,
-    known: FxHashMap<(Essence, State), u32>,
+    known: FxHashMap<(Essence, RolloutState), u32>,
     played: FxHashMap<(u32, Command), Option<u32>>,
 }
 
@@ -84,7 +84,7 @@
         let text = format!(
             "[change]\nprogram = 'p'\nwhen_cut_off = '{when}'\n[[stage]]\nnames = ['b0']\n[[stage]]\nshare = 1.0\n"
         );
-        let plan = plan::read(&text).unwrap();
+        let plan = plan::parse(&text).unwrap();
         let members = NAMES.map(|name| Member { name: name.into(), zone: "z".into() });
         let first = Rollout::new(1, plan.clone(), &members).unwrap();
         let (docs, essences) = (Vec::new(), Vec::new());
@@ -102,13 +102,15 @@
         // What happened is told to those who ask; nothing is decided by it.
         doc.events.clear();
         let state = match &doc.state {
-            State::Planned => 0,
-            State::Running(stage) => 1 + *stage as u8,
-            State::Held { stage, operator, .. } => 3 + 2 * *stage as u8 + u8::from(*operator),
-            State::Undoing { .. } => 7,
-            State::Undone { .. } => 8,
-            State::Done => 9,
-            State::FailedToUndo { who, .. } => {
+            RolloutState::Planned => 0,
+            RolloutState::Running(stage) => 1 + *stage as u8,
+            RolloutState::Paused { stage, by_operator: operator, .. } => {
+                3 + 2 * *stage as u8 + u8::from(*operator)
+            }
+            RolloutState::RollingBack { .. } => 7,
+            RolloutState::RolledBack { .. } => 8,
+            RolloutState::Completed => 9,
+            RolloutState::RollbackFailed { members: who, .. } => {
                 let bits =
                     NAMES.iter().enumerate().map(|(n, name)| u8::from(who.iter().any(|w| w == name)) << n);
                 10 + bits.sum::<u8>()
@@ -118,11 +120,11 @@
         let essence = Essence {
             step: doc.step as u8,
             state,
-            undone_at: doc.undone_at as u8,
-            begun: doc.begun.map_or(9, |stage| stage as u8),
-            judged: doc.judged as u8,
+            undone_at: doc.rollback_step as u8,
+            begun: doc.furthest_stage.map_or(9, |stage| stage as u8),
+            judged: doc.passed_stages as u8,
             sides: NAMES.map(side),
-            wanted: NAMES.map(|name| doc.wanted(name) == Side::New),
+            wanted: NAMES.map(|name| doc.target_side(name) == Side::New),
         };
         let fresh = self.docs.len() as u32;
         let number = *self.known.entry((essence, doc.state.clone())).or_insert(fresh);
@@ -151,8 +153,8 @@
         format!("{:?} at step {}, {:?}", doc.state, doc.step, doc.sides)
     }
 
-    pub fn cut_off(&self, side: Side, done: bool) -> Side {
-        cut_off(&self.plan, side, done, self.plan.cut_off)
+    pub fn side_without_leader(&self, side: Side, done: bool) -> Side {
+        side_without_leader(&self.plan, side, done, self.plan.lost_contact_after)
     }
 
     /// The document after a command, unless it is refused.
@@ -162,21 +164,21 @@
         }
         let mut doc = self.doc(number).clone();
         let sides = doc.sides.clone();
-        if self.is(Flaw::Forgets) && matches!(command, Command::Undo { .. }) {
-            doc.begun = None;
+        if self.is(Flaw::Forgets) && matches!(command, Command::RollBack { .. }) {
+            doc.furthest_stage = None;
         }
-        let well = matches!(command, Command::Judge { judged: Judged::Well, .. });
+        let well = matches!(command, Command::ApplyVerdict { verdict: StageVerdict::Pass, .. });
         if self.is(Flaw::Unplaced) && well {
             let step = doc.step;
             doc.sides.extend(NAMES.map(|name| (name.to_owned(), (Side::New, step))));
         }
         let mut command_played = command.clone();
         match &mut command_played {
-            Command::Judge { step, .. } if self.is(Flaw::LateVerdict) => *step = doc.step,
-            Command::Stands { heard, .. } if self.is(Flaw::Unheard) => *heard = doc.step,
+            Command::ApplyVerdict { step, .. } if self.is(Flaw::LateVerdict) => *step = doc.step,
+            Command::ReportSide { known_step: heard, .. } if self.is(Flaw::Unheard) => *heard = doc.step,
             _ => {}
         }
-        let next = doc.play(&command_played).is_ok().then(|| {
+        let next = doc.apply(&command_played).is_ok().then(|| {
             if self.is(Flaw::Unplaced) && well {
                 doc.sides = sides;
             }
--- a/crates/rollout/src/explore/world.rs
+++ b/crates/rollout/tests/explore/world.rs
@@ -1,9 +1,9 @@
 //! Three balancers, one of which leads; a document; words and puts that are on their way.
 
-use super::acts::{Act, Faults, Truth};
-use super::machine::{Docs, Flaw, NAMES};
-use crate::state::{Command, Judged, State};
+use crate::acts::{Act, Faults, Truth};
+use crate::machine::{Docs, Flaw, NAMES};
 use maplehook_canary::Side;
+use maplehook_rollout::{Command, RolloutState, StageVerdict};
 
 /// What a balancer was told last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -36,17 +36,17 @@
 }
 
 impl Put {
-    fn judged(self) -> Judged {
+    fn judged(self) -> StageVerdict {
         match self.judged {
-            0 => Judged::Well,
-            1 => Judged::Worse("harm".into()),
-            2 => Judged::Shared("both".into()),
-            _ => Judged::Clear,
+            0 => StageVerdict::Pass,
+            1 => StageVerdict::Regression("harm".into()),
+            2 => StageVerdict::SharedFault("both".into()),
+            _ => StageVerdict::Recovered,
         }
     }
 
     fn command(self) -> Command {
-        Command::Judge { step: self.step.into(), stage: self.stage.into(), judged: self.judged() }
+        Command::ApplyVerdict { step: self.step.into(), stage: self.stage.into(), verdict: self.judged() }
     }
 }
 
@@ -120,7 +120,7 @@
         }
         acts.extend((self.left.undos > 0).then_some(Act::Undo));
         acts.extend((self.left.holds > 0).then_some(Act::Hold));
-        let running = matches!(docs.doc(self.doc).state, State::Running(_));
+        let running = matches!(docs.doc(self.doc).state, RolloutState::Running(_));
         acts.extend((self.left.shared > 0 && running).then_some(Act::Shared));
         acts
     }
@@ -141,15 +141,15 @@
         let step = u64::from(doc.step);
         let possible = |holds: bool| holds.then_some(());
         Ok(match act {
-            Act::Go => self.asked(Command::Go { step }, docs),
-            Act::GiveUp => self.asked(Command::GiveUp { step }, docs),
+            Act::Go => self.asked(Command::Proceed { step }, docs),
+            Act::GiveUp => self.asked(Command::GiveUpRollback { step }, docs),
             Act::Undo => {
                 self.left.undos -= 1;
-                self.asked(Command::Undo { step, why: "asked".into() }, docs)
+                self.asked(Command::RollBack { step, why: "asked".into() }, docs)
             }
             Act::Hold => {
                 self.left.holds -= 1;
-                self.asked(Command::Hold { step }, docs)
+                self.asked(Command::Pause { step }, docs)
             }
             Act::Hear(n) => {
                 let told = self.told(n, docs);
@@ -183,7 +183,7 @@
                 let lost = self.cut == Some(n) && self.balancers[n].up;
                 let balancer = &mut self.balancers[n];
                 let side = if balancer.new { Side::New } else { Side::Old };
-                let goes = lost && docs.cut_off(side, balancer.view.done) != side;
+                let goes = lost && docs.side_without_leader(side, balancer.view.done) != side;
                 if lost && docs.is(Flaw::StaysChanged) {
                     balancer.lost = true;
                 }
@@ -246,7 +246,7 @@
         let (new, heard) = self.balancers[n].word?;
         self.leads()?;
         let side = if new { Side::New } else { Side::Old };
-        let command = Command::Stands { name: NAMES[n].into(), side, heard: heard.into() };
+        let command = Command::ReportSide { name: NAMES[n].into(), side, known_step: heard.into() };
         self.balancers[n].word = None;
         self.doc = docs.play(self.doc, &command).unwrap_or(self.doc);
         Some(())
@@ -257,7 +257,7 @@
         let leader = self.leader.filter(|n| self.balancers[*n].up)?;
         let doc = docs.doc(self.doc);
         let stage = doc.stage()?;
-        let held = matches!(doc.state, State::Held { .. });
+        let held = matches!(doc.state, RolloutState::Paused { .. });
         let (mut silent, mut harm, mut seen, mut doubt) = (false, false, 0, false);
         for n in 0..if stage == 0 { 1 } else { 3 } {
             let known = docs.essence(self.doc).sides[n].is_some_and(|(new, _)| new);
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -1,19 +1,20 @@
 //! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
 
 use maplehook_golden::golden_types;
-use maplehook_rollout::command::{Command, Judged, Refused};
-use maplehook_rollout::order::{Member, Order};
+use maplehook_rollout::command::{Command, RolloutError, StageVerdict};
+use maplehook_rollout::order::{Member, StageOrder};
 use maplehook_rollout::plan::Plan;
-use maplehook_rollout::state::{Event, Rollout, State};
+use maplehook_rollout::rollout::Rollout;
+use maplehook_rollout::state::{RolloutEvent, RolloutState};
 
 golden_types! {
     command: Postcard Command;
-    judged: Postcard Judged;
-    refused: Postcard Refused;
+    judged: Postcard StageVerdict;
+    refused: Postcard RolloutError;
     member: Postcard Member;
-    order: Postcard Order;
+    order: Postcard StageOrder;
     plan: Postcard Plan;
-    state: Postcard State;
-    event: Postcard Event;
+    state: Postcard RolloutState;
+    event: Postcard RolloutEvent;
     rollout: Postcard Rollout;
 }
--- a/tools/simulator/src/rollout/play.rs
+++ b/tools/simulator/src/rollout/play.rs
@@ -4,7 +4,7 @@
 use super::harm::Harm;
 use super::ways::{Decides, Way};
 use maplehook_canary::Side;
-use maplehook_rollout::State;
+use maplehook_rollout::RolloutState;
 use maplehook_rollout::order::Member;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -118,7 +118,9 @@
         }
         decides.second(second, heard);
         let state = decides.state();
-        if stopped.is_none() && matches!(state, State::Undoing { .. } | State::Undone { .. }) {
+        if stopped.is_none()
+            && matches!(state, RolloutState::RollingBack { .. } | RolloutState::RolledBack { .. })
+        {
             stopped = Some(second);
         }
         over = state.is_over().then(|| (second, state.clone()));
@@ -130,8 +132,8 @@
     // What is done goes on as it was to the end of the day.
     let mut rest = DAY as f64 - second as f64;
     match over {
-        Some((at, State::Done)) => outcome.done = Some(at),
-        Some((at, State::Undone { why })) => {
+        Some((at, RolloutState::Completed)) => outcome.done = Some(at),
+        Some((at, RolloutState::RolledBack { why })) => {
             outcome.undo = stopped.map(|stopped| at - stopped);
             outcome.end = End::Stopped(why);
         }
--- a/tools/simulator/src/rollout/ways.rs
+++ b/tools/simulator/src/rollout/ways.rs
@@ -2,7 +2,7 @@
 
 use maplehook_canary::{IntervalReport, RequestCounts, Side};
 use maplehook_rollout::order::Member;
-use maplehook_rollout::{Command, Judged, Rollout, State, plan};
+use maplehook_rollout::{Command, Rollout, RolloutState, StageVerdict, plan};
 use maplehook_rollout_agent::document::{Change, Content, Document};
 use maplehook_rollout_agent::lead::Leading;
 use maplehook_rollout_agent::member::wanted;
@@ -79,9 +79,9 @@
 }
 
 fn document(members: &[Member]) -> Result<Document, String> {
-    let plan = plan::read(&plan_of(members.len())).map_err(|faults| faults.to_string())?;
-    let mut rollout = Rollout::new(1, plan, members)?;
-    rollout.play(&Command::Go { step: 0 }).map_err(|why| why.to_string())?;
+    let plan = plan::parse(&plan_of(members.len())).map_err(|faults| faults.to_string())?;
+    let mut rollout = Rollout::new(1, plan, members).map_err(|e| e.to_string())?;
+    rollout.apply(&Command::Proceed { step: 0 }).map_err(|why| why.to_string())?;
     let change = Change {
         rollout,
         content: Content::Program { path: "p".into(), digest: "0".repeat(64) },
@@ -106,8 +106,9 @@
         }
         let mut rollout = document.change.ok_or("no change")?.rollout;
         if way == Way::AtOnce {
-            let plan = plan::read("[change]\nprogram = 'p'\n[[stage]]\nshare = 1.0\n");
-            rollout = Rollout::new(1, plan.map_err(|faults| faults.to_string())?, members)?;
+            let plan = plan::parse("[change]\nprogram = 'p'\n[[stage]]\nshare = 1.0\n");
+            rollout = Rollout::new(1, plan.map_err(|faults| faults.to_string())?, members)
+                .map_err(|e| e.to_string())?;
         }
         Ok(Self::Fixed(Box::new(Fixed {
             rollout,
@@ -120,10 +121,10 @@
     }
 
     /// Where the change stands.
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &RolloutState {
         match self {
             Self::Judged(both) => {
-                both.1.change.as_ref().map_or(&State::Planned, |change| &change.rollout.state)
+                both.1.change.as_ref().map_or(&RolloutState::Planned, |change| &change.rollout.state)
             }
             Self::Fixed(fixed) => &fixed.rollout.state,
         }
@@ -134,7 +135,7 @@
         match self {
             Self::Judged(both) => wanted(&both.1, name, Duration::ZERO)
                 .map_or((Side::Old, 0), |wanted| (wanted.side, wanted.step)),
-            Self::Fixed(fixed) => (fixed.rollout.wanted(name), fixed.rollout.step),
+            Self::Fixed(fixed) => (fixed.rollout.target_side(name), fixed.rollout.step),
         }
     }
 
@@ -175,7 +176,7 @@
             self.crashed |= side == Side::New && report.crashes > 0;
             let known = self.rollout.sides.get(&name);
             if known.is_none_or(|(before, had)| *before != side || *had < step) {
-                self.play(Command::Stands { name, side, heard: step });
+                self.play(Command::ReportSide { name, side, known_step: step });
             }
         }
         self.seen.push_back(cells);
@@ -183,26 +184,26 @@
             self.seen.pop_front();
         }
         let step = self.rollout.step;
-        if self.rollout.state == State::Planned {
+        if self.rollout.state == RolloutState::Planned {
             if second >= LOOKS_BACK as u64 {
                 self.before = self.sum(Side::Old);
                 self.seen.clear();
                 self.since = second;
-                self.play(Command::Go { step });
+                self.play(Command::Proceed { step });
             }
             return;
         }
         let (Some(stage), true) = (self.rollout.stage(), second.is_multiple_of(LOOKS_EACH)) else { return };
-        if !self.rollout.is_placed() {
+        if !self.rollout.is_stage_changed() {
             self.since = second;
         }
         let judged = match self.worse() {
-            Some(why) => Judged::Worse(why),
-            None if second >= self.since + LEAST => Judged::Well,
+            Some(why) => StageVerdict::Regression(why),
+            None if second >= self.since + LEAST => StageVerdict::Pass,
             None => return,
         };
-        let well = judged == Judged::Well;
-        self.play(Command::Judge { step, stage, judged });
+        let well = judged == StageVerdict::Pass;
+        self.play(Command::ApplyVerdict { step, stage, verdict: judged });
         if well {
             let last = stage + 2 == self.rollout.order.stages();
             self.before = if last { self.sum(Side::Old) } else { std::mem::take(&mut self.before) };
@@ -238,6 +239,6 @@
 
     fn play(&mut self, command: Command) {
         // What is refused changes nothing; it is said again.
-        let _ = self.rollout.play(&command);
+        let _ = self.rollout.apply(&command);
     }
 }
