--- a/crates/config/src/proxy.rs
+++ b/crates/config/src/proxy.rs
@@ -123,7 +123,7 @@
         if let Some(n) = ranged!(reader, table, "max_attempts", 1..=20u8, "1 to 20") {
             settings.max_attempts = n;
         }
-        settings.hedging = reader.take_in(table, "hedging").unwrap_or(false);
+        settings.can_hedge = reader.take_in(table, "hedging").unwrap_or(false);
         settings.connect_timeout = ms(reader, table, "connect_timeout_ms", Duration::from_secs(1));
         settings.connection_idle_timeout = ms(reader, table, "upstream_idle_ms", Duration::from_secs(5));
         settings.max_retry_after = ms(reader, table, "retry_after_ms", Duration::from_secs(1));
--- a/crates/core/benches/decision.rs
+++ b/crates/core/benches/decision.rs
@@ -55,7 +55,7 @@
         tenant: TenantId(0),
         time_left: Duration::from_secs(1),
         work_ms: None,
-        repeat: false,
+        is_repeat: false,
     };
     balancer.handle(now, request, actions);
     let Some(Action::Attempt { id, upstream, .. }) = actions.first().cloned() else { return };
@@ -65,7 +65,7 @@
         upstream,
         outcome: Outcome::Ok,
         latency: Duration::from_millis(1),
-        finished: true,
+        is_finished: true,
         report: &[],
     };
     balancer.handle(now, ended, actions);
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -59,7 +59,7 @@
     fn new_request(&self, class: usize, tenant: usize, time_left: Duration) -> Request {
         let rules = &self.settings.classes[class];
         let deadline = self.now_s + time_left.as_secs_f64();
-        let has_late_value = rules.late_value > 0.0 || rules.objective_stretch > 0.0 || rules.streamed;
+        let has_late_value = rules.late_value > 0.0 || rules.objective_stretch > 0.0 || rules.is_streamed;
         let in_time_until = self.now_s + USEFUL_SHARE * rules.latency_objective.as_secs_f64();
         Request {
             class,
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -56,9 +56,9 @@
         // Where no second attempt may run beside the first, what may be repeated is given up when overdue:
         // here if it can't be cancelled, else then, and only if another can follow.
         let is_last = request.attempts.len() + 1 >= usize::from(request.max_attempts);
-        let is_streamed = self.settings.classes[request.class].streamed;
+        let is_streamed = self.settings.classes[request.class].is_streamed;
         let is_repeatable = request.effect != Effect::AtMostOnce && !is_streamed;
-        let has_no_choice = !self.settings.hedging && !self.settings.cancelling;
+        let has_no_choice = !self.settings.can_hedge && !self.settings.can_cancel;
         if has_no_choice && is_repeatable && !is_last && self.retry_budget >= RETRY_COST {
             return Some(Duration::from_secs_f64(hedge_delay));
         }
@@ -117,7 +117,7 @@
 
     /// Cancels the attempts of a request in flight, where attempts may be cancelled, with one exception.
     fn cancel_attempts(&mut self, id: RequestId, except: Option<usize>) {
-        let Some(request) = self.requests.get(&id).filter(|_| self.settings.cancelling) else { return };
+        let Some(request) = self.requests.get(&id).filter(|_| self.settings.can_cancel) else { return };
         let in_flight = request.attempts.iter().enumerate().filter(|(_, a)| a.is_in_flight);
         let others = in_flight.filter(|(k, _)| Some(*k) != except);
         self.actions.extend(others.map(|(k, _)| Action::Cancel { id, attempt: AttemptNo(k as u8) }));
--- a/crates/core/src/balancer.rs
+++ b/crates/core/src/balancer.rs
@@ -74,9 +74,9 @@
                 self.on_request(id, class, tenant, time_left);
             }
             Event::StreamStarted { id, attempt, latency } => self.on_stream_started(id, attempt, latency),
-            Event::AttemptEnded { id, attempt, upstream, outcome, latency, finished, report } => {
+            Event::AttemptEnded { id, attempt, upstream, outcome, latency, is_finished, report } => {
                 self.on_load_report(upstream, report);
-                self.on_attempt_ended(id, attempt, outcome, latency.as_secs_f64(), finished);
+                self.on_attempt_ended(id, attempt, outcome, latency.as_secs_f64(), is_finished);
             }
             Event::RequestCancelled { id } => self.end_request(id),
             Event::ProbeEnded { upstream, report, .. } => self.on_load_report(upstream, report),
--- a/crates/core/src/hedging.rs
+++ b/crates/core/src/hedging.rs
@@ -30,11 +30,11 @@
         if !is_first_time {
             return;
         }
-        if self.settings.hedging {
+        if self.settings.can_hedge {
             if self.headroom > MIN_HEDGE_HEADROOM {
                 self.try_retry(id, HEDGE_COST);
             }
-        } else if self.settings.cancelling {
+        } else if self.settings.can_cancel {
             self.cancel_for_retry(id, attempt);
         }
     }
--- a/crates/core/src/interface/event.rs
+++ b/crates/core/src/interface/event.rs
@@ -30,7 +30,7 @@
         /// The expected work in milliseconds on a standard core, where it is known.
         work_ms: Option<f64>,
         /// Whether the client says that it has tried this request before.
-        repeat: bool,
+        is_repeat: bool,
     },
     /// A streamed answer, or a request's streamed body, has started. The request has no deadline from now on,
     /// and the duration of the attempt says nothing about its upstream.
@@ -55,7 +55,7 @@
         /// The time since it was sent.
         latency: Duration,
         /// Whether the request has its final answer, by this outcome or before it.
-        finished: bool,
+        is_finished: bool,
         /// A load report with values in the order of [`Settings::report_fields`]; empty if none came.
         report: &'a [f32],
     },
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -19,7 +19,7 @@
     /// What a repeat of a request may do.
     pub effect: Effect,
     /// Whether the answer is a stream, which [`Event::StreamStarted`](crate::Event::StreamStarted) reports.
-    pub streamed: bool,
+    pub is_streamed: bool,
 }
 
 /// A customer whose traffic shares the fleet.
@@ -39,7 +39,7 @@
             value: 1.0,
             late_value: 0.0,
             effect: Effect::AtMostOnce,
-            streamed: false,
+            is_streamed: false,
         }
     }
 }
@@ -138,11 +138,11 @@
     /// The most attempts that one request may have.
     pub max_attempts: u8,
     /// Whether two attempts of a request may be in flight together.
-    pub hedging: bool,
+    pub can_hedge: bool,
     /// Whether attempts may be cancelled.
-    pub cancelling: bool,
+    pub can_cancel: bool,
     /// Whether probes are allowed.
-    pub probing: bool,
+    pub can_probe: bool,
     /// The longest `Retry-After` that clients heed.
     pub max_retry_after: Duration,
     /// A connection that is not made in this time counts as failed.
@@ -183,9 +183,9 @@
             overload_multiple: 3.0,
             overload_window: Duration::from_secs(2),
             max_attempts: 3,
-            hedging: true,
-            cancelling: true,
-            probing: false,
+            can_hedge: true,
+            can_cancel: true,
+            can_probe: false,
             max_retry_after: Duration::from_secs(1),
             connect_timeout: Duration::from_millis(250),
             connection_idle_timeout: Duration::from_secs(60),
--- a/crates/core/src/learned_state.rs
+++ b/crates/core/src/learned_state.rs
@@ -2,14 +2,15 @@
 
 use crate::interface::UpstreamId;
 use crate::latency_estimator::ClassStatistics;
+use crate::throughput::Throughput;
 use crate::token_bucket::TokenBucket;
 use crate::upstream::Upstream;
 
 /// What a balancer has learned.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// Completions a second for each unit of weight, and in all.
-    pub rates: Option<(f64, f64)>,
+    /// The throughput; `None` if nothing is known.
+    pub throughput: Option<LearnedThroughput>,
     /// What was learned of each class, by position; `None` if nothing is known.
     pub classes: Vec<Option<LearnedClass>>,
     /// What was learned of each tenant, by position; `None` if nothing is known.
@@ -18,6 +19,15 @@
     pub upstreams: Vec<LearnedUpstream>,
 }
 
+/// The completions of a balancer's requests.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct LearnedThroughput {
+    /// Completions a second for each unit of weight.
+    pub per_weight: f64,
+    /// Completions a second in all.
+    pub per_second: f64,
+}
+
 /// What was learned of a class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LearnedClass {
@@ -59,6 +69,12 @@
     pub latency_samples: f64,
 }
 
+impl LearnedThroughput {
+    pub(crate) fn of(throughput: &Throughput) -> Self {
+        Self { per_weight: throughput.per_weight, per_second: throughput.per_second }
+    }
+}
+
 impl LearnedClass {
     pub(crate) fn of(statistics: &ClassStatistics) -> Self {
         Self {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -59,7 +59,7 @@
 //!     tenant: TenantId(0),
 //!     time_left: ms(1000),
 //!     work_ms: None,
-//!     repeat: false,
+//!     is_repeat: false,
 //! };
 //! balancer.handle(ms(5), request, &mut actions);
 //! assert!(matches!(actions[..], [Action::Attempt { id: RequestId(1), upstream: UpstreamId(7), .. }]));
@@ -72,7 +72,7 @@
 //!     upstream: UpstreamId(7),
 //!     outcome: Outcome::Ok,
 //!     latency: ms(30),
-//!     finished: true,
+//!     is_finished: true,
 //!     report: &[],
 //! };
 //! balancer.handle(ms(35), ended, &mut actions);
@@ -154,7 +154,7 @@
 mod zone_routing;
 
 pub use interface::*;
-pub use learned_state::{LearnedClass, LearnedState, LearnedTenant, LearnedUpstream};
+pub use learned_state::{LearnedClass, LearnedState, LearnedTenant, LearnedThroughput, LearnedUpstream};
 pub use observations::{GroupObservation, ZoneObservation};
 pub use state::{Balancer, UpstreamCounts};
 
--- a/crates/core/src/state_transfer.rs
+++ b/crates/core/src/state_transfer.rs
@@ -1,7 +1,7 @@
 //! The transfer of learned state from one process to the next. Times are seconds.
 
 use crate::latency_estimator::ClassStatistics;
-use crate::learned_state::{LearnedClass, LearnedState, LearnedTenant, LearnedUpstream};
+use crate::learned_state::{LearnedClass, LearnedState, LearnedTenant, LearnedThroughput, LearnedUpstream};
 use crate::state::Balancer;
 
 /// Seconds for which an ejection taken over may last at the most.
@@ -14,7 +14,7 @@
     pub fn learned_state(&self) -> LearnedState {
         let listed = self.upstreams.iter().filter(|u| u.is_listed());
         LearnedState {
-            rates: Some((self.throughput.per_weight, self.throughput.per_second)),
+            throughput: Some(LearnedThroughput::of(&self.throughput)),
             classes: self.classes.iter().map(|c| Some(LearnedClass::of(c))).collect(),
             tenants: self.buckets.iter().map(|b| Some(LearnedTenant::of(b))).collect(),
             upstreams: listed.map(|u| LearnedUpstream::of(u, self.now_s)).collect(),
@@ -24,10 +24,10 @@
     /// Goes on where the process before this one stands: else every replacement would begin with slow starts
     /// and full buckets, and learn the same again at the clients' cost.
     pub(crate) fn restore_learned_state(&mut self, learned: &LearnedState) {
-        if let Some((per_weight, per_second)) = learned.rates {
+        if let Some(learned) = learned.throughput {
             // One that had nothing to do has learned nothing that a fresh start does not grant.
-            self.throughput.per_weight = per_weight.max(self.throughput.per_weight);
-            self.throughput.per_second = per_second.max(self.throughput.per_second);
+            self.throughput.per_weight = learned.per_weight.max(self.throughput.per_weight);
+            self.throughput.per_second = learned.per_second.max(self.throughput.per_second);
         }
         let now = self.now_s;
         let classes = self.settings.classes.iter().zip(&mut self.classes).zip(&learned.classes);
--- a/crates/core/tests/common/fleet.rs
+++ b/crates/core/tests/common/fleet.rs
@@ -198,7 +198,7 @@
         self.seen.unserved += usize::from(player.unserved.is_too_long(self.now, from));
         self.seen.asked += usize::from(self.now >= START);
         let (class, tenant) = (ClassId(class as u16), TenantId(tenant as u32));
-        self.tell(b, Event::Request { id, class, tenant, time_left, work_ms: None, repeat: false });
+        self.tell(b, Event::Request { id, class, tenant, time_left, work_ms: None, is_repeat: false });
     }
 
     fn crash(&mut self) {
@@ -357,7 +357,7 @@
             upstream: self.day.id(j),
             outcome,
             latency: Duration::from_secs_f64(self.now - since),
-            finished,
+            is_finished: finished,
             report,
         };
         self.tell(b, ended);
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -33,7 +33,7 @@
     max_attempts: u8,
 ) -> Settings {
     let keyed = |group, ttl| Effect::Deduplicated { group, ttl: ms(ttl) };
-    let streamed = Class { streamed: true, ..class(300, 900, Effect::Idempotent) };
+    let streamed = Class { is_streamed: true, ..class(300, 900, Effect::Idempotent) };
     Settings {
         balancers: if sparse { 500 } else { 1 },
         classes: vec![
@@ -46,10 +46,10 @@
         ],
         tenants: [900.0, 2000.0, 0.0].map(|a| Tenant { allowance_per_s: a }).to_vec(),
         has_endpoint_discovery: sparse,
-        hedging,
-        cancelling,
+        can_hedge: hedging,
+        can_cancel: cancelling,
         max_attempts,
-        probing: sparse,
+        can_probe: sparse,
         reports: if sparse { Reports::OnProbe } else { Reports::Inline },
         report_fields: vec![LoadField::InFlight],
         ..Settings::default()
@@ -126,7 +126,7 @@
         self.next += 1;
         let id = RequestId(self.next);
         let (class, tenant) = (ClassId(class), TenantId(tenant));
-        self.tell(Event::Request { id, class, tenant, time_left: left, work_ms: None, repeat: false });
+        self.tell(Event::Request { id, class, tenant, time_left: left, work_ms: None, is_repeat: false });
         id
     }
 
@@ -147,7 +147,7 @@
             upstream,
             outcome,
             latency: self.now - sent,
-            finished,
+            is_finished: finished,
             report: &[],
         });
     }
--- a/crates/core/tests/failures.rs
+++ b/crates/core/tests/failures.rs
@@ -54,7 +54,7 @@
     let group = DedupGroup::All;
     for effect in [Effect::Idempotent, Effect::Deduplicated { group, ttl: ms(5000) }] {
         let tenants = vec![Tenant { allowance_per_s: 1000.0 }];
-        let settings = Settings { hedging: false, tenants, ..settings(effect) };
+        let settings = Settings { can_hedge: false, tenants, ..settings(effect) };
         let mut bench = Bench::new(settings.clone(), &fleet(40));
         let ids: Vec<RequestId> = (0..30).map(|_| bench.request(0, 0, ms(5000))).collect();
         let held: Vec<RequestId> = ids.into_iter().filter(|id| bench.at(*id, 0).is_some()).collect();
@@ -261,7 +261,7 @@
     let (id, attempt, upstream, latency) = (RequestId(99), AttemptNo(3), UpstreamId(42), ms(1));
     let (outcome, report) = (Outcome::Ok, &[][..]);
     for event in [
-        Event::AttemptEnded { id, attempt, upstream, outcome, latency, finished: false, report },
+        Event::AttemptEnded { id, attempt, upstream, outcome, latency, is_finished: false, report },
         Event::ProbeEnded { upstream, outcome, latency, report },
         Event::StreamStarted { id, attempt, latency: Some(latency) },
         Event::RequestCancelled { id },
--- a/crates/core/tests/reach.rs
+++ b/crates/core/tests/reach.rs
@@ -102,7 +102,7 @@
                     upstream,
                     outcome: Outcome::Ok,
                     latency,
-                    finished: true,
+                    is_finished: true,
                     report: &[],
                 };
                 self.tell(event, &mut told);
@@ -116,7 +116,7 @@
                     tenant: TenantId(0),
                     time_left: ms(1000),
                     work_ms: None,
-                    repeat: false,
+                    is_repeat: false,
                 };
                 self.tell(event, &mut told);
             } else {
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -102,14 +102,14 @@
         match action {
             Action::Timer { after, timer } => self.timers.push((now + after, timer)),
             Action::Probe { upstream } => {
-                assert!(self.set.probing, "probes are not allowed");
+                assert!(self.set.can_probe, "probes are not allowed");
                 assert!(self.named.contains(&upstream));
                 self.probes.push(upstream);
             }
             Action::WatchEndpoints | Action::FetchEndpoints => assert!(self.set.has_endpoint_discovery),
             Action::Log { .. } | Action::CloseIdle { .. } => {}
             Action::Cancel { id, attempt } => {
-                assert!(self.set.cancelling);
+                assert!(self.set.can_cancel);
                 assert!(usize::from(attempt.0) < self.requests[&id].attempts.len(), "a cancel of nothing");
             }
             Action::Attempt { id, upstream, timeout } => {
@@ -119,7 +119,7 @@
                 assert!(r.attempts.len() < usize::from(self.set.max_attempts), "too many attempts");
                 let listed = self.fleet.get(&upstream).copied();
                 assert_eq!(listed, Some(Availability::Ready), "to {upstream:?}, drained, gone or unknown");
-                if !self.set.hedging {
+                if !self.set.can_hedge {
                     assert!(r.attempts.iter().all(|a| !a.out), "two attempts out together");
                 }
                 for first in r.attempts.iter().filter(|a| a.out || a.may_have_run) {
@@ -183,7 +183,7 @@
             upstream,
             outcome,
             latency,
-            finished,
+            is_finished: finished,
             report: &[report],
         });
     }
@@ -232,7 +232,7 @@
                     tenant,
                     time_left,
                     work_ms: *work,
-                    repeat: n.is_multiple_of(3),
+                    is_repeat: n.is_multiple_of(3),
                 });
             }
             Op::End { pick, outcome, report } => {
@@ -259,7 +259,7 @@
             }
             Op::Stream { pick } => {
                 let streamed =
-                    |r: &Held| self.set.classes[r.class].streamed && r.answered.is_none() && !r.gone;
+                    |r: &Held| self.set.classes[r.class].is_streamed && r.answered.is_none() && !r.gone;
                 let mut out = self.out();
                 out.retain(|(id, _)| streamed(&self.requests[id]) && !self.requests[id].streaming);
                 let Some((id, k)) = out.get(pick % out.len().max(1)).copied() else { return };
@@ -336,7 +336,7 @@
         for (id, r) in &world.requests {
             let answered = r.answered.or(r.gone.then_some(Duration::ZERO));
             prop_assert!(answered.is_some(), "{id:?} was lost: {r:?}");
-            let streamed = world.set.classes[r.class].streamed;
+            let streamed = world.set.classes[r.class].is_streamed;
             prop_assert!(streamed || answered <= Some(r.deadline + ms(20)), "{id:?} answered late: {r:?}");
         }
     }
--- a/crates/core/tests/shares.rs
+++ b/crates/core/tests/shares.rs
@@ -146,7 +146,7 @@
     // Nearly all first attempts in the region break: the only other place is beyond it.
     let mut shares = one(row(&[(1, 0.9), (3, 0.1)]));
     shares.rows[0].max_cross_region = 0.12;
-    let settings = Settings { hedging: false, ..plenty() };
+    let settings = Settings { can_hedge: false, ..plenty() };
     let mut bench = bench(settings, &fleet(&[1, 3], 3), &shares);
     let count = 5000;
     for n in 0..count {
--- a/crates/core/tests/unchanged.rs
+++ b/crates/core/tests/unchanged.rs
@@ -139,7 +139,7 @@
                         upstream,
                         outcome,
                         latency,
-                        finished,
+                        is_finished: finished,
                         report,
                     });
                 }
@@ -182,7 +182,7 @@
         run.held.insert(id, (0, false));
         let class = ClassId(run.dice.below(set.classes.len() as u64) as u16);
         let tenant = TenantId(run.dice.below(set.tenants.len().max(1) as u64) as u32);
-        run.tell(Event::Request { id, class, tenant, time_left: ms(900), work_ms: None, repeat: false });
+        run.tell(Event::Request { id, class, tenant, time_left: ms(900), work_ms: None, is_repeat: false });
         if run.dice.below(200) == 0 {
             run.held.insert(id, (run.held[&id].0, true));
             run.tell(Event::RequestCancelled { id });
@@ -230,10 +230,10 @@
         report_fields: vec![LoadField::InFlight, LoadField::Utilization],
         reports: Reports::Inline,
         weights: Weights::Live,
-        hedging: false,
+        can_hedge: false,
         ..settings()
     };
-    let blind = Settings { hedging: false, cancelling: false, has_endpoint_discovery: true, ..settings() };
+    let blind = Settings { can_hedge: false, can_cancel: false, has_endpoint_discovery: true, ..settings() };
     let many = Settings { balancers: 50, index: 7, ..settings() };
     let found = [
         play(settings(), 12, 4, 40_000, 4000),
--- a/crates/core/tests/windows.rs
+++ b/crates/core/tests/windows.rs
@@ -24,8 +24,8 @@
         tenants: vec![Tenant { allowance_per_s: 1e4 }],
         connect_timeout: CONNECT,
         max_attempts: 6,
-        hedging: false,
-        cancelling: false,
+        can_hedge: false,
+        can_cancel: false,
         ..Settings::default()
     };
     let mut bench = Bench::new(settings, &fleet());
--- a/crates/engine/src/parts/driver.rs
+++ b/crates/engine/src/parts/driver.rs
@@ -259,7 +259,7 @@
                     tenant: asked.tenant,
                     time_left: asked.deadline.saturating_duration_since(Instant::now()),
                     work_ms: asked.work_ms,
-                    repeat: asked.repeat,
+                    is_repeat: asked.repeat,
                 };
                 core.balancer.handle(now, event, &mut actions);
             }
@@ -309,7 +309,7 @@
                     upstream,
                     outcome: ended.outcome,
                     latency,
-                    finished,
+                    is_finished: finished,
                     report: &ended.report,
                 };
                 core.balancer.handle(now, event, &mut actions);
@@ -339,7 +339,7 @@
                     upstream,
                     outcome,
                     latency,
-                    finished: true,
+                    is_finished: true,
                     report: &[],
                 };
                 core.balancer.handle(now, event, &mut actions);
--- a/crates/engine/tests/attempt_states.rs
+++ b/crates/engine/tests/attempt_states.rs
@@ -323,7 +323,7 @@
     ) {
         let local = tokio::runtime::Builder::new_current_thread().enable_all().build_local(Default::default());
         local.unwrap().block_on(async {
-            let mut world = World::start(Settings { cancelling, ..settings() }, most_open);
+            let mut world = World::start(Settings { can_cancel: cancelling, ..settings() }, most_open);
             for (op, pass) in &ops {
                 world.play(op);
                 if *pass {
--- a/crates/engine/tests/client_gone.rs
+++ b/crates/engine/tests/client_gone.rs
@@ -50,7 +50,7 @@
 }
 
 fn all_settings() -> impl Iterator<Item = Settings> {
-    [false, true].into_iter().map(|cancelling| Settings { cancelling, ..settings() })
+    [false, true].into_iter().map(|cancelling| Settings { can_cancel: cancelling, ..settings() })
 }
 
 /// Guards upstreams from work for nobody: an attempt that waits for a descriptor when its client leaves is never written.
@@ -109,7 +109,7 @@
         let aim = Duration::from_millis(200);
         let classes =
             base.classes.iter().map(|class| Class { latency_objective: aim, ..class.clone() }).collect();
-        let settings = Settings { hedging: true, classes, ..base };
+        let settings = Settings { can_hedge: true, classes, ..base };
         let mut peers = [Peer::start(), Peer::start()];
         let driver =
             driver(settings.clone(), upstreams(&settings, 8), &peers.each_ref().map(|peer| peer.address));
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -41,8 +41,8 @@
         classes: vec![class(Effect::Idempotent), class(Effect::AtMostOnce), class(keyed)],
         tenants: vec![Tenant { allowance_per_s: 1e4 }],
         connect_timeout: Duration::from_millis(300),
-        hedging: false,
-        cancelling: false,
+        can_hedge: false,
+        can_cancel: false,
         max_attempts: 4,
         ..Settings::default()
     }
--- a/crates/engine/tests/second_copies.rs
+++ b/crates/engine/tests/second_copies.rs
@@ -15,7 +15,7 @@
 async fn the_first_is_closed_before_the_second_is_written() {
     for cancelling in [true, false] {
         let aim = Duration::from_millis(200);
-        let base = Settings { cancelling, ..settings() };
+        let base = Settings { can_cancel: cancelling, ..settings() };
         let classes = base
             .classes
             .iter()
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -4,7 +4,7 @@
 //! wrong with it, nothing of it is taken; whatever is too old may be a lie.
 
 use maplehook_core::{Availability, UpstreamId};
-use maplehook_core::{LearnedClass, LearnedState, LearnedTenant, LearnedUpstream};
+use maplehook_core::{LearnedClass, LearnedState, LearnedTenant, LearnedThroughput, LearnedUpstream};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -206,9 +206,10 @@
                 latency_samples: pace.1,
             })
         };
-        let (rate, rate_now) = self.rates;
+        let (per_weight, per_second) = self.rates;
         LearnedState {
-            rates: (sound(rate) && sound(rate_now)).then_some((rate, rate_now)),
+            throughput: (sound(per_weight) && sound(per_second))
+                .then_some(LearnedThroughput { per_weight, per_second }),
             classes: classes.iter().map(class).collect(),
             tenants: tenants.iter().map(tenant).collect(),
             upstreams: self.upstreams.iter().filter_map(upstream).collect(),
@@ -230,7 +231,8 @@
         let named = tenants.iter().zip(&heritage.tenants);
         self.tenants =
             named.filter_map(|(name, t)| t.as_ref().map(|t| (name.clone(), (t.tokens, t.demand)))).collect();
-        self.rates = heritage.rates.unwrap_or_default();
+        let throughput = heritage.throughput.unwrap_or_default();
+        self.rates = (throughput.per_weight, throughput.per_second);
         let learned: BTreeMap<u64, &LearnedUpstream> =
             heritage.upstreams.iter().map(|u| (u.id.0, u)).collect();
         for known in &mut self.upstreams {
--- a/crates/platform-settings/src/convert.rs
+++ b/crates/platform-settings/src/convert.rs
@@ -100,9 +100,9 @@
         overload_multiple: guarantees.overload_multiple.unwrap_or(base.overload_multiple),
         overload_window: time(guarantees.overload_window_ms, base.overload_window),
         max_attempts: limits.max_attempts.map_or(base.max_attempts, |n| n.min(MAX_ATTEMPTS) as u8),
-        hedging: limits.hedging.unwrap_or(base.hedging),
-        cancelling: limits.cancelling.unwrap_or(base.cancelling),
-        probing: limits.probing.unwrap_or(base.probing),
+        can_hedge: limits.hedging.unwrap_or(base.can_hedge),
+        can_cancel: limits.cancelling.unwrap_or(base.can_cancel),
+        can_probe: limits.probing.unwrap_or(base.can_probe),
         max_retry_after: time(limits.max_retry_after_ms, base.max_retry_after),
         connect_timeout: time(limits.connect_timeout_ms, base.connect_timeout),
         connection_idle_timeout: time(limits.connection_idle_timeout_ms, base.connection_idle_timeout),
@@ -126,7 +126,7 @@
         value: raw.value,
         late_value: raw.late_value,
         effect,
-        streamed: raw.streamed,
+        is_streamed: raw.streamed,
     })
 }
 
--- a/crates/platform-settings/tests/bad_input.rs
+++ b/crates/platform-settings/tests/bad_input.rs
@@ -153,7 +153,7 @@
         let id = RequestId(n);
         let (class, tenant) = (ClassId(n as u16 % classes), TenantId(0));
         let time_left = Duration::from_millis(400);
-        let request = Event::Request { id, class, tenant, time_left, work_ms: None, repeat: n % 3 == 0 };
+        let request = Event::Request { id, class, tenant, time_left, work_ms: None, is_repeat: n % 3 == 0 };
         balancer.handle(now, request, &mut actions);
         let sent = actions.iter().find_map(|action| match action {
             Action::Attempt { id: of, upstream, .. } if *of == id => Some(*upstream),
@@ -167,7 +167,7 @@
                 upstream,
                 outcome,
                 latency,
-                finished: outcome == Outcome::Ok,
+                is_finished: outcome == Outcome::Ok,
                 report: &[],
             };
             balancer.handle(now + latency, ended, &mut actions);
--- a/crates/versions/src/compatibility.rs
+++ b/crates/versions/src/compatibility.rs
@@ -35,7 +35,7 @@
     if a.settings.max_attempts != b.settings.max_attempts {
         found.push(format!("max_attempts {} and {}", a.settings.max_attempts, b.settings.max_attempts));
     }
-    if a.settings.hedging != b.settings.hedging {
+    if a.settings.can_hedge != b.settings.can_hedge {
         found.push("hedging".into());
     }
     let mut all = effects(a).into_iter().chain(effects(b));
@@ -129,7 +129,7 @@
         }
     }
     strict.settings.max_attempts = new.settings.max_attempts.min(old.settings.max_attempts);
-    strict.settings.hedging = new.settings.hedging && old.settings.hedging;
+    strict.settings.can_hedge = new.settings.can_hedge && old.settings.can_hedge;
     strict.clients.refused = old.clients.refused.and(&new.clients.refused);
     let named = |proxy: &Proxy| -> BTreeMap<String, f64> {
         let names = proxy.tenants.iter().cloned();
@@ -168,6 +168,6 @@
         passage.meaning.turned_away.clear();
     }
     careful.settings.max_attempts = 1;
-    careful.settings.hedging = false;
+    careful.settings.can_hedge = false;
     careful
 }
--- a/crates/versions/tests/strict.rs
+++ b/crates/versions/tests/strict.rs
@@ -85,7 +85,7 @@
                 prop_assert!(!neither || !strict.clients.refused.contains(client));
             }
             prop_assert!(strict.settings.max_attempts <= side.settings.max_attempts);
-            prop_assert!(!strict.settings.hedging || side.settings.hedging);
+            prop_assert!(!strict.settings.can_hedge || side.settings.can_hedge);
             for (name, address) in used(&strict) {
                 prop_assert_eq!(used(side).get(name).copied(), Some(address), "upstream {}", name);
             }
@@ -112,7 +112,7 @@
             }
         }
         prop_assert_eq!(one.settings.max_attempts, other.settings.max_attempts);
-        prop_assert_eq!(one.settings.hedging, other.settings.hedging);
+        prop_assert_eq!(one.settings.can_hedge, other.settings.can_hedge);
         prop_assert_eq!(&one.clients.refused, &other.clients.refused);
         prop_assert_eq!(used(&one), used(&other));
         for (name, granted) in guarantees(&one) {
@@ -135,7 +135,7 @@
             prop_assert_eq!(effect, Effect::AtMostOnce);
             prop_assert!(effects(&b).get(name).is_none_or(|other| effect.stricter(*other) == effect));
         }
-        prop_assert!(careful.settings.max_attempts == 1 && !careful.settings.hedging);
+        prop_assert!(careful.settings.max_attempts == 1 && !careful.settings.can_hedge);
         prop_assert_eq!(used(&careful), used(&a));
     }
 }
--- a/tools/simulator-adapter/src/host.rs
+++ b/tools/simulator-adapter/src/host.rs
@@ -112,7 +112,7 @@
             tenant: *tenant,
             time_left: *time_left,
             work_ms: *work_ms,
-            repeat: *is_repeat,
+            is_repeat: *is_repeat,
         },
         Record::StreamStarted { id, attempt, latency } => {
             Event::StreamStarted { id: *id, attempt: *attempt, latency: Some(*latency) }
@@ -123,7 +123,7 @@
             upstream: end.upstream,
             outcome: end.outcome,
             latency: end.latency,
-            finished: *is_finished,
+            is_finished: *is_finished,
             report: &end.report,
         },
         Record::ProbeEnded { end } => Event::ProbeEnded {
--- a/tools/simulator/src/play.rs
+++ b/tools/simulator/src/play.rs
@@ -307,7 +307,7 @@
                 tenant: TenantId(tenant),
                 time_left,
                 work_ms: None,
-                repeat,
+                is_repeat: repeat,
             },
         );
     }
@@ -684,7 +684,7 @@
                 upstream: UpstreamId(n as u64),
                 outcome,
                 latency: self.members[balancer].on_its_clock(latency),
-                finished,
+                is_finished: finished,
                 report: &[],
             },
         );
--- a/tools/simulator/src/policies/peer.rs
+++ b/tools/simulator/src/policies/peer.rs
@@ -227,7 +227,7 @@
                 self.held.insert(id, held);
                 self.send(now, id, time_left, actions);
             }
-            Event::AttemptEnded { id, upstream, outcome, latency, finished, .. } => {
+            Event::AttemptEnded { id, upstream, outcome, latency, is_finished: finished, .. } => {
                 if let Some(at) = self.to.index.get(&upstream).copied() {
                     self.to.all[at].out = self.to.all[at].out.saturating_sub(1);
                     self.pick.learns(now, &mut self.to, at, outcome, latency);
--- a/tools/simulator/src/rules/decisions.rs
+++ b/tools/simulator/src/rules/decisions.rs
@@ -89,7 +89,7 @@
         let settings = Settings {
             classes: vec![class],
             tenants: vec![Tenant { allowance_per_s: 1000.0 }],
-            hedging: false,
+            can_hedge: false,
             connect_timeout: Duration::from_millis(50),
             ..Settings::default()
         };
@@ -110,7 +110,7 @@
         let _ = this.tell(Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &listed });
         let (class, tenant) = (ClassId(0), TenantId(0));
         let event =
-            Event::Request { id: ID, class, tenant, time_left: DEADLINE, work_ms: None, repeat: false };
+            Event::Request { id: ID, class, tenant, time_left: DEADLINE, work_ms: None, is_repeat: false };
         let _ = this.tell(event);
         this
     }
@@ -237,7 +237,7 @@
             upstream,
             outcome: told,
             latency,
-            finished,
+            is_finished: finished,
             report,
         })?;
         self.is_answered()
--- a/tools/simulator/src/world.rs
+++ b/tools/simulator/src/world.rs
@@ -196,7 +196,7 @@
             slow_start_window: cold.map_or(Duration::ZERO, |c| c.over),
             overload_multiple: cold.map_or(3.0, |c| c.multiple),
             overload_window: cold.map_or(Duration::from_secs(1), |c| c.within),
-            hedging: false,
+            can_hedge: false,
             connection_idle_timeout: self.network.connections.map_or(Duration::from_secs(60), |c| c.idle),
             ..Settings::default()
         }
--- a/tools/simulator/tests/harms.rs
+++ b/tools/simulator/tests/harms.rs
@@ -190,7 +190,7 @@
                 }
                 _ => actions.push(attempt(id, 0)),
             },
-            Event::AttemptEnded { id, attempt: no, outcome, finished: false, .. } => match self.0 {
+            Event::AttemptEnded { id, attempt: no, outcome, is_finished: false, .. } => match self.0 {
                 // What has run into its time may still run.
                 "again" if outcome == Outcome::TimedOut && no.0 == 0 => actions.push(attempt(id, 1)),
                 "refuses" => actions.push(Action::Reject { id, retry_after: None }),
