--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -9,7 +9,9 @@
 use maplehook::source::{Entry, News, Source, Task};
 use maplehook_core::LearnedState;
 use maplehook_core::{Availability, CellId, KindId, UpdateScope, UpstreamId, ZoneId};
-use maplehook_hot_restart::{Known, LENGTH_MOST, Learned, Reader, Snapshot};
+use maplehook_hot_restart::{
+    HotRestartSnapshot, LearnedEndpoint, MAX_SNAPSHOT_BYTES, SnapshotEndpoint, SnapshotReader,
+};
 use maplehook_platform_settings::IdNames;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -87,7 +89,7 @@
 
 /// What the process before has left.
 pub struct Left {
-    snapshot: Snapshot,
+    snapshot: HotRestartSnapshot,
     age: Duration,
 }
 
@@ -106,13 +108,13 @@
         Some(Self { path, name: name.to_owned(), started_ms: now_ms(), own, odd })
     }
 
-    fn reader(&self) -> Reader<'_> {
-        Reader { name: &self.name, started_ms: self.started_ms, now_ms: now_ms() }
+    fn reader(&self) -> SnapshotReader<'_> {
+        SnapshotReader { name: &self.name, started_ms: self.started_ms, now_ms: now_ms() }
     }
 
     fn read(&self) -> io::Result<Vec<u8>> {
         let mut text = Vec::new();
-        File::open(&self.path)?.take(LENGTH_MOST as u64 + 1).read_to_end(&mut text)?;
+        File::open(&self.path)?.take(MAX_SNAPSHOT_BYTES as u64 + 1).read_to_end(&mut text)?;
         Ok(text)
     }
 
@@ -126,12 +128,12 @@
                 return None;
             }
         };
-        let left = Snapshot::read(&text).and_then(|snapshot| {
-            let age = snapshot.age(self.reader())?;
+        let left = HotRestartSnapshot::decode(&text).and_then(|snapshot| {
+            let age = snapshot.check_age(self.reader())?;
             Ok(Left { snapshot, age })
         });
         match left {
-            Ok(left) if left.snapshot.names == (names.zones.clone(), names.kinds.clone()) => {
+            Ok(left) if left.snapshot.zone_and_kind_names == (names.zones.clone(), names.kinds.clone()) => {
                 tracing::info!(age = ?left.age, upstreams = left.snapshot.upstreams.len(), "taken over");
                 Some(left)
             }
@@ -179,12 +181,15 @@
         let changed = fs::metadata(&self.path).and_then(|file| file.modified()).ok();
         if changed.is_some()
             && changed != self.own.get()
-            && self.read().is_ok_and(|text| Snapshot::read(&text).is_ok_and(|s| s.is_a_laters(self.reader())))
+            && self.read().is_ok_and(|text| {
+                HotRestartSnapshot::decode(&text).is_ok_and(|s| s.is_by_successor(self.reader()))
+            })
         {
             return Ok(true);
         }
         let snapshot = self.snapshot(remembered, &driver.heritage());
-        let text = snapshot.text().ok_or_else(|| io::Error::other("there is more to say than is allowed"))?;
+        let text =
+            snapshot.encode().ok_or_else(|| io::Error::other("there is more to say than is allowed"))?;
         let new = self.path.with_extension(format!("{}.new", std::process::id()));
         let written = fs::write(&new, text).and_then(|()| {
             self.own.set(fs::metadata(&new)?.modified().ok());
@@ -196,29 +201,29 @@
         written.map(|()| false)
     }
 
-    fn snapshot(&self, remembered: &Remembered, heritage: &LearnedState) -> Snapshot {
+    fn snapshot(&self, remembered: &Remembered, heritage: &LearnedState) -> HotRestartSnapshot {
         let names = remembered.discovery.names();
-        let known = |entry: &Entry| Known {
+        let known = |entry: &Entry| SnapshotEndpoint {
             id: entry.id.0,
-            place: (entry.zone.0, entry.kind.0, entry.cell.0),
+            location: (entry.zone.0, entry.kind.0, entry.cell.0),
             weight: entry.weight,
             endpoint: entry.place.endpoint,
-            ready: entry.place.availability == Availability::Ready,
+            is_ready: entry.place.availability == Availability::Ready,
             boot_ms: entry.place.boot_ms,
-            learned: Learned::default(),
+            learned: LearnedEndpoint::default(),
         };
-        let mut snapshot = Snapshot {
+        let mut snapshot = HotRestartSnapshot {
             name: self.name.clone(),
             started_ms: self.started_ms,
             written_ms: now_ms(),
-            names: (names.zones.clone(), names.kinds.clone()),
+            zone_and_kind_names: (names.zones.clone(), names.kinds.clone()),
             rev: remembered.discovery.rev(),
             upstreams: remembered.list.borrow().values().map(known).collect(),
             rates: Default::default(),
             classes: BTreeMap::new(),
             tenants: BTreeMap::new(),
         };
-        snapshot.learned(heritage, &names.classes, &names.tenants);
+        snapshot.set_learned_state(heritage, &names.classes, &names.tenants);
         snapshot
     }
 }
@@ -230,11 +235,11 @@
             return known;
         }
         discovery.resume(self.snapshot.rev);
-        let entry = |known: &Known| Entry {
+        let entry = |known: &SnapshotEndpoint| Entry {
             id: UpstreamId(known.id),
-            zone: ZoneId(known.place.0),
-            kind: KindId(known.place.1),
-            cell: CellId(known.place.2),
+            zone: ZoneId(known.location.0),
+            kind: KindId(known.location.1),
+            cell: CellId(known.location.2),
             weight: known.weight,
             place: Place {
                 endpoint: known.endpoint,
@@ -247,6 +252,6 @@
 
     /// What was learned.
     pub fn heritage(&self, names: &IdNames) -> LearnedState {
-        self.snapshot.heritage(self.age, &names.classes, &names.tenants)
+        self.snapshot.to_learned_state(self.age, &names.classes, &names.tenants)
     }
 }
--- a/tools/workspace-checks/tests/done_crates.rs
+++ b/tools/workspace-checks/tests/done_crates.rs
@@ -6,8 +6,14 @@
 use std::path::Path;
 
 /// The crates that are done.
-const DONE: &[&str] =
-    &["crates/canary", "crates/cluster", "crates/core", "crates/platform-settings", "crates/transport"];
+const DONE: &[&str] = &[
+    "crates/canary",
+    "crates/cluster",
+    "crates/core",
+    "crates/hot-restart",
+    "crates/platform-settings",
+    "crates/transport",
+];
 /// The lines that the root module of each of them has.
 const ATTRIBUTES: [&str; 2] = [
     "#![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity, clippy::missing_errors_doc, clippy::result_large_err)]",
