--- a/crates/proxy/tests/operation/replacement.rs
+++ b/crates/proxy/tests/operation/replacement.rs
@@ -176,8 +176,8 @@
     let folder = Folder::new("garbled");
     for (text, says) in [
         ("", "none of this version"),
-        ("maplehook-hot-restart 2 00000000 2\n{}", "none of this version"),
-        ("maplehook-hot-restart 1 00000000 2\n{}", "spoilt"),
+        ("maplehook-handover 2 00000000 2\n{}", "none of this version"),
+        ("maplehook-handover 1 00000000 2\n{}", "spoilt"),
     ] {
         std::fs::write(folder.file(), text).unwrap();
         let socket = TcpListener::bind("127.0.0.1:0").unwrap();
