--- a/crates/hot-restart/src/format.rs
+++ b/crates/hot-restart/src/format.rs
@@ -1,6 +1,6 @@
 //! The form of the file: a header line and a body of JSON.
 
-use crate::snapshot::SnapshotError;
+use crate::error::SnapshotError;
 
 /// The length of the longest file, in bytes: it counts as memory of both processes.
 pub const MAX_SNAPSHOT_BYTES: usize = 256 * 1024;
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -14,14 +14,14 @@
 )]
 #![cfg_attr(not(test), deny(clippy::unwrap_used))]
 
+mod error;
 mod format;
 mod learned;
 mod snapshot;
 
+pub use error::SnapshotError;
 pub use format::MAX_SNAPSHOT_BYTES;
-pub use snapshot::{
-    HotRestartSnapshot, LearnedEndpoint, MAX_SNAPSHOT_AGE, SnapshotEndpoint, SnapshotError, SnapshotReader,
-};
+pub use snapshot::{HotRestartSnapshot, LearnedEndpoint, MAX_SNAPSHOT_AGE, SnapshotEndpoint, SnapshotReader};
 
 #[cfg(test)]
 mod tests;
--- a/crates/hot-restart/src/snapshot.rs
+++ b/crates/hot-restart/src/snapshot.rs
@@ -1,12 +1,12 @@
 //! The snapshot of a process, and whether the next one may use it.
 
+use crate::error::SnapshotError;
 use crate::format;
 use maplehook_core::Availability;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use thiserror::Error;
 
 /// How old a snapshot may be. A process that serves writes several in that time.
 pub const MAX_SNAPSHOT_AGE: Duration = Duration::from_secs(5);
@@ -73,29 +73,6 @@
     pub tenants: BTreeMap<String, (f64, f64)>,
 }
 
-/// Why nothing of a snapshot is used.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum SnapshotError {
-    /// The file is no snapshot, or one of another version.
-    #[error("it is none of this version")]
-    UnknownFormat,
-    /// The file is cut short, longer than allowed, or corrupt.
-    #[error("it is cut short, too long or spoilt")]
-    Corrupt,
-    /// The snapshot is another balancer's.
-    #[error("it is another balancer's")]
-    OtherBalancer,
-    /// The snapshot is of a process that started no earlier than this one.
-    #[error("it is of no earlier process")]
-    NotEarlier,
-    /// The snapshot is too old, by this age.
-    #[error("it is {0:?} old")]
-    Stale(Duration),
-    /// The snapshot was written in the future.
-    #[error("it is from the future")]
-    FromFuture,
-}
-
 /// The process that reads a snapshot.
 #[derive(Clone, Copy, Debug)]
 pub struct SnapshotReader<'a> {
