--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -106,7 +106,7 @@
 //! | all ejected, or too many to respect the ejections | nothing: one in slow start still goes by its slots |
 //!
 //! Where the part of one balancer is under one request, the credit at the start lets one balancer after
-//! another send it. `tests/cold.rs` plays this for 1 to 300 balancers.
+//! another send it. `tests/slow_start.rs` plays this for 1 to 300 balancers.
 
 #![deny(
     missing_docs,
