--- a/crates/cluster/src/actions.rs
+++ b/crates/cluster/src/actions.rs
@@ -16,8 +16,8 @@
 const RESEND_DELAY: Duration = Duration::from_millis(40);
 /// The most second copies that may wait.
 const MAX_RESENDS: usize = 64;
-/// How many of the members that suspect somebody tell it so directly, on average (Lifeguard's buddy system): the
-/// sooner it can refute the suspicion.
+/// How many of the members that suspect another one notify it directly, on average (Lifeguard's buddy system), so that it
+/// can refute the suspicion sooner.
 const BUDDIES: f64 = 4.0;
 
 impl Cluster {
--- a/crates/cluster/src/endpoint_gossip.rs
+++ b/crates/cluster/src/endpoint_gossip.rs
@@ -1,9 +1,9 @@
 //! Endpoint gossip: what balancers announce of upstreams, that one drains or that one has started.
 //!
 //! An announcement only ever makes a balancer more careful, and it is valid only as long as a balancer whose own
-//! discovery says so repeats it: whoever has a drain from its discovery announces it every [`REANNOUNCE_INTERVAL`], unless
-//! another one has just done so, and an announcement expires after [`ANNOUNCEMENT_TTL`]. Announcements are told apart by
-//! origin and sequence number, so that one that goes round in circles ages all the same; of two copies the older one
+//! discovery says so repeats it: a balancer that has a drain from its discovery announces it every [`REANNOUNCE_INTERVAL`], unless
+//! another one has just done so, and an announcement expires after [`ANNOUNCEMENT_TTL`]. Announcements are identified by
+//! origin and sequence number, so that one that circulates ages all the same; of two copies the older one
 //! counts. Merging is commutative, associative and idempotent: order, loss and repetition change nothing in the end.
 
 use bytes::{Buf, BufMut};
@@ -82,8 +82,7 @@
 }
 
 impl StoredAnnouncement {
-    /// The order by which one announcement says more than another: a drain more than none, a younger one more than an
-    /// older one.
+    /// The precedence of the announcement: a drain before none, a younger one before an older one.
     fn weight(&self) -> (bool, i64) {
         (self.is_draining, self.announced_at_ms)
     }
--- a/crates/cluster/src/foca_adapter.rs
+++ b/crates/cluster/src/foca_adapter.rs
@@ -18,7 +18,7 @@
 pub(crate) const GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
 /// The time between two announces to a random member.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(5);
-/// How many members are asked for an indirect probe, or told in a round of gossip.
+/// How many members are asked for an indirect probe, or are sent a round of gossip.
 const FANOUT: usize = 3;
 /// How often an update is passed on, for each power of ten of members, and within which bounds.
 const TRANSMISSIONS_PER_DECADE: f64 = 6.0;
--- a/crates/cluster/src/receive.rs
+++ b/crates/cluster/src/receive.rs
@@ -1,4 +1,4 @@
-//! Incoming datagrams: who sent one, whether it is accepted, and what it says of other members.
+//! Incoming datagrams: who sent one, whether it is accepted, and what it reports of other members.
 
 use crate::cluster::Cluster;
 use crate::events::{DatagramError, MembershipEvent, Output};
@@ -9,7 +9,7 @@
 use foca::State as SwimState;
 use std::time::Duration;
 
-/// Rounds of gossip in which a refutation is told, beside what others pass on of it.
+/// Rounds of gossip in which a refutation is sent, beside what other members pass on of it.
 const REFUTATION_ROUNDS: u8 = 6;
 
 impl Cluster {
@@ -83,7 +83,7 @@
         self.codec_context.borrow_mut().sender = Some(sender);
         let incarnation_before = self.codec_context.borrow().incarnation;
         let mut actions = RuntimeActions::default();
-        // What it calls an error is a datagram that makes no sense: nothing was taken of it, or it was all taken.
+        // Other errors are of datagrams without effect, or that were applied completely.
         let handled = self.foca.handle_data(body, &mut actions);
         self.apply_actions(actions);
         if self.codec_context.borrow().incarnation > incarnation_before {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Takes note of what a peer says of a member, beside what `foca` does with it.
+    /// Applies what a peer reports of a member to the state that `foca` does not keep.
     fn apply_update(&mut self, reporter: &Identity, update: MemberUpdate) {
         let MemberUpdate { identity, incarnation, state, has_left } = update;
         if identity.name == self.identity.name {
@@ -136,8 +136,8 @@
         DatagramError::SenderExcluded(reason)
     }
 
-    /// Handles a sign of another process with this balancer's name, which the process has given itself or another
-    /// member has told. The later generation stays.
+    /// Handles a sign of another process with this balancer's name, which that process has sent itself (first-hand) or
+    /// another member has reported. The later generation stays.
     fn on_duplicate_name(&mut self, generation: u64, is_first_hand: bool) {
         if generation > self.identity.generation {
             if !self.is_silenced {
--- a/crates/cluster/src/suspicion.rs
+++ b/crates/cluster/src/suspicion.rs
@@ -2,7 +2,7 @@
 //! "Lifeguard: Local Health Awareness for More Accurate Failure Detection", DSN-W 2018, section IV.B).
 //!
 //! The timeout is long while one member alone suspects, and falls with each other one that does so independently: a
-//! member that has lost its own connectivity finds nobody to agree.
+//! member that has lost its own connectivity finds no other member to agree.
 
 use crate::name::Name;
 use std::time::Duration;
--- a/crates/cluster/src/wire/body.rs
+++ b/crates/cluster/src/wire/body.rs
@@ -11,7 +11,7 @@
 /// Room for a body with one update, in bytes.
 const SUSPICION_BYTES: usize = 96;
 
-/// Returns a body that tells a member that it is suspected.
+/// Returns a body that notifies a member that it is suspected.
 pub fn encode_suspicion(suspect: &Identity, incarnation: u16, own_incarnation: u16) -> Vec<u8> {
     let header = MessageHeader {
         kind: GOSSIP,
@@ -29,8 +29,8 @@
     body
 }
 
-/// Returns whether a datagram tells its receiver that it is believed dead, or tells anybody that some member is: for
-/// simulators that inject faults.
+/// Returns whether a datagram reports that its receiver, or any member, is believed dead: for simulators that inject
+/// faults.
 pub fn reports_dead_member(payload: &[u8]) -> bool {
     let Ok((_, body)) = Envelope::decode(payload) else { return false };
     let mut has_dead_member = false;
--- a/crates/cluster/src/wire/member_update.rs
+++ b/crates/cluster/src/wire/member_update.rs
@@ -1,4 +1,4 @@
-//! What one member tells another of a third.
+//! The update by which one member reports the state of another.
 
 use super::format::{
     MalformedDatagramError, NEXT_VERSION_FIELDS, read_name, read_program, read_u8, read_u16, read_u64,
@@ -10,10 +10,10 @@
 
 /// The bits of the flags that hold the state.
 const STATE_MASK: u8 = 3;
-/// The bit of the flags that tells that the member has left.
+/// The bit of the flags that is set if the member has left.
 const LEFT_FLAG: u8 = 4;
 
-/// The state of a member, as one member tells it to another.
+/// The state of a member, as one member reports it to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberUpdate {
     /// The member.
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -122,8 +122,8 @@
     handshake.await.unwrap_or(Err(ConnectionError::TimedOut))
 }
 
-/// Does the handshake with a peer that has connected. `known_generation` tells the latest known generation of a name, and
-/// `is_configured` whether it is a peer.
+/// Does the handshake with a peer that has connected. `known_generation` returns the latest known generation of a name,
+/// and `is_configured` whether it is a peer.
 ///
 /// # Errors
 ///
@@ -156,7 +156,7 @@
 struct Acknowledgements {
     /// The number of the last frame that has arrived here.
     received: Cell<u64>,
-    /// The number of the last frame of ours that the peer says has arrived.
+    /// The number of the last frame of ours that the peer has acknowledged.
     by_peer: Cell<u64>,
 }
 
--- a/crates/transport/src/event_loop.rs
+++ b/crates/transport/src/event_loop.rs
@@ -197,7 +197,7 @@
         });
     }
 
-    /// Sends all announcements to a peer, or to a random one: whoever missed a datagram receives them all the same.
+    /// Sends all announcements to a peer, or to a random one: a peer that missed a datagram receives them all the same.
     fn send_announcements(&mut self, to: Option<&Name>) {
         let announcements = self.cluster.announcements(self.now());
         if announcements.is_empty() || !self.cluster.is_active() {
--- a/crates/transport/src/node.rs
+++ b/crates/transport/src/node.rs
@@ -1,7 +1,7 @@
 //! A cluster node: the thread on which a balancer's membership runs, with its sockets, its clock and its state directory.
 //!
 //! It shares nothing with the threads that serve requests but watched values and queues: what the local discovery claims
-//! goes in, what the announcements of peers come to goes out. However it fares, no request waits for it.
+//! goes in, what the announcements of peers come to goes out. No request ever waits for it.
 
 use crate::channels::{GossipSnapshot, MeasuredRtts, PeerChannel};
 use crate::config::NodeConfig;
@@ -39,7 +39,7 @@
     pub gossip: watch::Receiver<GossipSnapshot>,
     /// What the local discovery claims.
     pub claims: watch::Sender<Arc<Vec<EndpointClaim>>>,
-    /// The channel for messages of other topics, until somebody takes it over.
+    /// The channel for messages of other topics, until its user takes it over.
     pub channel: Option<PeerChannel>,
     /// Whether the node has its port and takes part.
     pub is_started: watch::Receiver<bool>,
--- a/crates/transport/src/secret_key.rs
+++ b/crates/transport/src/secret_key.rs
@@ -22,7 +22,7 @@
     Io {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
     /// The secret is too short.
--- a/crates/transport/src/state_directory.rs
+++ b/crates/transport/src/state_directory.rs
@@ -26,7 +26,7 @@
     Io {
         /// The file or directory.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
     /// The record of the last generation can't be used.
