--- a/tools/simulator/src/policies/mod.rs
+++ b/tools/simulator/src/policies/mod.rs
@@ -59,7 +59,7 @@
     [
         Named {
             name: "maplehook",
-            what: "the decision module: token buckets by tenant, round robin with a skip rule (src/choice.rs)",
+            what: "the decision module: token buckets by tenant, round robin with a skip rule (crates/core/src/admission.rs)",
             make: module,
         },
         Named {
