--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,53 +1,70 @@
-//! Admission of connections: who is let in, who is refused with a word, and who has to go when all places
-//! are taken. No I/O, no clock, no chance: the embedder says what happens and when, and does what is answered.
+//! Admission of client connections: which are admitted, which are rejected, and which are evicted when the capacity is used up.
+//! Nothing here has I/O, a clock or a source of random numbers: the embedder reports events with their times and carries out the
+//! decisions. It owns the sockets; [`ConnectionAdmission`] owns what is known of the connections.
 //!
 //! | module | its job |
 //! | --- | --- |
-//! | [`door`] | the places: what is decided at each accept, request and answer |
-//! | [`policy`] | what the operator sets, with ranges |
-//! | [`address`] | addresses and prefixes |
-//! | [`token`] | the signed word by which a client is known |
-//! | [`budget`] | how many descriptors each part of a process may hold |
+//! | [`connection_admission`] | the decisions at each accept, request, response and close |
+//! | [`decision`] | the decisions, as they are handed to the embedder |
+//! | [`rejection`] | how and why a connection is rejected |
+//! | [`policy`] | the operator's settings, with their ranges |
+//! | [`address`] | addresses, prefixes and sets of networks |
+//! | [`token`] | signed tokens by which a request shows that its client is known |
+//! | [`descriptor_budget`] | how many file descriptors clients and upstreams may hold |
 //!
-//! # The rules of the door
+//! # The rules
 //!
-//! 1. A connection that holds a request that is owed its answer is never ended.
+//! 1. A connection with a request in flight is never evicted.
 //! 2. The reserve belongs to known clients: an unknown one never takes its last places.
-//! 3. When there is no place, the one goes with which least is lost: first what has said nothing for long, or
-//!    half of something and no more for long, then what has only asked after our health, then who has been idle
-//!    for long, then the younger ones, and last whoever is still writing. Unknown clients go before known ones.
-//! 4. An address is judged by what its connections do, not by how many they are: only those that have not
-//!    yet asked for anything fit count against its cap, and those that ask give back what they took of its
-//!    rate. So a lodge's shared address may hold all the open places with walkers that book.
-//! 5. Each decision takes a bounded time, and memory is bounded whatever the number of addresses.
+//! 3. When the capacity is used up, the connection is evicted with which least is lost: first one that has sent nothing, or has
+//!    stopped within a request, for long; then one that has only sent health checks, then one that has been idle for long, then the
+//!    younger ones, and last one that is still sending its request. Unknown clients are evicted before known ones.
+//! 4. An address is limited by what its connections do, not by their number: only unproven connections, which have not sent a valid
+//!    request yet, count against its limit, and a valid request returns what the connection took of its rate. So an address that
+//!    many clients share may hold all the unreserved places with connections in use.
+//! 5. Each decision takes bounded time, and memory is bounded whatever the number of addresses.
 //!
 //! # Example
 //!
 //! ```
-//! use maplehook_admission::{Arrival, Door, Policy};
+//! use maplehook_admission::{AdmissionDecision, AdmissionPolicy, ConnectionAdmission};
 //! use std::time::Duration;
 //!
-//! let mut door = Door::new(Policy::default(), 2, &[], 7);
+//! let mut admission = ConnectionAdmission::new(AdmissionPolicy::default(), 2, &[], 7);
 //! let now = Duration::ZERO;
-//! let lodge = "192.0.2.1".parse().unwrap();
-//! let Arrival::Kept { id, ends: None } = door.arrive(now, lodge) else { panic!("there is room") };
-//! door.held(now, id, None, false);
-//! // It is owed its answer now: whoever comes, it stays.
-//! let Arrival::Kept { .. } = door.arrive(now, lodge) else { panic!("there is room") };
-//! let Arrival::Kept { ends: Some(ended), .. } = door.arrive(now, lodge) else { panic!("one goes") };
-//! assert_ne!(ended, id);
+//! let client = "192.0.2.1".parse().unwrap();
+//! let AdmissionDecision::Admitted { id, evicted: None } = admission.admit(now, client) else { panic!("there is capacity") };
+//! admission.on_request(now, id, None, false);
+//! // Its request is in flight: it is not evicted, whoever connects.
+//! let AdmissionDecision::Admitted { .. } = admission.admit(now, client) else { panic!("there is capacity") };
+//! let AdmissionDecision::Admitted { evicted: Some(evicted), .. } = admission.admit(now, client) else { panic!("one is evicted") };
+//! assert_ne!(evicted, id);
 //! ```
 
+#![deny(
+    missing_docs,
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::result_large_err
+)]
+#![cfg_attr(not(test), deny(clippy::unwrap_used))]
+
 pub mod address;
-pub mod budget;
-pub mod door;
-mod links;
-mod peers;
+mod connection;
+pub mod connection_admission;
+mod connection_table;
+pub mod decision;
+pub mod descriptor_budget;
+mod linked_list;
 pub mod policy;
-pub mod refusal;
+pub mod rejection;
+mod source_table;
+mod tenant_connections;
 pub mod token;
 
-pub use budget::{Budget, Part};
-pub use door::{After, Arrival, ConnId, Door};
-pub use policy::{Policy, PolicyError};
-pub use refusal::{Reason, Refusal};
+pub use connection_admission::ConnectionAdmission;
+pub use decision::{AdmissionDecision, ConnectionId, ResponseDecision};
+pub use descriptor_budget::{DescriptorBudget, DescriptorClass};
+pub use policy::{AdmissionPolicy, PolicyError};
+pub use rejection::{Rejection, RejectionReason};
--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -1,56 +1,58 @@
-//! What the operator sets.
+//! The operator's settings of admission.
 
 use crate::address::Network;
-use std::fmt;
 use std::time::Duration;
+use thiserror::Error;
 
-/// The rules of a door. Shares are of the clients' places.
+/// The unproven connections that an address may have in any case.
+const MIN_UNPROVEN: u32 = 4;
+
+/// The settings of admission, by the keys of the operator's file. Shares are of the capacity: the connections that clients may have.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Policy {
-    /// Share of the places that only known clients may take. 0 to 0.9.
+pub struct AdmissionPolicy {
+    /// The share of the capacity that only known clients may use. 0 to 0.9.
     pub reserve: f64,
     /// Networks whose clients are known.
     pub known: Vec<Network>,
-    /// Share of the reserve that one known address, or one known tenant, may hold of it. 0.01 to 1; beyond
-    /// it, its connections count as unknown ones.
+    /// The share of the reserve that one known address, or one known tenant, may use. 0.01 to 1; beyond it, its connections count
+    /// as those of an unknown client.
     pub known_most: f64,
-    /// Networks of fronts that bring many clients under one address: caps and rates leave them out.
+    /// Networks of front proxies, which bring many clients under one address: limits and rates do not apply to them.
     pub fronts: Vec<Network>,
-    /// Share of the places that one address may hold with connections that have not yet asked for anything
-    /// fit. 0.01 to 1; four at the least.
+    /// The share of the capacity that one address may use with unproven connections, which have not sent a valid request yet. 0.01
+    /// to 1; at least four connections.
     pub unproven: f64,
-    /// Connections that one address may hold altogether, if any limit is set. 1 or more.
+    /// The connections that one address may have altogether. 1 or more; `None`: any number.
     pub per_address: Option<u32>,
-    /// New connections a second from one address that may come to nothing; one that asks for something fit
-    /// gives its part back. `None`: any number.
+    /// New connections a second from one address; one that sends a valid request does not count. `None`: any number.
     pub rate: Option<f64>,
-    /// How many of them may come at once. 1 or more.
+    /// The new connections from one address that may come at once. 1 or more.
     pub burst: f64,
     /// Leading bits of an IPv4 address that make a prefix. 8 to 32.
     pub prefix_v4: u8,
     /// Leading bits of an IPv6 address that make a prefix. 16 to 64.
     pub prefix_v6: u8,
-    /// What a prefix may do, as a multiple of what an address may. 1 to 1,000; `None`: no caps for prefixes.
+    /// The limits of a prefix, as a multiple of those of an address. 1 to 1,000; `None`: prefixes have no limits.
     pub prefix_times: Option<f64>,
-    /// Share of the places up to which connections between two requests are kept. 0 to 1; beyond it, the one
-    /// idle longest ends.
+    /// The share of the capacity up to which idle connections are kept alive. 0 to 1; beyond it, the one that has been idle for
+    /// longest is evicted.
     pub keep_alive: f64,
-    /// How many times its share of the guarantees a tenant may hold in places once three quarters of them
-    /// are taken; beyond that, its connections end with their answers. 1 to 100.
+    /// The multiple of its share of the guarantees that a tenant may use of the capacity once three quarters of it are in use; beyond
+    /// that, its connections close with their responses. 1 to 100.
     pub tenant_times: f64,
-    /// How many addresses are remembered that have no connection any more. 16 to 1,048,576.
+    /// The number of addresses without a connection that are remembered. 16 to 1,048,576.
     pub remembered: usize,
-    /// When a client that is refused at the door may come back. Up to an hour.
+    /// The time after which a rejected client may connect again, on average. Up to an hour.
     pub retry_after: Duration,
-    /// Time in which the first bytes of a connection usually come.
+    /// The time within which the first bytes of a connection usually come. Up to an hour.
     pub prompt: Duration,
-    /// Time without a byte after which a request that was begun counts as left half way.
+    /// The time without a byte after which a partial request counts as abandoned. Up to an hour.
     pub slow: Duration,
-    /// A connection idle for longer is spare. Up to an hour.
+    /// The time after which an idle connection may be evicted before younger ones. Up to an hour.
     pub spare: Duration,
 }
 
-impl Default for Policy {
+impl Default for AdmissionPolicy {
     fn default() -> Self {
         Self {
             reserve: 0.0,
@@ -76,27 +78,20 @@
 }
 
 /// A value that is out of its range.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{field} has to be {range}")]
 pub struct PolicyError {
-    /// The field's name.
+    /// The name of the field.
     pub field: &'static str,
-    /// What it has to be.
+    /// The range that it has to be in.
     pub range: &'static str,
 }
 
-impl fmt::Display for PolicyError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} has to be {}", self.field, self.range)
-    }
-}
-
-impl std::error::Error for PolicyError {}
-
-impl Policy {
-    /// All that is out of its range.
+impl AdmissionPolicy {
+    /// All values that are out of their ranges.
     pub fn check(&self) -> Vec<PolicyError> {
         let hour = Duration::from_secs(3600);
-        let within = |value: f64, least: f64, most: f64| (least..=most).contains(&value);
+        let within = |value: f64, min: f64, max: f64| (min..=max).contains(&value);
         let checks = [
             (within(self.reserve, 0.0, 0.9), "reserve", "0 to 0.9"),
             (within(self.known_most, 0.01, 1.0), "known_most", "0.01 to 1"),
@@ -115,38 +110,20 @@
             (self.slow <= hour, "slow", "an hour at most"),
             (self.spare <= hour, "spare", "an hour at most"),
         ];
-        let wrong = checks.into_iter().filter(|(fits, ..)| !fits);
-        wrong.map(|(_, field, range)| PolicyError { field, range }).collect()
+        let failed = checks.into_iter().filter(|(is_valid, ..)| !is_valid);
+        failed.map(|(_, field, range)| PolicyError { field, range }).collect()
     }
 
-    /// Places of `places` that one address may hold with what has not proved itself.
-    pub(crate) fn unproven_of(&self, places: usize) -> u32 {
-        ((places as f64 * self.unproven) as u32).max(4)
+    /// The unproven connections that one address may have.
+    pub(crate) fn max_unproven(&self, capacity: usize) -> u32 {
+        ((capacity as f64 * self.unproven) as u32).max(MIN_UNPROVEN)
     }
 
-    /// Places of `places` that only known clients may take.
-    pub(crate) fn reserve_of(&self, places: usize) -> usize {
-        (places as f64 * self.reserve) as usize
+    /// The part of the capacity that only known clients may use.
+    pub(crate) fn reserved(&self, capacity: usize) -> usize {
+        (capacity as f64 * self.reserve) as usize
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn all_that_is_wrong_is_named_at_once() {
-        assert_eq!(Policy::default().check(), []);
-        let wrong = Policy {
-            reserve: 0.95,
-            known_most: f64::NAN,
-            rate: Some(0.0),
-            prefix_v4: 33,
-            remembered: 3,
-            spare: Duration::from_secs(3601),
-            ..Policy::default()
-        };
-        let fields: Vec<_> = wrong.check().iter().map(|e| e.field).collect();
-        assert_eq!(fields, ["reserve", "known_most", "rate", "prefix_v4", "remembered", "spare"]);
-    }
-}
+mod tests;
--- a/crates/admission/src/token.rs
+++ b/crates/admission/src/token.rs
@@ -1,76 +1,74 @@
-//! The signed word by which a client shows that the operator knows it: `v1.TENANT.EXPIRY.SIGNATURE`.
+//! The signed token by which a request shows that its client is known to the operator: `v1.TENANT.EXPIRY.SIGNATURE`.
 //!
 //! `EXPIRY` is Unix time in seconds, `SIGNATURE` the HMAC-SHA256 (RFC 2104) of all that stands before its dot,
-//! in lower-case hexadecimal. The tenant's name holds no dot. Whoever has the word may use it until it
-//! expires: it is for networks that the operator trusts to keep it.
+//! in lower-case hexadecimal. The tenant's name holds no dot. Whoever has the token may use it until it
+//! expires: it is for networks that the operator trusts to keep it secret.
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 use std::fmt;
+use thiserror::Error;
 
-/// The longest word that is looked at.
-const LONGEST: usize = 512;
+/// The longest token, in bytes.
+const MAX_TOKEN_BYTES: usize = 512;
+/// The shortest secret, in bytes.
+const MIN_SECRET_BYTES: usize = 16;
 
-/// Why a word is not believed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a token is not valid.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum TokenError {
-    /// It has not the form of one.
+    /// It has not the form of a token.
+    #[error("not of the form v1.TENANT.EXPIRY.SIGNATURE")]
     Malformed,
     /// It was not signed with this secret.
+    #[error("not signed with this secret")]
     Forged,
-    /// Its time is over.
+    /// It has expired.
+    #[error("expired")]
     Expired,
 }
 
-impl fmt::Display for TokenError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            Self::Malformed => "not of the form v1.TENANT.EXPIRY.SIGNATURE",
-            Self::Forged => "not signed with this secret",
-            Self::Expired => "expired",
-        })
-    }
-}
-
-impl std::error::Error for TokenError {}
-
-/// Signs and checks words.
+/// Signs and verifies tokens.
 #[derive(Clone)]
-pub struct Signer(Hmac<Sha256>);
+pub struct TokenSigner(Hmac<Sha256>);
 
-impl fmt::Debug for Signer {
+impl fmt::Debug for TokenSigner {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Signer(secret)")
     }
 }
 
-impl Signer {
-    /// One with this secret; at least 16 bytes of it keep it from being guessed.
+impl TokenSigner {
+    /// A signer with this secret; `None` if it has fewer than 16 bytes and could be guessed.
     pub fn new(secret: &[u8]) -> Option<Self> {
-        (secret.len() >= 16).then(|| Hmac::new_from_slice(secret).ok()).flatten().map(Self)
+        (secret.len() >= MIN_SECRET_BYTES).then(|| Hmac::new_from_slice(secret).ok()).flatten().map(Self)
     }
 
-    /// A word for a tenant, good until `expiry`. `None` where the name can't stand in one.
+    /// A token of a tenant that is valid until `expiry`, in seconds of Unix time. `None` if the name can't stand in a token.
     pub fn sign(&self, tenant: &str, expiry: u64) -> Option<String> {
         let fits = !tenant.is_empty() && tenant.bytes().all(|b| b.is_ascii_graphic() && b != b'.');
         let text = format!("v1.{tenant}.{expiry}");
         let signature = self.mac(text.as_bytes()).finalize().into_bytes();
-        let word = signature.iter().fold(text + ".", |word, byte| word + &format!("{byte:02x}"));
-        (fits && word.len() <= LONGEST).then_some(word)
+        let token = signature.iter().fold(text + ".", |token, byte| token + &format!("{byte:02x}"));
+        (fits && token.len() <= MAX_TOKEN_BYTES).then_some(token)
     }
 
-    /// The tenant whom a word names, at Unix time `now`.
-    pub fn check<'a>(&self, word: &'a str, now: u64) -> Result<&'a str, TokenError> {
+    /// The tenant that a token names, at Unix time `now` in seconds.
+    ///
+    /// # Errors
+    ///
+    /// If the token is malformed, was signed with another secret, or has expired.
+    pub fn verify<'a>(&self, token: &'a str, now: u64) -> Result<&'a str, TokenError> {
         let parts = || {
-            let (text, signature) = word.rsplit_once('.')?;
+            let (text, signature) = token.rsplit_once('.')?;
             let mut fields = text.split('.');
             let (version, tenant, expiry) = (fields.next()?, fields.next()?, fields.next()?);
             let plain = version == "v1" && fields.next().is_none() && !tenant.is_empty();
             let digits = !expiry.is_empty() && expiry.bytes().all(|b| b.is_ascii_digit());
-            let signature = hex(signature)?;
+            let signature = decode_hex(signature)?;
             (plain && digits).then_some((text, tenant, expiry.parse().ok()?, signature))
         };
-        let parts = (word.len() <= LONGEST).then(parts).flatten();
+        let parts = (token.len() <= MAX_TOKEN_BYTES).then(parts).flatten();
         let (text, tenant, expiry, signature): (_, _, u64, _) = parts.ok_or(TokenError::Malformed)?;
         self.mac(text.as_bytes()).verify_slice(&signature).map_err(|_| TokenError::Forged)?;
         if expiry <= now { Err(TokenError::Expired) } else { Ok(tenant) }
@@ -83,7 +81,8 @@
     }
 }
 
-fn hex(text: &str) -> Option<Vec<u8>> {
+/// The bytes of a text in lower-case hexadecimal; `None` if it is none.
+fn decode_hex(text: &str) -> Option<Vec<u8>> {
     let digit = |b: u8| match b {
         b'0'..=b'9' => Some(b - b'0'),
         b'a'..=b'f' => Some(b - b'a' + 10),
@@ -95,38 +94,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn signer() -> Signer {
-        Signer::new(b"sixteen bytes or more").unwrap()
-    }
-
-    #[test]
-    fn a_word_is_good_until_it_expires() {
-        let word = signer().sign("wadi-lodge", 1000).unwrap();
-        assert_eq!(signer().check(&word, 999), Ok("wadi-lodge"));
-        assert_eq!(signer().check(&word, 1000), Err(TokenError::Expired));
-        let other = Signer::new(b"another secret of ours").unwrap();
-        assert_eq!(other.check(&word, 999), Err(TokenError::Forged));
-        assert!(Signer::new(b"short").is_none());
-        assert_eq!((signer().sign("a.b", 1), signer().sign("", 1)), (None, None));
-        assert!(!format!("{:?}", signer()).contains("sixteen"));
-    }
-
-    proptest! {
-        /// Guards against a word changed anywhere, and against a panic on whatever a peer sends.
-        #[test]
-        fn no_changed_word_is_believed(at in 0_usize..90, byte in 0_u8..128, noise in ".{0,80}") {
-            let word = signer().sign("wadi-lodge", 1000).unwrap();
-            let mut changed = word.clone().into_bytes();
-            let at = at % changed.len();
-            changed[at] = byte;
-            let changed = String::from_utf8(changed).unwrap();
-            prop_assert_eq!(signer().check(&changed, 1).is_ok(), changed == word);
-            prop_assert!(signer().check(&noise, 1).is_err());
-            prop_assert!(signer().check(&word[..at], 1).is_err());
-        }
-    }
-}
+mod tests;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -33,7 +33,7 @@
 pub use supervise::{Supervise, Trial};
 pub use tier::{Agreement, CutOff, Tier};
 
-use maplehook_admission::{Policy, budget};
+use maplehook_admission::{AdmissionPolicy, descriptor_budget};
 use reader::{Form, Reader};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operator {
     /// The rules of the door.
-    pub admission: Policy,
+    pub admission: AdmissionPolicy,
     /// Tenants whose clients are known by the tenant's header.
     pub known_tenants: Vec<String>,
     /// How clients show a signed word, if they may.
@@ -108,7 +108,7 @@
 impl Default for Operator {
     fn default() -> Self {
         Self {
-            admission: Policy::default(),
+            admission: AdmissionPolicy::default(),
             known_tenants: Vec::new(),
             token: None,
             descriptors: Descriptors { limit: None, upstream_share: 0.45 },
@@ -159,8 +159,12 @@
     }
     let descriptors = &mut operator.descriptors;
     if let Some(limit) = reader.take("descriptors", "limit") {
-        if limit < budget::LEAST as u64 || limit > 1 << 30 {
-            reader.fault("descriptors", "limit", format!("it has to be {} to 2^30", budget::LEAST));
+        if limit < descriptor_budget::MIN_DESCRIPTORS as u64 || limit > 1 << 30 {
+            reader.fault(
+                "descriptors",
+                "limit",
+                format!("it has to be {} to 2^30", descriptor_budget::MIN_DESCRIPTORS),
+            );
         }
         descriptors.limit = Some(limit);
     }
--- a/crates/engine/src/parts/descriptors.rs
+++ b/crates/engine/src/parts/descriptors.rs
@@ -2,8 +2,8 @@
 //! the one that is kept spare for that moment.
 
 use crate::parts::seldom::Seldom;
-use maplehook_admission::budget::TooFew;
-use maplehook_admission::{Budget, Part};
+use maplehook_admission::descriptor_budget::TooFewDescriptorsError;
+use maplehook_admission::{DescriptorBudget, DescriptorClass};
 use rlimit::Resource;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
@@ -23,7 +23,7 @@
 
 /// The descriptors of the process.
 pub struct Descriptors {
-    budget: RefCell<Budget>,
+    budget: RefCell<DescriptorBudget>,
     start: Instant,
     spare: RefCell<Option<File>>,
     reliefs: RefCell<Vec<Relief>>,
@@ -52,9 +52,13 @@
 impl Descriptors {
     /// `allowed` by configuration, within the real limit, of which `aside` are somebody else's; upstreams get this share
     /// of what is shared out.
-    pub fn new(allowed: usize, aside: usize, upstream_share: f64) -> Result<Rc<Self>, TooFew> {
+    pub fn new(
+        allowed: usize,
+        aside: usize,
+        upstream_share: f64,
+    ) -> Result<Rc<Self>, TooFewDescriptorsError> {
         Ok(Rc::new(Self {
-            budget: RefCell::new(Budget::new(allowed, real_limit(), aside, upstream_share)?),
+            budget: RefCell::new(DescriptorBudget::new(allowed, real_limit(), aside, upstream_share)?),
             start: Instant::now(),
             spare: RefCell::new(spare()),
             reliefs: RefCell::default(),
@@ -65,21 +69,30 @@
     }
 
     /// Those of an engine in somebody else's process: `most` connections to upstreams, as far as the limit goes.
-    pub fn for_upstreams(most: usize) -> Result<Rc<Self>, TooFew> {
-        use maplehook_admission::budget::{BASE, DISCOVERY, REFUSALS};
+    pub fn for_upstreams(most: usize) -> Result<Rc<Self>, TooFewDescriptorsError> {
+        use maplehook_admission::descriptor_budget::{
+            BASE_DESCRIPTORS, DISCOVERY_DESCRIPTORS, REJECTION_DESCRIPTORS,
+        };
         // The rest of what is shared out is nobody's here.
         const SHARE: f64 = 0.5;
-        Self::new((most as f64 / SHARE).ceil() as usize + BASE + DISCOVERY + REFUSALS, 0, SHARE)
+        Self::new(
+            (most as f64 / SHARE).ceil() as usize
+                + BASE_DESCRIPTORS
+                + DISCOVERY_DESCRIPTORS
+                + REJECTION_DESCRIPTORS,
+            0,
+            SHARE,
+        )
     }
 
     /// How many a part may hold now.
-    pub fn of(&self, part: Part) -> usize {
-        self.budget.borrow().of(part)
+    pub fn of(&self, class: DescriptorClass) -> usize {
+        self.budget.borrow().limit_of(class)
     }
 
     /// So many are allowed from now on: another process shares what the platform allows, or does so no more.
     pub fn allow(&self, allowed: usize) {
-        if self.budget.borrow_mut().allow(allowed) {
+        if self.budget.borrow_mut().set_configured_limit(allowed) {
             self.tell();
         }
     }
@@ -104,8 +117,8 @@
             return false;
         }
         self.relieved.set(Some(now));
-        if !self.budget.borrow_mut().limit(real_limit()) {
-            self.budget.borrow_mut().exhausted(self.start.elapsed());
+        if !self.budget.borrow_mut().set_process_limit(real_limit()) {
+            self.budget.borrow_mut().record_exhaustion(self.start.elapsed());
         }
         let freed = self.reliefs.borrow().iter().any(|relief| relief());
         self.tell();
@@ -138,12 +151,12 @@
         loop {
             sleep(LOOK_EVERY).await;
             self.regain_spare();
-            let limited = self.budget.borrow_mut().limit(real_limit());
+            let limited = self.budget.borrow_mut().set_process_limit(real_limit());
             let relaxed = self.budget.borrow_mut().relax(self.start.elapsed());
             if limited {
                 tracing::warn!(
-                    clients = self.of(Part::Clients),
-                    upstreams = self.of(Part::Upstreams),
+                    clients = self.of(DescriptorClass::Clients),
+                    upstreams = self.of(DescriptorClass::Upstreams),
                     "the limit on descriptors has changed"
                 );
             }
@@ -206,10 +219,10 @@
         });
         let tells = Rc::clone(&told);
         descriptors.tells(move || tells.set(tells.get() + 1));
-        let before = descriptors.of(Part::Clients);
+        let before = descriptors.of(DescriptorClass::Clients);
         assert_eq!((0..50).filter(|_| descriptors.starved("test")).count(), 1);
         assert_eq!((count.get(), told.get()), ((1, 1), 1));
-        assert!(descriptors.of(Part::Clients) + descriptors.of(Part::Upstreams) < 232);
+        assert!(descriptors.of(DescriptorClass::Clients) + descriptors.of(DescriptorClass::Upstreams) < 232);
         sleep(PAUSE).await;
         assert!(descriptors.starved("test"));
         // The first had one to spare now.
@@ -217,7 +230,7 @@
         // What was taken away comes back.
         let watch = tokio::task::spawn_local(Rc::clone(&descriptors).watch());
         sleep(Duration::from_secs(30)).await;
-        assert_eq!(descriptors.of(Part::Clients), before);
+        assert_eq!(descriptors.of(DescriptorClass::Clients), before);
         watch.abort();
     }
 }
--- a/crates/engine/src/parts/pool.rs
+++ b/crates/engine/src/parts/pool.rs
@@ -3,7 +3,7 @@
 use crate::parts::connection::{Connection, Unasked};
 use crate::parts::descriptors::Descriptors;
 use crate::parts::seldom::Seldom;
-use maplehook_admission::Part;
+use maplehook_admission::DescriptorClass;
 use maplehook_core::UpstreamId;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
@@ -216,7 +216,7 @@
             if let Some(connection) = self.take_rested(upstream) {
                 return Found::Idle(connection);
             }
-            let most = self.descriptors.of(Part::Upstreams);
+            let most = self.descriptors.of(DescriptorClass::Upstreams);
             if self.open.count.get() < most {
                 break;
             }
@@ -235,7 +235,7 @@
 
     /// There are fewer descriptors than there were: closes idle connections as far as that helps.
     pub fn shrink(&self) {
-        let over = self.open.count.get().saturating_sub(self.descriptors.of(Part::Upstreams));
+        let over = self.open.count.get().saturating_sub(self.descriptors.of(DescriptorClass::Upstreams));
         for _ in 0..over {
             if !self.close_oldest() {
                 break;
@@ -296,10 +296,12 @@
 
     /// Descriptors of which upstreams may have just `n`.
     pub fn descriptors(n: usize) -> Rc<Descriptors> {
-        use maplehook_admission::budget::{BASE, DISCOVERY, LEAST, REFUSALS};
-        let shared_out = LEAST - BASE - DISCOVERY - REFUSALS;
-        let descriptors = Descriptors::new(LEAST, 0, (n as f64 + 0.5) / shared_out as f64).unwrap();
-        assert_eq!(descriptors.of(Part::Upstreams), n);
+        use maplehook_admission::descriptor_budget::{
+            BASE_DESCRIPTORS, DISCOVERY_DESCRIPTORS, MIN_DESCRIPTORS, REJECTION_DESCRIPTORS,
+        };
+        let shared_out = MIN_DESCRIPTORS - BASE_DESCRIPTORS - DISCOVERY_DESCRIPTORS - REJECTION_DESCRIPTORS;
+        let descriptors = Descriptors::new(MIN_DESCRIPTORS, 0, (n as f64 + 0.5) / shared_out as f64).unwrap();
+        assert_eq!(descriptors.of(DescriptorClass::Upstreams), n);
         descriptors
     }
 
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use maplehook::parts::room::Room;
 use maplehook::parts::upstream::{Place, Upstreams};
 use maplehook::source::{Entry, Fixed, News};
-use maplehook_admission::Part;
+use maplehook_admission::DescriptorClass;
 use maplehook_core::{
     Availability, Balancer, CellId, Class, ClassId, DedupGroup, Effect, KindId, Settings, Tenant, TenantId,
     UpdateScope, UpstreamId, ZoneId,
@@ -50,10 +50,13 @@
 
 /// None yet; so many connections to them may be open.
 pub fn upstreams(settings: &Settings, most_open: usize) -> Rc<Upstreams> {
-    use maplehook_admission::budget::{BASE, DISCOVERY, LEAST, REFUSALS};
-    let shared_out = (LEAST - BASE - DISCOVERY - REFUSALS) as f64;
-    let descriptors = Descriptors::new(LEAST, 0, (most_open as f64 + 0.5) / shared_out).unwrap();
-    assert_eq!(descriptors.of(Part::Upstreams), most_open);
+    use maplehook_admission::descriptor_budget::{
+        BASE_DESCRIPTORS, DISCOVERY_DESCRIPTORS, MIN_DESCRIPTORS, REJECTION_DESCRIPTORS,
+    };
+    let shared_out =
+        (MIN_DESCRIPTORS - BASE_DESCRIPTORS - DISCOVERY_DESCRIPTORS - REJECTION_DESCRIPTORS) as f64;
+    let descriptors = Descriptors::new(MIN_DESCRIPTORS, 0, (most_open as f64 + 0.5) / shared_out).unwrap();
+    assert_eq!(descriptors.of(DescriptorClass::Upstreams), most_open);
     let (room, forwarding) = (Room::new(1 << 20), Forwarding::platform());
     Rc::new(Upstreams::new(settings, descriptors, room, forwarding, Arc::default()))
 }
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -7,7 +7,7 @@
 use crate::framing::Framing;
 use crate::server::End;
 use maplehook::label::Label;
-use maplehook_admission::ConnId;
+use maplehook_admission::ConnectionId;
 use progress::{PROMPT, Progress};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -51,21 +51,21 @@
 /// Who is told what clients do.
 pub trait Keeper {
     /// A part of a request has come.
-    fn came(&self, id: ConnId);
+    fn came(&self, id: ConnectionId);
     /// A request is whole and fit.
-    fn held(&self, id: ConnId, tenant: u32, vouched: bool);
+    fn held(&self, id: ConnectionId, tenant: u32, vouched: bool);
     /// A request has its answer; `true`: the connection ends with it.
-    fn answered(&self, id: ConnId) -> bool;
+    fn answered(&self, id: ConnectionId) -> bool;
     /// A question that is no request has its answer; `true`: the connection ends with it.
-    fn checked(&self, id: ConnId) -> bool;
+    fn checked(&self, id: ConnectionId) -> bool;
     /// A connection has ended.
-    fn left(&self, id: ConnId);
+    fn left(&self, id: ConnectionId);
 }
 
 /// What is known of a client's connection.
 pub struct Client {
     keeper: Rc<dyn Keeper>,
-    id: ConnId,
+    id: ConnectionId,
     stand: Cell<Stand>,
     /// Whether a request of it was ever fit to be answered.
     useful: Cell<bool>,
@@ -89,7 +89,7 @@
 
 impl Client {
     /// One that has just been let in under this name.
-    pub fn new(keeper: Rc<dyn Keeper>, id: ConnId, allowance: Allowance) -> Self {
+    pub fn new(keeper: Rc<dyn Keeper>, id: ConnectionId, allowance: Allowance) -> Self {
         Self {
             keeper,
             id,
--- a/crates/proxy/src/client/tests.rs
+++ b/crates/proxy/src/client/tests.rs
@@ -10,22 +10,23 @@
 struct Nobody;
 
 impl Keeper for Nobody {
-    fn came(&self, _: ConnId) {}
-    fn held(&self, _: ConnId, _: u32, _: bool) {}
-    fn answered(&self, _: ConnId) -> bool {
+    fn came(&self, _: ConnectionId) {}
+    fn held(&self, _: ConnectionId, _: u32, _: bool) {}
+    fn answered(&self, _: ConnectionId) -> bool {
         false
     }
-    fn checked(&self, _: ConnId) -> bool {
+    fn checked(&self, _: ConnectionId) -> bool {
         false
     }
-    fn left(&self, _: ConnId) {}
+    fn left(&self, _: ConnectionId) {}
 }
 
 /// A client of which nobody is told.
 pub fn alone() -> Rc<Client> {
-    let mut door = maplehook_admission::Door::new(maplehook_admission::Policy::default(), 10, &[], 7);
-    let arrival = door.arrive(Duration::ZERO, "127.0.0.1".parse().unwrap());
-    let maplehook_admission::Arrival::Kept { id, .. } = arrival else { panic!("refused") };
+    let policy = maplehook_admission::AdmissionPolicy::default();
+    let mut admission = maplehook_admission::ConnectionAdmission::new(policy, 10, &[], 7);
+    let decision = admission.admit(Duration::ZERO, "127.0.0.1".parse().unwrap());
+    let maplehook_admission::AdmissionDecision::Admitted { id, .. } = decision else { panic!("rejected") };
     let allowance = Allowance { silence: Duration::from_millis(2500), unread: Duration::from_secs(5) };
     Rc::new(Client::new(Rc::new(Nobody), id, allowance))
 }
--- a/crates/proxy/src/command.rs
+++ b/crates/proxy/src/command.rs
@@ -6,7 +6,7 @@
 use crate::settings::Settings;
 use crate::tier::{self, Shown};
 use clap::{Args, Parser, Subcommand};
-use maplehook_admission::token::Signer;
+use maplehook_admission::token::TokenSigner;
 use maplehook_config::Operator;
 use std::error::Error;
 use std::net::SocketAddr;
@@ -111,9 +111,9 @@
 }
 
 /// Reads the secret that signs words.
-pub fn signer(path: &Path) -> Result<Signer, Box<dyn Error>> {
+pub fn signer(path: &Path) -> Result<TokenSigner, Box<dyn Error>> {
     let secret = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Signer::new(secret.trim_ascii())
+    TokenSigner::new(secret.trim_ascii())
         .ok_or_else(|| format!("{}: a secret has 16 bytes at least", path.display()).into())
 }
 
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,7 +1,7 @@
 //! What the platform tells a balancer at its start: the JSON file that `NODE_CONFIG` names.
 
 use crate::command::text_of;
-use maplehook_admission::budget::{LEAST, TooFew};
+use maplehook_admission::descriptor_budget::{MIN_DESCRIPTORS, TooFewDescriptorsError};
 use maplehook_platform_settings::{ActiveSettings, SettingsParseError, check_required_keys};
 use serde::Deserialize;
 use serde_json::Value;
@@ -147,8 +147,11 @@
         let mut like: Value = json(text)?;
         let raw: Raw<'_> = json(text)?;
         let seed = u64::from_str_radix(&raw.seed, 16).map_err(|e| ConfigError(format!("seed: {e}")))?;
-        if raw.limits.sockets < LEAST {
-            return Err(ConfigError(format!("limits.sockets: {}", TooFew(raw.limits.sockets))));
+        if raw.limits.sockets < MIN_DESCRIPTORS {
+            return Err(ConfigError(format!(
+                "limits.sockets: {}",
+                TooFewDescriptorsError(raw.limits.sockets)
+            )));
         }
         let tuned =
             ActiveSettings::new(raw.settings.get(), "settings").map_err(|e| ConfigError(e.to_string()))?;
--- a/crates/proxy/src/entrance.rs
+++ b/crates/proxy/src/entrance.rs
@@ -1,8 +1,10 @@
-//! Carries out what the door decides: it knows the clients behind the door's names.
+//! Carries out the decisions of connection admission: it knows the clients behind the ids of connections.
 
 use crate::client::{Allowance, Client, Keeper};
-use maplehook_admission::address::Networks;
-use maplehook_admission::{After, Arrival, ConnId, Door, Reason, Refusal};
+use maplehook_admission::address::NetworkSet;
+use maplehook_admission::{
+    AdmissionDecision, ConnectionAdmission, ConnectionId, Rejection, RejectionReason, ResponseDecision,
+};
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 use std::net::IpAddr;
@@ -11,11 +13,11 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The door and the clients that it has let in.
+/// Connection admission and the clients that it has admitted.
 pub struct Entrance {
     start: Instant,
-    door: RefCell<Door>,
-    clients: RefCell<FxHashMap<ConnId, Rc<Client>>>,
+    admission: RefCell<ConnectionAdmission>,
+    clients: RefCell<FxHashMap<ConnectionId, Rc<Client>>>,
     left: Notify,
     /// How long clients may leave things undone.
     allowance: Allowance,
@@ -23,10 +25,10 @@
 
 impl Entrance {
     /// One with nobody in it.
-    pub fn new(door: Door, allowance: Allowance) -> Rc<Self> {
+    pub fn new(admission: ConnectionAdmission, allowance: Allowance) -> Rc<Self> {
         Rc::new(Self {
             start: Instant::now(),
-            door: RefCell::new(door),
+            admission: RefCell::new(admission),
             clients: RefCell::default(),
             left: Notify::new(),
             allowance,
@@ -38,30 +40,30 @@
     }
 
     /// Someone has connected: the client, and whether another was told to end for it; or why it is refused.
-    pub fn arrive(self: &Rc<Self>, address: IpAddr) -> Result<(Rc<Client>, bool), Refusal> {
-        let arrival = self.door.borrow_mut().arrive(self.now(), address);
-        match arrival {
-            Arrival::Kept { id, ends } => {
+    pub fn arrive(self: &Rc<Self>, address: IpAddr) -> Result<(Rc<Client>, bool), Rejection> {
+        let decision = self.admission.borrow_mut().admit(self.now(), address);
+        match decision {
+            AdmissionDecision::Admitted { id, evicted } => {
                 let keeper = Rc::clone(self) as Rc<dyn Keeper>;
                 let client = Rc::new(Client::new(keeper, id, self.allowance));
                 self.clients.borrow_mut().insert(id, Rc::clone(&client));
-                self.end(ends);
-                Ok((client, ends.is_some()))
+                self.end(evicted);
+                Ok((client, evicted.is_some()))
             }
-            Arrival::Refused(refusal) => Err(refusal),
+            AdmissionDecision::Rejected(rejection) => Err(rejection),
         }
     }
 
     /// Why nobody can be let in at all now.
-    pub fn refuse(&self, reason: Reason) -> Refusal {
-        self.door.borrow_mut().refuse(self.now(), reason)
+    pub fn refuse(&self, reason: RejectionReason) -> Rejection {
+        self.admission.borrow_mut().reject(self.now(), reason)
     }
 
     /// There are this many places from now on.
     pub fn resize(&self, places: usize) {
-        self.door.borrow_mut().resize(places);
+        self.admission.borrow_mut().set_capacity(places);
         loop {
-            let excess = self.door.borrow_mut().excess(self.now());
+            let excess = self.admission.borrow_mut().evict_excess(self.now());
             if excess.is_none() {
                 break;
             }
@@ -71,17 +73,17 @@
 
     /// The tenants are guaranteed this from now on.
     pub fn guarantee(&self, guarantees: &[f64]) {
-        self.door.borrow_mut().guarantee(guarantees);
+        self.admission.borrow_mut().set_tenant_guarantees(guarantees);
     }
 
     /// Clients from there are known from now on, beside those of the own file.
-    pub fn know(&self, networks: Networks) {
-        self.door.borrow_mut().know(networks);
+    pub fn know(&self, networks: NetworkSet) {
+        self.admission.borrow_mut().set_known_networks(networks);
     }
 
     /// Ends one connection that may end, for its descriptor; `false` if there is none.
     pub fn shed(&self) -> bool {
-        let shed = self.door.borrow_mut().shed(self.now());
+        let shed = self.admission.borrow_mut().evict_one(self.now());
         self.end(shed);
         shed.is_some()
     }
@@ -97,12 +99,12 @@
         }
     }
 
-    fn follow(&self, after: After) -> bool {
-        self.end(after.ends);
-        after.close
+    fn follow(&self, decision: ResponseDecision) -> bool {
+        self.end(decision.evicted);
+        decision.should_close
     }
 
-    fn end(&self, id: Option<ConnId>) {
+    fn end(&self, id: Option<ConnectionId>) {
         if let Some(client) = id.and_then(|id| self.clients.borrow().get(&id).cloned()) {
             client.end();
         }
@@ -110,26 +112,26 @@
 }
 
 impl Keeper for Entrance {
-    fn came(&self, id: ConnId) {
-        self.door.borrow_mut().came(self.now(), id);
+    fn came(&self, id: ConnectionId) {
+        self.admission.borrow_mut().on_bytes(self.now(), id);
     }
 
-    fn held(&self, id: ConnId, tenant: u32, vouched: bool) {
-        self.door.borrow_mut().held(self.now(), id, Some(tenant), vouched);
+    fn held(&self, id: ConnectionId, tenant: u32, vouched: bool) {
+        self.admission.borrow_mut().on_request(self.now(), id, Some(tenant), vouched);
     }
 
-    fn answered(&self, id: ConnId) -> bool {
-        let after = self.door.borrow_mut().answered(self.now(), id);
-        self.follow(after)
+    fn answered(&self, id: ConnectionId) -> bool {
+        let decision = self.admission.borrow_mut().on_response(self.now(), id);
+        self.follow(decision)
     }
 
-    fn checked(&self, id: ConnId) -> bool {
-        let after = self.door.borrow_mut().checked(self.now(), id);
-        self.follow(after)
+    fn checked(&self, id: ConnectionId) -> bool {
+        let decision = self.admission.borrow_mut().on_health_check_response(self.now(), id);
+        self.follow(decision)
     }
 
-    fn left(&self, id: ConnId) {
-        self.door.borrow_mut().left(id);
+    fn left(&self, id: ConnectionId) {
+        self.admission.borrow_mut().on_close(id);
         self.clients.borrow_mut().remove(&id);
         self.left.notify_waiters();
     }
--- a/crates/proxy/src/refusals.rs
+++ b/crates/proxy/src/refusals.rs
@@ -1,8 +1,8 @@
-//! Clients that are refused at the door: a whole answer that can be read, and no place for those who read it
+//! Clients that are rejected: a whole answer that can be read, and no place for those who read it
 //! slowly.
 
-use maplehook_admission::Refusal;
-use maplehook_admission::budget::REFUSALS;
+use maplehook_admission::Rejection;
+use maplehook_admission::descriptor_budget::REJECTION_DESCRIPTORS;
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -21,15 +21,15 @@
 /// The same of a client whose request was too long, or none, or that writes on behind its last answer.
 pub const CLIENT_MORE_MOST: usize = 2 * 1024 * 1024;
 
-/// The clients that may still read their refusal, oldest first.
+/// The clients that may still read their rejection, oldest first.
 #[derive(Default)]
 pub struct Refusals(RefCell<VecDeque<JoinHandle<()>>>);
 
-/// The answer to a client that is refused at the door: nothing of it has run.
-fn answer(refusal: &Refusal) -> String {
+/// The answer to a client that is rejected: nothing of it has run.
+fn answer(rejection: &Rejection) -> String {
     const BODY: &str = "refused: no place";
     let mut text = String::with_capacity(160);
-    let after = refusal.retry_after.as_secs_f64();
+    let after = rejection.retry_after.as_secs_f64();
     let _ = write!(
         text,
         "HTTP/1.1 503 Service Unavailable\r\nRetry-After: {after:.3}\r\nConnection: close\r\n\
@@ -40,8 +40,8 @@
 }
 
 /// Writes the answer, which any socket that has just come up takes whole.
-fn write(stream: &TcpStream, refusal: &Refusal) -> bool {
-    let text = answer(refusal);
+fn write(stream: &TcpStream, rejection: &Rejection) -> bool {
+    let text = answer(rejection);
     stream.try_write(text.as_bytes()).is_ok_and(|n| n == text.len())
 }
 
@@ -93,13 +93,13 @@
 impl Refusals {
     /// Refuses a client. One that does not read at once is given time, as long as no others need its
     /// descriptor.
-    pub fn refuse(&self, stream: TcpStream, refusal: &Refusal) {
-        if !refusal.answered || !write(&stream, refusal) {
+    pub fn refuse(&self, stream: TcpStream, rejection: &Rejection) {
+        if !rejection.has_response || !write(&stream, rejection) {
             return;
         }
         let lingering = &mut *self.0.borrow_mut();
         lingering.retain(|task| !task.is_finished());
-        if lingering.len() >= REFUSALS
+        if lingering.len() >= REJECTION_DESCRIPTORS
             && let Some(oldest) = lingering.pop_front()
         {
             oldest.abort();
@@ -119,11 +119,14 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use maplehook_admission::Reason;
+    use maplehook_admission::RejectionReason;
     use tokio::net::TcpListener;
 
-    const REFUSAL: Refusal =
-        Refusal { reason: Reason::Full, answered: true, retry_after: Duration::from_millis(1250) };
+    const REFUSAL: Rejection = Rejection {
+        reason: RejectionReason::Full,
+        has_response: true,
+        retry_after: Duration::from_millis(1250),
+    };
 
     /// Guards the answer against being lost: it is whole and readable though its client goes on sending, and
     /// those who read it slowly hold no more than their few descriptors.
@@ -132,7 +135,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let refusals = Refusals::default();
         let mut clients = Vec::new();
-        for n in 0..3 * REFUSALS {
+        for n in 0..3 * REJECTION_DESCRIPTORS {
             let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
             std::io::Write::write_all(&mut client, b"POST /book HTTP/1.1\r\nContent-Length: 9\r\n\r\n")
                 .unwrap();
@@ -142,9 +145,9 @@
                 std::io::Write::write_all(&mut client, b"more").unwrap();
             }
             clients.push(client);
-            assert!(refusals.0.borrow().len() <= REFUSALS);
+            assert!(refusals.0.borrow().len() <= REJECTION_DESCRIPTORS);
         }
-        for mut client in clients.into_iter().rev().take(REFUSALS) {
+        for mut client in clients.into_iter().rev().take(REJECTION_DESCRIPTORS) {
             let mut read = String::new();
             client.read_to_string(&mut read).unwrap();
             assert!(read.starts_with("HTTP/1.1 503 ") && read.ends_with("refused: no place"), "{read}");
--- a/crates/proxy/src/requests.rs
+++ b/crates/proxy/src/requests.rs
@@ -10,8 +10,8 @@
 use maplehook::parts::body::{Fault, Upload, take_in};
 use maplehook::parts::driver::Asked;
 use maplehook::parts::room::Room;
-use maplehook_admission::address::{Network, Networks};
-use maplehook_admission::token::Signer;
+use maplehook_admission::address::{Network, NetworkSet};
+use maplehook_admission::token::TokenSigner;
 use maplehook_config::Proxy;
 use maplehook_core::TenantId;
 use maplehook_http_semantics::{Fit, Forwarding, Passage, Peer, Rules, Unfit};
@@ -80,7 +80,7 @@
     /// Tenants whose name is enough.
     pub tenants: Vec<String>,
     /// The header that bears a signed word, and who checks it.
-    pub token: Option<(HeaderName, Signer)>,
+    pub token: Option<(HeaderName, TokenSigner)>,
 }
 
 impl Vouching {
@@ -89,7 +89,7 @@
             let (name, signer) = self.token.as_ref()?;
             let word = headers.get(name)?.to_str().ok()?;
             let now = SystemTime::now().duration_since(UNIX_EPOCH).ok()?;
-            let tenant = signer.check(word, now.as_secs()).map_err(|e| tracing::debug!("token: {e}"));
+            let tenant = signer.verify(word, now.as_secs()).map_err(|e| tracing::debug!("token: {e}"));
             tenant.ok().map(|tenant| Some(tenant) == account)
         };
         account.is_some_and(|name| self.tenants.iter().any(|known| known == name)) || word() == Some(true)
@@ -101,7 +101,7 @@
     rules: Rules,
     passages: Vec<Rc<Passage>>,
     /// Clients of which nothing is taken.
-    refused: Networks,
+    refused: NetworkSet,
     /// The version in force, where it is told.
     label: Option<HeaderValue>,
 }
@@ -114,7 +114,7 @@
             rules: Rules::platform(classes, tuned.tenants(), before),
             // By number, those of the vanished among them.
             passages: vec![passage; tuned.current().settings.classes.len()],
-            refused: Networks::default(),
+            refused: NetworkSet::default(),
             label: None,
         }
     }
@@ -176,7 +176,7 @@
     }
 
     /// Another version is in force; requests whose heads have come keep the one that they came under.
-    pub fn replace(&self, rules: Rules, passages: Vec<Passage>, refused: Networks, label: Option<&str>) {
+    pub fn replace(&self, rules: Rules, passages: Vec<Passage>, refused: NetworkSet, label: Option<&str>) {
         let label = label.and_then(|label| HeaderValue::from_str(label).ok());
         let passages = passages.into_iter().map(Rc::new).collect();
         *self.book.borrow_mut() = Rc::new(Book { rules, passages, refused, label });
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -21,7 +21,7 @@
 use maplehook::parts::room::Room;
 use maplehook::source::{News, Source};
 use maplehook::tally::Counting;
-use maplehook_admission::Part;
+use maplehook_admission::DescriptorClass;
 use maplehook_config::Operator;
 use maplehook_core::Settings;
 use maplehook_eureka::Registrar;
@@ -123,7 +123,7 @@
     tracing::info!(
         listen = %address,
         upstreams = known.entries.len(),
-        places = descriptors.of(Part::Clients),
+        places = descriptors.of(DescriptorClass::Clients),
         "serving"
     );
     let driver = Driver::start(balancer, upstreams, source, known);
--- a/crates/proxy/src/serve/parts.rs
+++ b/crates/proxy/src/serve/parts.rs
@@ -12,7 +12,7 @@
 use crate::wishes::Guard;
 use maplehook::parts::descriptors::{self, Descriptors};
 use maplehook::parts::upstream::Upstreams;
-use maplehook_admission::{Door, Part};
+use maplehook_admission::{ConnectionAdmission, DescriptorClass};
 use maplehook_config::{Proxy, Tier};
 use maplehook_consensus::ConsensusService;
 use maplehook_core::Balancer;
@@ -140,9 +140,10 @@
             Arc::clone(&board.tally),
         ));
         let guarantees: Vec<f64> = plan.settings.tenants.iter().map(|t| t.allowance_per_s).collect();
-        let clients = descriptors.of(Part::Clients);
-        let door = Door::new(plan.operator.admission.clone(), clients, &guarantees, plan.seed);
-        let entrance = Entrance::new(door, plan.allowance);
+        let clients = descriptors.of(DescriptorClass::Clients);
+        let admission =
+            ConnectionAdmission::new(plan.operator.admission.clone(), clients, &guarantees, plan.seed);
+        let entrance = Entrance::new(admission, plan.allowance);
         share_descriptors(&descriptors, &upstreams, &entrance);
         Ok(Self {
             term,
@@ -207,7 +208,7 @@
     let (of, upstreams, entrance) = (Rc::downgrade(descriptors), Rc::clone(upstreams), Rc::clone(entrance));
     descriptors.tells(move || {
         if let Some(descriptors) = of.upgrade() {
-            entrance.resize(descriptors.of(Part::Clients));
+            entrance.resize(descriptors.of(DescriptorClass::Clients));
             upstreams.resized();
         }
     });
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -13,7 +13,7 @@
 use maplehook::parts::descriptors::{Descriptors, PAUSE, out_of_descriptors};
 use maplehook::parts::desk::Desk;
 use maplehook::parts::seldom::Seldom;
-use maplehook_admission::Reason;
+use maplehook_admission::RejectionReason;
 use maplehook_http_semantics::Own;
 use std::io;
 use std::net::IpAddr;
@@ -160,7 +160,7 @@
             if self.descriptors.starved("accept") {
                 self.admit(stream, peer.ip());
             } else {
-                self.refusals.refuse(stream, &self.entrance.refuse(Reason::Full));
+                self.refusals.refuse(stream, &self.entrance.refuse(RejectionReason::Full));
             }
             sleep(PAUSE).await;
         }
--- a/crates/versions/src/compatibility.rs
+++ b/crates/versions/src/compatibility.rs
@@ -130,7 +130,7 @@
     }
     strict.settings.max_attempts = new.settings.max_attempts.min(old.settings.max_attempts);
     strict.settings.can_hedge = new.settings.can_hedge && old.settings.can_hedge;
-    strict.clients.refused = old.clients.refused.and(&new.clients.refused);
+    strict.clients.refused = old.clients.refused.union(&new.clients.refused);
     let named = |proxy: &Proxy| -> BTreeMap<String, f64> {
         let names = proxy.tenants.iter().cloned();
         names.zip(proxy.settings.tenants.iter().map(|tenant| tenant.allowance_per_s)).collect()
--- a/tools/workspace-checks/tests/done_crates.rs
+++ b/tools/workspace-checks/tests/done_crates.rs
@@ -7,6 +7,7 @@
 
 /// The crates that are done.
 const DONE: &[&str] = &[
+    "crates/admission",
     "crates/canary",
     "crates/cluster",
     "crates/core",
--- a/tools/workspace-checks/tests/lengths.rs
+++ b/tools/workspace-checks/tests/lengths.rs
@@ -6,9 +6,7 @@
 
 const LINES_MOST: usize = 400;
 /// Files that are longer, and how long each may be.
-const LONGER: [(&str, usize); 8] = [
-    ("crates/admission/src/door.rs", 546),
-    ("crates/admission/tests/door.rs", 439),
+const LONGER: [(&str, usize); 6] = [
     ("tools/conformance/src/scenarios.rs", 442),
     ("crates/engine/src/engine.rs", 530),
     ("tools/simulator/src/members/mod.rs", 431),
