--- a/crates/consensus/src/active_version.rs
+++ b/crates/consensus/src/active_version.rs
@@ -1,60 +1,69 @@
-//! By what a balancer acts, and how it stands there.
+//! The version that a member acts on, and the rules that follow from it with and without a lease.
 
 use maplehook_config::Proxy;
+use maplehook_versions::LeaseExpiryPolicy;
 use maplehook_versions::compatibility::conservative;
-use maplehook_versions::lease_manager::LeaseExpiryPolicy;
-use maplehook_versions::version_state::Phase;
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
-/// By what to act.
+/// The version that a member acts on.
 #[derive(Clone, Debug)]
 pub struct ActiveVersion {
-    /// The epoch.
+    /// The epoch of the phase.
     pub epoch: u64,
-    /// The version in force, or the two between which a change stands: `3`, `3-4`; `0` before the first.
+    /// The version's number, or both numbers during a transition: `3`, `3-4`; `0` before the first version.
     pub label: String,
-    /// The rules, as long as the lease lasts.
+    /// The rules that hold while the lease does.
     pub rules: Arc<Proxy>,
-    /// Until when; `None`: for good.
+    /// The end of the lease; `None` if it never expires.
     pub lease_end: Option<Instant>,
-    /// The rules after that; `None`: everything is refused.
+    /// The rules that hold after the lease; `None` if everything is rejected then.
     pub conservative_rules: Option<Arc<Proxy>>,
-    /// There is no lease at all.
+    /// Whether the member has never had a lease.
     pub lacks_lease: bool,
 }
 
-/// Which of the rules are acted on.
+/// Which rules a member enforces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EnforcementMode {
-    /// Those of the step.
+    /// The rules of the current phase.
     Current,
-    /// The careful reading of them.
+    /// The conservative reading of these rules.
     Conservative,
-    /// None: everything is refused.
+    /// None: every request is rejected.
     RejectAll,
 }
 
 impl ActiveVersion {
-    /// What is acted on now.
+    /// Creates the state of a member that has received nothing from a leader yet.
+    pub(crate) fn initial(file_rules: &Arc<Proxy>, policy: LeaseExpiryPolicy) -> Self {
+        Self {
+            epoch: 0,
+            label: "0".into(),
+            rules: Arc::clone(file_rules),
+            lease_end: None,
+            conservative_rules: conservative_unless_rejecting(file_rules, policy),
+            lacks_lease: true,
+        }
+    }
+
+    /// Returns the mode at this time.
     pub fn mode(&self, now: Instant) -> EnforcementMode {
-        let holds = !self.lacks_lease && self.lease_end.is_none_or(|until| now < until);
+        let has_lease = !self.lacks_lease && self.lease_end.is_none_or(|end| now < end);
         match &self.conservative_rules {
-            _ if holds => EnforcementMode::Current,
+            _ if has_lease => EnforcementMode::Current,
             Some(_) => EnforcementMode::Conservative,
             None => EnforcementMode::RejectAll,
         }
     }
 
-    /// The rules of a mode.
+    /// Returns the rules of a mode.
     pub fn rules_for(&self, mode: EnforcementMode) -> &Arc<Proxy> {
-        self.conservative_rules
-            .as_ref()
-            .filter(|_| mode == EnforcementMode::Conservative)
-            .unwrap_or(&self.rules)
+        let conservative = self.conservative_rules.as_ref();
+        conservative.filter(|_| mode == EnforcementMode::Conservative).unwrap_or(&self.rules)
     }
 
-    /// How a mode is told to others.
+    /// Returns the label by which others are told of the version in this mode.
     pub fn label_for(&self, mode: EnforcementMode) -> String {
         match mode {
             EnforcementMode::Current => self.label.clone(),
@@ -63,36 +72,10 @@
     }
 }
 
-/// How it stands here.
-#[derive(Clone, Debug)]
-pub struct LocalStatus {
-    /// The version in force here; 0 if none.
-    pub active_version: u64,
-    /// The epoch that is acted on.
-    pub epoch: u64,
-    /// The step.
-    pub phase: Phase,
-    /// The digest of the version in force, or of the own file before the first.
-    pub digest: String,
-    /// What is left of the lease.
-    pub lease_remaining: Option<Duration>,
-    /// Whether there is none.
-    pub lacks_lease: bool,
-    /// Whom it takes for the leader.
-    pub leader: Option<String>,
-    /// What is wrong with its part in votes, if anything is.
-    pub voter_problem: Option<String>,
-}
-
-/// Before anything was heard.
-pub(crate) fn initial(own: &Arc<Proxy>, cut_off: LeaseExpiryPolicy) -> ActiveVersion {
-    let careful = (cut_off != LeaseExpiryPolicy::Reject).then(|| Arc::new(conservative(own)));
-    ActiveVersion {
-        epoch: 0,
-        label: "0".into(),
-        rules: Arc::clone(own),
-        lease_end: None,
-        conservative_rules: careful,
-        lacks_lease: true,
-    }
+/// Returns the rules for the time after a lease, unless the policy rejects everything then.
+pub(crate) fn conservative_unless_rejecting(
+    rules: &Arc<Proxy>,
+    policy: LeaseExpiryPolicy,
+) -> Option<Arc<Proxy>> {
+    (policy != LeaseExpiryPolicy::Reject).then(|| Arc::new(conservative(rules)))
 }
--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -1,165 +1,205 @@
-//! How a voter begins: with the log that it has, with a new one where no voter has any, or not at all where its own is lost.
+//! How a voter starts: with the log that it has, with a new log if no voter has one, or not at all if its log is lost.
 
-use crate::messages::PeerMessage;
-use crate::runner::{FOUNDING, Runner, VoterRole};
-use crate::store::{self, Store, StoreError};
+use crate::messages::{PeerMessage, VoterNumber};
+use crate::runner::{Runner, VoterRole};
+use crate::store::{self, PersistedState, Store, StoreError};
 use crate::voter::{Voter, initial_snapshot, replacement_voter_id, voter_id};
 use maplehook_cluster::Name;
 use std::collections::BTreeMap;
-use std::time::Instant;
+use std::path::Path;
+use std::time::{Duration, Instant};
+
+/// How often a voter without a log asks the others whether they have one.
+const BOOTSTRAP_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Runner {
-    /// Goes on as the voter that it was, or begins as one without a log.
-    pub(crate) fn open(&mut self) {
-        let Some(directory) = self.setup.directory.clone() else {
-            self.part = VoterRole::Out("it has no directory".into());
+    /// Starts as a voter if the file names this member as one, or if it has been one.
+    pub(crate) fn open_voter(&mut self) {
+        let has_voted = self.config.directory.as_deref().is_some_and(store::has_voted);
+        if !has_voted && !self.is_configured_voter() {
+            return;
+        }
+        let Some(directory) = self.config.directory.clone() else {
+            self.role = VoterRole::Disabled("it has no directory".into());
             return;
         };
-        let opened = Store::open(&directory).and_then(|opened| match opened {
-            Some((store, kept)) => {
-                let seat = store::replacement_number(&directory)?;
-                let id = seat.map_or_else(
-                    || voter_id(&self.setup.local_name),
-                    |number| replacement_voter_id(&self.setup.local_name, number),
-                );
-                self.voting(id, store, kept)
-            }
-            None if !self.setup.voters.contains(&self.setup.local_name) => Ok(VoterRole::None),
-            None => {
-                let number = store::bootstrap_number(&directory, fastrand::u64(1..))?;
-                Ok(VoterRole::Founding { number, heard: BTreeMap::new(), asked: None })
-            }
-        });
-        self.part = opened.unwrap_or_else(|e| {
-            tracing::error!("tier.state: {}: {e}", directory.display());
-            VoterRole::Out(e.to_string())
+        let opened = self.open_in(&directory);
+        self.set_role(&directory, opened);
+    }
+
+    fn is_configured_voter(&self) -> bool {
+        self.config.voters.contains(&self.config.local_name)
+    }
+
+    fn open_in(&self, directory: &Path) -> Result<VoterRole, StoreError> {
+        if let Some((store, state)) = Store::open(directory)? {
+            let local_name = &self.config.local_name;
+            let id = match store::replacement_number(directory)? {
+                Some(number) => replacement_voter_id(local_name, number),
+                None => voter_id(local_name),
+            };
+            return self.voting_role(id, store, state);
+        }
+        if !self.is_configured_voter() {
+            return Ok(VoterRole::NonVoter);
+        }
+        let number = store::bootstrap_number(directory, fastrand::u64(1..))?;
+        Ok(VoterRole::Bootstrapping { number, reported: BTreeMap::new(), asked_at: None })
+    }
+
+    fn set_role(&mut self, directory: &Path, opened: Result<VoterRole, StoreError>) {
+        self.role = opened.unwrap_or_else(|error| {
+            tracing::error!("tier.state: {}: {error}", directory.display());
+            VoterRole::Disabled(error.to_string())
         });
     }
 
-    fn voting(&self, id: u64, store: Store, kept: store::PersistedState) -> Result<VoterRole, StoreError> {
-        let members: Vec<Name> = self.setup.members.iter().cloned().collect();
-        let voter = Voter::new(id, &members, kept).map_err(StoreError::Unusable)?;
-        Ok(VoterRole::Voting { voter: Box::new(voter), store, grants: None })
+    fn voting_role(&self, id: u64, store: Store, state: PersistedState) -> Result<VoterRole, StoreError> {
+        let members: Vec<Name> = self.config.members.iter().cloned().collect();
+        let voter = Voter::new(id, &members, state)?;
+        Ok(VoterRole::Voting { voter: Box::new(voter), store, lease_manager: None })
     }
 
-    /// The leader asks under which number this member would vote: one that nobody has had.
-    pub(crate) fn seat(&mut self, from: &Name, ticket: u64) {
-        let (votes, waits) = match &self.part {
+    /// Answers the leader's request for the number under which this member would vote: one that no voter has had.
+    pub(crate) fn on_voter_number_request(&mut self, from: &Name, ticket: u64) {
+        let number = match self.assign_voter_number() {
+            Ok(number) => VoterNumber::Assigned(number),
+            Err(reason) => VoterNumber::Refused(reason.to_string()),
+        };
+        self.send(from, &PeerMessage::VoterNumberReply { ticket, number });
+    }
+
+    fn assign_voter_number(&mut self) -> Result<u64, VoterNumberError> {
+        let (is_voter, awaits_snapshot) = match &self.role {
             VoterRole::Voting { voter, .. } => (!voter.is_replaced(), voter.awaits_snapshot()),
             _ => (false, false),
         };
-        let number = match self.setup.directory.clone() {
-            // Whoever asked did not hear the number, or is another leader by now: it may be in the log already.
-            Some(directory) if waits => store::replacement_number(&directory)
-                .map_err(|e| e.to_string())
-                .and_then(|number| number.ok_or_else(|| "its number is lost".to_owned())),
-            _ if votes => Err("it votes already".to_owned()),
-            None => Err("it has no tier.state, where a voter keeps its log".to_owned()),
-            Some(directory) => {
-                let number = fastrand::u64(1..);
-                // The log of a place that it had is closed before its files go.
-                self.part = VoterRole::None;
-                let taken = store::create_replacement(&directory, number).and_then(|(store, kept)| {
-                    self.voting(replacement_voter_id(&self.setup.local_name, number), store, kept)
-                });
-                match taken {
-                    Ok(part) => {
-                        self.part = part;
-                        tracing::info!("this balancer is given a voter's place");
-                        Ok(number)
-                    }
-                    Err(e) => {
-                        self.part = VoterRole::Out(e.to_string());
-                        Err(e.to_string())
-                    }
-                }
+        match self.config.directory.clone() {
+            // The requester has not received the number, or another leader asks: the number may be in the log already.
+            Some(directory) if awaits_snapshot => {
+                store::replacement_number(&directory)?.ok_or(VoterNumberError::NumberLost)
             }
-        };
-        self.tell(from, &PeerMessage::VoterNumberReply { ticket, number });
+            _ if is_voter => Err(VoterNumberError::IsVoter),
+            None => Err(VoterNumberError::NoDirectory),
+            Some(directory) => Ok(self.create_replacement(&directory)?),
+        }
+    }
+
+    /// Replaces what this member has on disk by an empty log under a new number.
+    fn create_replacement(&mut self, directory: &Path) -> Result<u64, StoreError> {
+        let number = fastrand::u64(1..);
+        // The log of a former voter is closed before its files are removed.
+        self.role = VoterRole::NonVoter;
+        let created = store::create_replacement(directory, number).and_then(|(store, state)| {
+            self.voting_role(replacement_voter_id(&self.config.local_name, number), store, state)
+        });
+        match created {
+            Ok(role) => {
+                self.role = role;
+                tracing::info!("becoming a voter in place of another one");
+                Ok(number)
+            }
+            Err(error) => {
+                self.role = VoterRole::Disabled(error.to_string());
+                Err(error)
+            }
+        }
     }
 
-    /// Its place was given to somebody else.
-    pub(crate) fn unseated(&mut self) {
-        if let VoterRole::Voting { .. } = &self.part {
-            let why = "another balancer has this voter's place; agreement.voters of its file is to be mended";
-            tracing::warn!("{why}");
-            self.part = VoterRole::Out(why.into());
+    /// Stops voting, because another member has replaced this voter.
+    pub(crate) fn on_voter_replaced(&mut self) {
+        if let VoterRole::Voting { .. } = &self.role {
+            let reason =
+                "another balancer has this voter's place; agreement.voters of its file is to be mended";
+            tracing::warn!("{reason}");
+            self.role = VoterRole::Disabled(reason.into());
         }
     }
 
-    /// A voter without a log begins one when all others have none either.
-    pub(crate) fn found(&mut self) {
-        let VoterRole::Founding { number, asked, heard } = &mut self.part else { return };
-        let (number, heard) = (*number, heard.clone());
-        let due = asked.is_none_or(|at| at.elapsed() >= FOUNDING);
-        if due {
-            *asked = Some(Instant::now());
-            let say =
+    /// Creates the first log once all other voters have reported that they have none either.
+    pub(crate) fn try_bootstrap(&mut self) {
+        let VoterRole::Bootstrapping { number, reported, asked_at } = &mut self.role else { return };
+        let (number, reported) = (*number, reported.clone());
+        if asked_at.is_none_or(|at| at.elapsed() >= BOOTSTRAP_INTERVAL) {
+            *asked_at = Some(Instant::now());
+            let message =
                 PeerMessage::Bootstrap { number: Some(number), founders: Vec::new(), wants_reply: true };
-            for other in self.others().collect::<Vec<_>>() {
-                self.tell(&other, &say);
-            }
+            self.other_voters().for_each(|other| self.send(&other, &message));
         }
-        if heard.len() + 1 == self.setup.voters.len() {
-            let mut founded: Vec<(String, u64)> = heard.iter().map(|(n, k)| (n.to_string(), *k)).collect();
-            founded.push((self.setup.local_name.to_string(), number));
-            self.begin(&founded);
+        if reported.len() + 1 == self.config.voters.len() {
+            let others = reported.iter().map(|(name, number)| (name.to_string(), *number));
+            let founders: Vec<(String, u64)> =
+                others.chain([(self.config.local_name.to_string(), number)]).collect();
+            self.create_first_log(&founders);
         }
     }
 
-    pub(crate) fn begin(&mut self, founded: &[(String, u64)]) {
-        let Some(directory) = self.setup.directory.clone() else { return };
-        let snapshot = initial_snapshot(&self.setup.voters);
-        let begun = store::write_founders(&directory, founded)
+    fn create_first_log(&mut self, founders: &[(String, u64)]) {
+        let Some(directory) = self.config.directory.clone() else { return };
+        let snapshot = initial_snapshot(&self.config.voters);
+        let created = store::write_founders(&directory, founders)
             .and_then(|()| Store::create(&directory, &snapshot))
             .and_then(|store| {
-                let kept = store::PersistedState::initial(&snapshot);
-                self.voting(voter_id(&self.setup.local_name), store, kept)
+                let state = PersistedState::initial(&snapshot);
+                self.voting_role(voter_id(&self.config.local_name), store, state)
             });
-        self.part = begun.unwrap_or_else(|e| {
-            tracing::error!("tier.state: {}: {e}", directory.display());
-            VoterRole::Out(e.to_string())
-        });
-        if matches!(self.part, VoterRole::Voting { .. }) {
-            tracing::info!("the voters have found one another: versions can be agreed on");
+        self.set_role(&directory, created);
+        if matches!(self.role, VoterRole::Voting { .. }) {
+            tracing::info!("created the first log with all voters");
         }
     }
 
-    pub(crate) fn founding(
+    /// Handles another voter's report of whether it has a log: `number` if it has none, `founders` if it has one.
+    pub(crate) fn on_bootstrap(
         &mut self,
         from: &Name,
         number: Option<u64>,
-        founded: &[(String, u64)],
-        asks: bool,
+        founders: &[(String, u64)],
+        wants_reply: bool,
     ) {
-        if asks {
-            let directory = self.setup.directory.clone();
-            let say = match &self.part {
-                VoterRole::Founding { number, .. } => {
-                    PeerMessage::Bootstrap { number: Some(*number), founders: Vec::new(), wants_reply: false }
-                }
-                VoterRole::Voting { .. } => {
-                    let founded = directory.map(|place| store::read_founders(&place)).unwrap_or_default();
-                    PeerMessage::Bootstrap { number: None, founders: founded, wants_reply: false }
-                }
-                _ => return,
-            };
-            self.tell(from, &say);
+        if wants_reply {
+            let Some(reply) = self.bootstrap_report() else { return };
+            self.send(from, &reply);
         }
-        let VoterRole::Founding { number: ours, heard, .. } = &mut self.part else { return };
-        match number {
-            Some(number) => drop(heard.insert(from.clone(), number)),
-            // It has a log. If that began with us, it is ours too; else we had one and have lost it.
-            None => {
-                let own = self.setup.local_name.as_str();
-                if founded.iter().any(|(name, number)| name == own && number == ours) {
-                    self.begin(founded);
-                } else if !asks {
-                    let why = "the other voters have a log that began with another one of this name: this voter's is lost";
-                    tracing::error!("{why}; it votes no more");
-                    self.part = VoterRole::Out(why.into());
-                }
-            }
+        let VoterRole::Bootstrapping { number: own_number, reported, .. } = &mut self.role else { return };
+        if let Some(number) = number {
+            reported.insert(from.clone(), number);
+            return;
+        }
+        // The sender has a log. If this voter is among its founders, it creates the same one; otherwise it had a log and lost it.
+        let local_name = self.config.local_name.as_str();
+        if founders.iter().any(|(name, number)| name == local_name && number == own_number) {
+            self.create_first_log(founders);
+        } else if !wants_reply {
+            let reason =
+                "the other voters have a log that began with another one of this name: this voter's is lost";
+            tracing::error!("{reason}; it votes no more");
+            self.role = VoterRole::Disabled(reason.into());
         }
     }
+
+    /// Returns the report of this voter, if it is one.
+    fn bootstrap_report(&self) -> Option<PeerMessage> {
+        let (number, founders) = match &self.role {
+            VoterRole::Bootstrapping { number, .. } => (Some(*number), Vec::new()),
+            VoterRole::Voting { .. } => {
+                (None, self.config.directory.as_deref().map(store::read_founders).unwrap_or_default())
+            }
+            _ => return None,
+        };
+        Some(PeerMessage::Bootstrap { number, founders, wants_reply: false })
+    }
+}
+
+/// Why a member can't replace a voter.
+#[derive(Debug, thiserror::Error)]
+enum VoterNumberError {
+    #[error("its number is lost")]
+    NumberLost,
+    #[error("it votes already")]
+    IsVoter,
+    #[error("it has no tier.state, where a voter keeps its log")]
+    NoDirectory,
+    #[error(transparent)]
+    Store(#[from] StoreError),
 }
--- a/crates/consensus/src/document_parts.rs
+++ b/crates/consensus/src/document_parts.rs
@@ -1,8 +1,7 @@
-//! What lies in the common document: a part for each of its makers, with the number at which that part last changed.
+//! The encoding of the shared document's body: one part per proposer, with the number at which that part last changed.
 //!
-//! A part that this program does not know is kept as it is: a later one has written it.
+//! Parts of a kind that this program does not know are preserved, since a later program has written them.
 
-use crate::shared_document::DocumentPart;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,19 +9,20 @@
 /// The longest part, in bytes.
 pub const MAX_PART_BYTES: usize = 256 << 10;
 
-/// Who makes a part.
+/// The kinds of parts, each with a proposer of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PartKind {
-    /// Zones and regions in common.
+    /// Failover between zones and regions.
     Failover,
-    /// Changes in stages.
+    /// Staged rollouts.
     Rollout,
 }
 
 impl PartKind {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [Self; 2] = [Self::Failover, Self::Rollout];
 
+    /// Returns the key of the part within the body.
     pub(crate) fn key(self) -> u8 {
         match self {
             Self::Failover => 1,
@@ -30,8 +30,10 @@
         }
     }
 
-    /// What a message between makers begins with: an earlier program takes every message for one on versions, and must not
-    /// understand it.
+    /// Returns the first byte of messages between proposers. An earlier program takes every message for a [`PeerMessage`], and
+    /// must fail to decode these.
+    ///
+    /// [`PeerMessage`]: crate::messages::PeerMessage
     pub(crate) fn message_prefix(self) -> u8 {
         match self {
             Self::Failover => 0x7f,
@@ -40,72 +42,50 @@
     }
 }
 
-/// The parts, as they lie in the body.
+/// A committed part.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct DocumentPart {
+    /// The number of the document at which the part last changed; it rises with each change, from 1 on.
+    pub number: u64,
+    /// The bytes of the part.
+    pub body: Arc<[u8]>,
+}
+
+/// All parts, as they are encoded in the body.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct DocumentParts {
     parts: BTreeMap<u8, (u64, Vec<u8>)>,
 }
 
 impl DocumentParts {
-    /// `None`: no shelf that this program can read.
+    /// Decodes a body. Returns `None` if this program can't read it.
     pub(crate) fn decode(body: &[u8]) -> Option<Self> {
         if body.is_empty() { Some(Self::default()) } else { postcard::from_bytes(body).ok() }
     }
 
+    /// Encodes the body.
     pub(crate) fn encode(&self) -> Vec<u8> {
-        // Numbers and bytes can always be written.
+        // Encoding numbers and bytes into memory can't fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// The number at which a part last changed; 0 is never.
-    pub(crate) fn number(&self, topic: PartKind) -> u64 {
-        self.parts.get(&topic.key()).map_or(0, |(number, _)| *number)
+    /// Returns the number at which a part last changed; 0 if it never did.
+    pub(crate) fn number(&self, kind: PartKind) -> u64 {
+        self.parts.get(&kind.key()).map_or(0, |(number, _)| *number)
     }
 
-    pub(crate) fn part(&self, topic: PartKind) -> Option<DocumentPart> {
-        let (number, body) = self.parts.get(&topic.key())?;
+    /// Returns a part, if there is one of this kind.
+    pub(crate) fn part(&self, kind: PartKind) -> Option<DocumentPart> {
+        let (number, body) = self.parts.get(&kind.key())?;
         Some(DocumentPart { number: *number, body: Arc::from(&body[..]) })
     }
 
-    /// With another body for a part, at this number.
-    pub(crate) fn with(mut self, topic: PartKind, number: u64, body: Vec<u8>) -> Self {
-        self.parts.insert(topic.key(), (number, body));
+    /// Replaces a part at this number.
+    pub(crate) fn with(mut self, kind: PartKind, number: u64, body: Vec<u8>) -> Self {
+        self.parts.insert(kind.key(), (number, body));
         self
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        /// A part changes by its own puts alone, whatever else lies there, and what is written is read.
-        #[test]
-        fn parts_do_not_touch_one_another(puts in prop::collection::vec((any::<bool>(), prop::collection::vec(any::<u8>(), 0..9)), 0..20)) {
-            let mut shelf = DocumentParts::default();
-            let mut last: BTreeMap<PartKind, (u64, Vec<u8>)> = BTreeMap::new();
-            // A part of a later program.
-            shelf.parts.insert(9, (1, vec![7]));
-            for (n, (places, body)) in puts.into_iter().enumerate() {
-                let topic = if places { PartKind::Failover } else { PartKind::Rollout };
-                let number = n as u64 + 2;
-                shelf = shelf.with(topic, number, body.clone());
-                last.insert(topic, (number, body));
-                shelf = DocumentParts::decode(&shelf.encode()).unwrap();
-                for topic in PartKind::ALL {
-                    let (number, body) = last.get(&topic).cloned().unwrap_or_default();
-                    prop_assert_eq!(shelf.number(topic), number);
-                    prop_assert_eq!(shelf.part(topic).map_or(vec![], |part| part.body.to_vec()), body);
-                }
-                prop_assert_eq!(&shelf.parts[&9], &(1, vec![7]));
-            }
-        }
-
-        /// No panic on any bytes.
-        #[test]
-        fn garbage_is_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-            let _ = DocumentParts::decode(&bytes).map(|shelf| shelf.part(PartKind::Failover));
-        }
-    }
-}
+mod tests;
--- a/crates/consensus/src/join.rs
+++ b/crates/consensus/src/join.rs
@@ -1,49 +1,70 @@
-//! From what a file says to a part in a tier, and in what it agrees on.
+//! Joins the cluster and the consensus as an operator's file says.
 
-use crate::service::{ConsensusConfig, ConsensusService};
+use crate::config::ConsensusConfig;
+use crate::error::{JoinError, StartError};
+use crate::service::ConsensusService;
 use maplehook_cluster::Program;
-use maplehook_config::{Agreement, Tier};
+use maplehook_config::{Agreement, CutOff, Tier};
 use maplehook_transport::{Member, Part, Secret};
-use maplehook_versions::lease_manager::{LeaseExpiryPolicy, LeaseTimes};
+use maplehook_versions::{LeaseExpiryPolicy, LeaseTimes};
 
-/// Begins to agree with the others, over what a member has to say; `file` is the balancer's own.
-pub fn agree(
+/// The directory of the log within that of the cluster.
+const LOG_DIRECTORY: &str = "agreement";
+
+/// Starts the consensus service over the message channels of a cluster member, which are taken. `file` is the text of the member's
+/// own file.
+///
+/// # Errors
+///
+/// If the channels have been taken before, the configured time is out of range, or the service does not start.
+pub fn start_consensus(
     tier: &Tier,
     agreement: &Agreement,
     file: String,
     member: &mut Member,
-) -> Result<ConsensusService, String> {
-    let talk = member.talk.take().ok_or("the tier's thread talks to somebody else")?;
-    let times = LeaseTimes::new(agreement.contradiction).ok_or("agreement.contradiction_ms can't be kept")?;
-    let members = tier.peers.keys().chain([&tier.name]).cloned().collect();
-    let setup = ConsensusConfig {
+) -> Result<ConsensusService, StartError> {
+    let talk = member.talk.take().ok_or(StartError::MessagesTaken)?;
+    let lease_times = LeaseTimes::new(agreement.contradiction).ok_or(StartError::UnsupportedContradiction)?;
+    let config = ConsensusConfig {
         local_name: tier.name.clone(),
         voters: agreement.voters.clone(),
-        members,
-        lease_times: times,
-        expiry_policy: match agreement.when_cut_off {
-            maplehook_config::CutOff::Careful => LeaseExpiryPolicy::Conservative,
-            maplehook_config::CutOff::Refuse => LeaseExpiryPolicy::Reject,
-            maplehook_config::CutOff::WaitForAll => LeaseExpiryPolicy::WaitForAll,
-        },
-        directory: tier.state.as_ref().map(|state| state.join("agreement")),
+        members: tier.peers.keys().chain([&tier.name]).cloned().collect(),
+        lease_times,
+        expiry_policy: expiry_policy(agreement.when_cut_off),
+        directory: tier.state.as_ref().map(|state| state.join(LOG_DIRECTORY)),
         file,
     };
-    ConsensusService::start_when(setup, talk, member.here.clone())
+    ConsensusService::start_when(config, talk, member.here.clone())
+}
+
+fn expiry_policy(when_cut_off: CutOff) -> LeaseExpiryPolicy {
+    match when_cut_off {
+        CutOff::Careful => LeaseExpiryPolicy::Conservative,
+        CutOff::Refuse => LeaseExpiryPolicy::Reject,
+        CutOff::WaitForAll => LeaseExpiryPolicy::WaitForAll,
+    }
 }
 
-/// Begins to take part in a tier, as a file says; `program` is the version of the program.
-pub fn join(tier: &Tier, program: &str) -> Result<Member, String> {
-    join_as(tier, program, false)
+/// Joins the cluster of a file; `program` is the version of the program.
+///
+/// # Errors
+///
+/// If the secret can't be read or the address can't be listened on.
+pub fn join_cluster(tier: &Tier, program: &str) -> Result<Member, JoinError> {
+    join(tier, program, false)
 }
 
-/// The same, once another process of this balancer has let go of the tier's port.
-pub fn join_when_free(tier: &Tier, program: &str) -> Result<Member, String> {
-    join_as(tier, program, true)
+/// Joins the cluster of a file once another process of this balancer has released the address.
+///
+/// # Errors
+///
+/// If the secret can't be read or the address is invalid.
+pub fn join_cluster_when_free(tier: &Tier, program: &str) -> Result<Member, JoinError> {
+    join(tier, program, true)
 }
 
-fn join_as(tier: &Tier, program: &str, waits: bool) -> Result<Member, String> {
-    let secret = Secret::read(&tier.secret_file).map_err(|e| format!("tier.secret_file: {e}"))?;
+fn join(tier: &Tier, program: &str, waits: bool) -> Result<Member, JoinError> {
+    let secret = Secret::read(&tier.secret_file).map_err(|error| JoinError::Secret(error.to_string()))?;
     let part = Part {
         name: tier.name.clone(),
         listen: tier.listen,
@@ -53,5 +74,5 @@
         program: Program::parse(program),
         waits,
     };
-    Member::start(part).map_err(|e| format!("tier.listen: {}: {e}", tier.listen))
+    Member::start(part).map_err(|source| JoinError::Listen { address: tier.listen, source })
 }
--- a/crates/consensus/src/local_status.rs
+++ b/crates/consensus/src/local_status.rs
@@ -1,71 +1,72 @@
-//! How it stands at this balancer, for whoever asks.
+//! The status of this member.
 
-use crate::active_version::LocalStatus;
+use crate::admin::LocalStatus;
 use crate::runner::{Runner, VoterRole};
 use maplehook_cluster::Name;
-use maplehook_versions::lease_manager::LeaseExpiryPolicy;
-use maplehook_versions::version_state::Phase;
+use maplehook_versions::{LeaseExpiryPolicy, Phase};
 
 impl Runner {
-    /// Whom it takes for the leader, by its own vote or by the word of others.
+    /// Returns the leader, by this member's own vote or by the word of others.
     pub(crate) fn known_leader(&self) -> Option<Name> {
-        let by_vote = match &self.part {
+        let by_vote = match &self.role {
             VoterRole::Voting { voter, .. } => voter.leader(),
             _ => None,
         };
-        by_vote.or_else(|| self.leader.clone())
+        by_vote.or_else(|| self.leader_hint.clone())
     }
 
-    /// At the leader: who can't act on the step that it was told.
-    fn unfit_elsewhere(&self) -> Option<String> {
-        match &self.part {
-            VoterRole::Voting { voter, .. } if voter.is_established_leader() => {
-                self.share.describe_rejections(voter.version_state().epoch)
-            }
-            _ => None,
+    /// Returns the status that an operator at this member receives.
+    pub(crate) fn local_status(&self) -> LocalStatus {
+        let update = self.lease_holder.current();
+        let phase = update.map_or(Phase::Initial, |update| update.phase);
+        let active_version = phase.active_version();
+        let active =
+            update.and_then(|update| update.versions.iter().find(|version| version.number == active_version));
+        let lease_end = self.lease_holder.lease_end();
+        let lease_remaining = lease_end.and_then(|end| end.checked_sub(self.now()));
+        LocalStatus {
+            active_version,
+            epoch: self.applied_epoch,
+            phase,
+            digest: active.map_or_else(|| self.file_digest.clone(), |version| version.digest.clone()),
+            lease_remaining,
+            lacks_lease: match self.config.expiry_policy {
+                LeaseExpiryPolicy::WaitForAll => active_version == 0,
+                _ => active_version == 0 || lease_remaining.is_none(),
+            },
+            leader: self.leader_for_status().map(|name| name.to_string()),
+            voter_problem: self.voter_problem(),
         }
     }
 
-    pub(crate) fn local_status(&self) -> LocalStatus {
-        let now = self.now();
-        let told = self.holder.current();
-        let step = told.map_or(Phase::Initial, |told| told.phase);
-        let in_force = match step {
-            Phase::Initial => 0,
-            Phase::Stable(number) | Phase::Transition { from: number, .. } => number,
-        };
-        let digest = told
-            .and_then(|told| told.versions.iter().find(|version| version.number == in_force))
-            .map_or_else(|| self.digest.clone(), |version| version.digest.clone());
-        let lease_left = self.holder.lease_end().and_then(|until| until.checked_sub(now));
-        let leads = matches!(&self.part, VoterRole::Voting { voter, .. } if voter.is_leader());
-        let leader = self.known_leader();
-        let voter = match &self.part {
-            VoterRole::Out(why) => Some(why.clone()),
-            VoterRole::Founding { heard, .. } => {
-                let missing = self.others().filter(|name| !heard.contains_key(name));
+    fn leader_for_status(&self) -> Option<Name> {
+        match &self.role {
+            VoterRole::Voting { voter, .. } if voter.is_leader() => Some(self.config.local_name.clone()),
+            _ => self.known_leader(),
+        }
+    }
+
+    /// Describes what prevents this member from voting, or it, or on the leader any member, from applying the present phase.
+    fn voter_problem(&self) -> Option<String> {
+        match &self.role {
+            VoterRole::Disabled(reason) => return Some(reason.clone()),
+            VoterRole::Bootstrapping { reported, .. } => {
+                let missing = self.other_voters().filter(|name| !reported.contains_key(name));
                 let names: Vec<String> = missing.map(|name| name.to_string()).collect();
-                Some(format!("the first start waits for all voters; missing: {}", names.join(", ")))
+                return Some(format!("the first start waits for all voters; missing: {}", names.join(", ")));
+            }
+            _ => {}
+        }
+        let phase_error = self.phase_error.as_ref().map(ToString::to_string);
+        phase_error.or_else(|| self.rejections_at_leader())
+    }
+
+    fn rejections_at_leader(&self) -> Option<String> {
+        match &self.role {
+            VoterRole::Voting { voter, .. } if voter.is_established_leader() => {
+                self.shared_document.describe_rejections(voter.version_state().epoch)
             }
             _ => None,
-        };
-        let careful = match self.setup.expiry_policy {
-            LeaseExpiryPolicy::WaitForAll => in_force == 0,
-            _ => in_force == 0 || lease_left.is_none(),
-        };
-        LocalStatus {
-            active_version: in_force,
-            epoch: self.applied,
-            phase: step,
-            digest,
-            lease_remaining: lease_left,
-            lacks_lease: careful,
-            leader: if leads {
-                Some(self.setup.local_name.to_string())
-            } else {
-                leader.map(|name| name.to_string())
-            },
-            voter_problem: voter.or_else(|| self.unfit.clone()).or_else(|| self.unfit_elsewhere()),
         }
     }
 }
--- a/crates/consensus/src/messages.rs
+++ b/crates/consensus/src/messages.rs
@@ -1,229 +1,243 @@
-//! What balancers say to one another of versions.
+//! Messages between members about versions and the shared document. They are encoded by `postcard`: the order of variants and fields is
+//! the wire format, and their number changes only by additions at the end.
 
-use maplehook_versions::lease_holder::PhaseUpdate;
-use maplehook_versions::version_state::{Phase, Version};
+use maplehook_versions::{Phase, PhaseUpdate, Version};
 use serde::{Deserialize, Serialize};
 
-/// The topics, on links.
+/// The topic of Raft's own messages.
 pub const RAFT_TOPIC: u8 = 2;
-/// Everything but Raft's own messages.
+/// The topic of [`PeerMessage`]s.
 pub const VERSIONS_TOPIC: u8 = 3;
 
-/// A step with its texts, as it is told.
+/// A phase with the versions that it names, as it is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PhaseUpdateMessage {
-    /// Its epoch.
+    /// The epoch of the phase.
     pub epoch: u64,
-    /// The step.
+    /// The phase.
     pub phase: Phase,
     /// The versions that it names.
     pub versions: Vec<Version>,
 }
 
 impl PhaseUpdateMessage {
-    /// Without the texts of versions that the step before names too: whoever has been told that one has them.
-    pub fn without_known_texts(mut self, before: Phase) -> Self {
-        let known = before.compatible_versions();
+    /// Removes the texts of versions that another phase names too, for a member that has been told that phase.
+    pub fn without_texts_of_phase(mut self, known_phase: Phase) -> Self {
+        let known = known_phase.compatible_versions();
         for version in self.versions.iter_mut().filter(|version| known.contains(&Some(version.number))) {
             version.text.clear();
         }
         self
     }
+
+    /// Returns the number of bytes in all texts.
+    pub(crate) fn text_bytes(&self) -> usize {
+        self.versions.iter().map(|version| version.text.len()).sum()
+    }
 }
 
 impl From<PhaseUpdate> for PhaseUpdateMessage {
-    fn from(PhaseUpdate { epoch, phase: step, versions }: PhaseUpdate) -> Self {
-        Self { epoch, phase: step, versions }
+    fn from(PhaseUpdate { epoch, phase, versions }: PhaseUpdate) -> Self {
+        Self { epoch, phase, versions }
     }
 }
 
 impl From<PhaseUpdateMessage> for PhaseUpdate {
-    fn from(PhaseUpdateMessage { epoch, phase: step, versions }: PhaseUpdateMessage) -> Self {
-        Self { epoch, phase: step, versions }
+    fn from(PhaseUpdateMessage { epoch, phase, versions }: PhaseUpdateMessage) -> Self {
+        Self { epoch, phase, versions }
     }
 }
 
-/// What an operator wants.
+/// An operator's request. It is also read as JSON, whose names are the serialized ones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AdminRequest {
-    /// How it stands.
+    /// Returns the status of the cluster.
     Status,
-    /// A new version.
+    /// Proposes a new version.
     Propose {
-        /// Its shared text.
+        /// The shared text of the version.
         text: String,
-        /// The version that has to be in force.
+        /// The version that must be active; `None` if that does not matter.
         #[serde(rename = "expect")]
         expected: Option<u64>,
     },
-    /// The change that is under way is taken back; of none, the version before is proposed again.
+    /// Undoes the transition that is under way, or proposes the previous version again if there is none.
     Undo,
-    /// A member is not waited for.
+    /// Stops waiting for a member.
     Forget {
-        /// Whom.
+        /// The member's name.
         name: String,
     },
-    /// A version's text.
+    /// Returns one version with its text.
     Show {
-        /// Its number.
+        /// The version's number.
         number: u64,
     },
-    /// All versions that are kept.
+    /// Returns all retained versions.
     History,
-    /// A voter's place is given to another member; the same one, where it has lost its log.
+    /// Replaces a voter by another member, or by itself if it has lost its log.
     Replace {
-        /// Who votes.
+        /// The voter that is replaced.
         old: String,
-        /// Who is to.
+        /// The member that replaces it.
         new: String,
     },
 }
 
-/// A member, and the epoch that it acts on.
+/// The status of one member, as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// The epoch that it last said it acts on; none if it was not heard of.
+    /// The epoch that it last reported to act on; `None` if it has not reported to this leader.
     pub epoch: Option<u64>,
-    /// Whether the present step is still waited for at it, and for how long at the most.
+    /// The longest time in milliseconds for which the present phase waits for it; `None` if it does not wait, or without limit.
     pub max_wait_ms: Option<u64>,
-    /// Whether it is waited for.
+    /// Whether the present phase waits for it.
     pub is_pending: bool,
 }
 
-/// How it stands, by the leader.
+/// The status of the cluster, as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClusterStatus {
-    /// The epoch.
+    /// The epoch of the present phase.
     pub epoch: u64,
-    /// The step.
+    /// The present phase.
     pub phase: Phase,
-    /// The digest of what is in force.
+    /// The digest of the active version; empty if there is none.
     pub digest: String,
-    /// The members.
+    /// All members.
     pub members: Vec<MemberStatus>,
-    /// Members whose files differ, before the first version: names, by digest.
+    /// Before the first version: the names of members by the digests of their files.
     pub differing_files: Vec<(String, Vec<String>)>,
-    /// The voters.
+    /// The names of the voters.
     pub voters: Vec<String>,
 }
 
-/// The end of an operator's wish.
+/// The outcome of an operator's request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AdminReply {
-    /// How it stands.
+    /// The status of the cluster.
     Status(ClusterStatus),
-    /// It is done; the version that it concerns.
+    /// The request was committed; it concerns this version.
     Done(u64),
-    /// It is not done, and why; asking again is of no use.
+    /// The request was rejected for this reason; the same request would be rejected again.
     Rejected(String),
-    /// It is not done, or nobody knows; asking again is harmless.
+    /// The request failed, or its outcome is unknown; it may be repeated.
     Unavailable(String),
-    /// Versions, those of `History` without their texts.
+    /// Versions, without their texts if the request was [`AdminRequest::History`].
     Versions(Vec<Version>),
 }
 
-/// What is said.
+/// The answer of a member that is to become a voter.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum VoterNumber {
+    /// The number under which it will vote.
+    Assigned(u64),
+    /// The reason why it can't become a voter.
+    Refused(String),
+}
+
+/// A message between members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A member asks for a lease.
+    /// A member requests a lease.
     LeaseRequest {
-        /// The request's number.
-        number: u64,
-        /// The epoch that it acts on.
+        /// The number of the request.
+        request_id: u64,
+        /// The epoch that the member acts on.
         epoch: u64,
-        /// The epoch whose texts it has.
-        has: u64,
-        /// The digest of its own file's shared part.
+        /// The epoch whose texts the member has.
+        received_epoch: u64,
+        /// The digest of the shared part of the member's own file.
         digest: String,
     },
-    /// It is granted.
+    /// The leader grants a lease.
     LeaseGrant {
-        /// The request's number.
-        number: u64,
-        /// The epoch.
+        /// The number of the request.
+        request_id: u64,
+        /// The epoch of the present phase.
         epoch: u64,
-        /// The step, where the member has not got it.
+        /// The phase, if the member does not have it.
         update: Option<PhaseUpdateMessage>,
     },
-    /// Somebody else leads.
+    /// The receiver of a lease request is not the leader.
     NotLeader {
-        /// Whom this voter takes for the leader.
+        /// The leader, as far as the sender knows.
         leader: Option<String>,
     },
-    /// An operator's wish, passed on.
+    /// An operator's request, forwarded to the leader.
     ForwardedRequest {
-        /// By which its end is known.
+        /// Identifies the request in its reply.
         ticket: u64,
-        /// What.
+        /// The request.
         request: AdminRequest,
     },
-    /// Its end.
+    /// The reply to a forwarded request.
     ForwardedReply {
-        /// Which.
+        /// The ticket of the request.
         ticket: u64,
-        /// How.
+        /// The reply.
         reply: AdminReply,
     },
-    /// Can this be acted on?
+    /// The leader asks whether a member could apply a text.
     ValidationRequest {
-        /// By which the answer is known.
+        /// Identifies the request in its result.
         ticket: u64,
         /// The shared text.
         text: String,
     },
-    /// It can, or can't for this reason.
+    /// The member's answer.
     ValidationResult {
-        /// Which.
+        /// The ticket of the request.
         ticket: u64,
-        /// Why not.
+        /// Why the member can't apply the text; `None` if it can.
         error: Option<String>,
     },
-    /// A voter without a log says so, by a number of its own, and asks the others.
+    /// A voter reports whether it has a log, and may ask the others whether they have one.
     Bootstrap {
-        /// The number; none if it has a log.
+        /// The number of a voter without a log; `None` if it has one.
         number: Option<u64>,
-        /// Of one that has a log: with whom it was founded.
+        /// The names and numbers of the voters with which the sender's log began, if it has one.
         founders: Vec<(String, u64)>,
-        /// Whether an answer is wanted.
+        /// Whether the receiver is to report too.
         wants_reply: bool,
     },
-    /// A member is asked under which number it would vote.
+    /// The leader asks a member for the number under which it would vote.
     VoterNumberRequest {
-        /// By which the answer is known.
+        /// Identifies the request in its reply.
         ticket: u64,
     },
-    /// Under this one, or it can't for this reason.
+    /// The member's answer.
     VoterNumberReply {
-        /// Which.
+        /// The ticket of the request.
         ticket: u64,
         /// The number.
-        number: Result<u64, String>,
+        number: VoterNumber,
     },
-    /// Whoever hears this speaks as a voter, and is none any more.
+    /// The receiver sends messages as a voter, but has been replaced.
     VoterReplaced,
-    /// Somebody speaks as a voter whom the log of this one's author does not know as one: whoever leads is to say.
+    /// A member sends messages as a voter that the sender's log does not name. The leader is to verify that.
     SuspectedFormerVoter {
-        /// Who.
+        /// The member's name.
         name: String,
     },
-    /// Said before `Ask`, by whoever knows the common document.
+    /// What a member that knows the shared document sends before each [`LeaseRequest`](Self::LeaseRequest).
     DocumentReport {
-        /// The number of it that it acts on; `None`: it has no part in it.
+        /// The number of the document that the member acts on; `None` if it has no part in it.
         active_number: Option<u64>,
-        /// The number whose body it has.
-        has: u64,
-        /// Why it can't act on the step of the epoch that it has been told, if that is so.
+        /// The number whose body the member has.
+        received_number: u64,
+        /// The epoch of the phase that the member can't apply, with the reason.
         rejected_phase: Option<(u64, String)>,
     },
-    /// The common document: with a lease, or told when it changes.
+    /// The shared document, with a lease or because it has changed.
     Document {
-        /// The request for a lease that is granted, if one is.
-        request: Option<u64>,
-        /// The number in force; 0 is none.
+        /// The number of the lease request that is granted, if one is.
+        request_id: Option<u64>,
+        /// The number in force; 0 if there is no document.
         number: u64,
-        /// Its body, where the member has not got it.
+        /// The body, if the member does not have it.
         body: Option<Vec<u8>>,
     },
 }
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -1,36 +1,40 @@
-//! A voter's log in memory, what it has come to, and how that is kept.
+//! The state that a voter's log leads to, its encoding in snapshots, and the log in memory.
 
 use maplehook_cluster::Name;
 use maplehook_cluster::words::fnv;
-use maplehook_versions::shared_document::SharedDocument;
-use maplehook_versions::version_state::VersionState;
+use maplehook_versions::{SharedDocument, VersionState};
 use raft::eraftpb::{Entry, Snapshot};
 use raft::storage::MemStorage;
 use raft::{GetEntriesContext, RaftState, Storage};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A voter's number.
+/// The bytes that an entry takes in memory beside its data.
+const ENTRY_OVERHEAD_BYTES: usize = 64;
+
+/// Returns the Raft id of a voter with which the log began.
 pub fn voter_id(name: &Name) -> u64 {
-    // 0 is nobody to Raft.
+    // Raft reserves 0.
     fnv(name.as_str().as_bytes()).max(1)
 }
 
-/// The number of a voter that took a place later. Nobody had it before: whoever loses its log loses this number too, and can't
-/// vote as if it never had.
+/// Returns the Raft id of a voter that has replaced another one. No voter has had it before: a voter that loses its log loses this
+/// number too, and can't vote again as if it had not voted.
 pub fn replacement_voter_id(name: &Name, number: u64) -> u64 {
     let bytes = [name.as_str().as_bytes(), &[0], &number.to_be_bytes()].concat();
     fnv(&bytes).max(1)
 }
 
-/// What the log comes to: the versions, and who has taken a place since it began.
+/// The state that the log leads to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ReplicatedState {
+    /// The versions and the shared document.
     pub(crate) versions: VersionState,
+    /// The names of the voters that have replaced others, by their Raft ids.
     pub(crate) replacements: BTreeMap<u64, String>,
 }
 
-/// The log in memory, with what it came to.
+/// The log in memory, with the latest snapshot.
 pub(crate) struct MemoryLog {
     pub(crate) storage: MemStorage,
     pub(crate) snapshot: Snapshot,
@@ -45,10 +49,10 @@
         &self,
         low: u64,
         high: u64,
-        most: impl Into<Option<u64>>,
+        max_size: impl Into<Option<u64>>,
         context: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
-        self.storage.entries(low, high, most, context)
+        self.storage.entries(low, high, max_size, context)
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
@@ -63,15 +67,15 @@
         self.storage.last_index()
     }
 
-    fn snapshot(&self, request: u64, _to: u64) -> raft::Result<Snapshot> {
-        if self.snapshot.get_metadata().index < request {
+    fn snapshot(&self, request_index: u64, _to: u64) -> raft::Result<Snapshot> {
+        if self.snapshot.get_metadata().index < request_index {
             return Err(raft::Error::Store(raft::StorageError::SnapshotTemporarilyUnavailable));
         }
         Ok(self.snapshot.clone())
     }
 }
 
-/// With what a log begins: the voters, and nothing agreed.
+/// Returns the snapshot with which a new log begins: the voters, and no versions.
 pub fn initial_snapshot(voters: &[Name]) -> Snapshot {
     let mut snapshot = Snapshot::default();
     let metadata = snapshot.mut_metadata();
@@ -82,99 +86,38 @@
     snapshot
 }
 
-/// As it is kept. The common document comes last: a program that knows none reads what is before it and passes over the rest.
-pub(crate) fn encode_state(agreed: &ReplicatedState) -> Result<Vec<u8>, postcard::Error> {
-    let SharedDocument { number, has_gap: gap, body } = &agreed.versions.shared_document;
-    postcard::to_stdvec(&(agreed, number, gap, &body[..]))
+/// Encodes the state for a snapshot. The shared document comes last: a program that does not know it reads what comes before and
+/// ignores the rest.
+pub(crate) fn encode_state(state: &ReplicatedState) -> Result<Vec<u8>, postcard::Error> {
+    let SharedDocument { number, has_gap, body } = &state.versions.shared_document;
+    postcard::to_stdvec(&(state, number, has_gap, &body[..]))
 }
 
-/// What a voter has written it can read.
+/// Decodes the state of a snapshot, also one of an earlier program.
 pub(crate) fn decode_state(data: &[u8]) -> ReplicatedState {
     if data.is_empty() {
         return ReplicatedState::default();
     }
-    if let Ok((mut agreed, number, gap, body)) =
-        postcard::from_bytes::<(ReplicatedState, u64, bool, Vec<u8>)>(data)
-    {
-        agreed.versions.shared_document = SharedDocument { number, has_gap: gap, body: body.into() };
-        return agreed;
+    type WithDocument = (ReplicatedState, u64, bool, Vec<u8>);
+    if let Ok((mut state, number, has_gap, body)) = postcard::from_bytes::<WithDocument>(data) {
+        state.versions.shared_document = SharedDocument { number, has_gap, body: body.into() };
+        return state;
     }
-    // Of a program without a common document; before voters could be replaced there were the steps alone.
-    let mut agreed: ReplicatedState = postcard::from_bytes(data)
+    // A program without a shared document encoded the state alone, and one without replacements the versions alone.
+    let mut state: ReplicatedState = postcard::from_bytes(data)
         .or_else(|_| {
-            postcard::from_bytes(data)
-                .map(|steps| ReplicatedState { versions: steps, replacements: BTreeMap::new() })
+            let versions = postcard::from_bytes(data)?;
+            Ok::<_, postcard::Error>(ReplicatedState { versions, replacements: BTreeMap::new() })
         })
         .unwrap_or_default();
-    agreed.versions.shared_document.has_gap = true;
-    agreed
+    state.versions.shared_document.has_gap = true;
+    state
 }
 
+/// Returns the bytes that entries take in memory.
 pub(crate) fn entries_bytes(entries: &[Entry]) -> usize {
-    entries.iter().map(|entry| entry.data.len() + 64).sum()
+    entries.iter().map(|entry| entry.data.len() + ENTRY_OVERHEAD_BYTES).sum()
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use maplehook_versions::version_state::Command;
-
-    /// What the program of before knew of it.
-    #[derive(Serialize, Deserialize)]
-    struct Before {
-        steps: VersionState,
-        seats: BTreeMap<u64, String>,
-    }
-
-    fn agreed() -> ReplicatedState {
-        let mut agreed = ReplicatedState::default();
-        let text = "one".to_owned();
-        let propose = Command::Propose {
-            epoch: 0,
-            expected: None,
-            text,
-            proposed_by: "b1".into(),
-            proposed_at_unix_ms: 0,
-        };
-        agreed.versions.apply(&propose).unwrap();
-        agreed.replacements.insert(7, "b4".into());
-        agreed
-    }
-
-    #[test]
-    fn a_log_of_the_program_before_is_read_and_may_lack_some() {
-        let ReplicatedState { versions: steps, replacements: seats } = agreed();
-        let old = postcard::to_stdvec(&Before { steps: steps.clone(), seats: seats.clone() }).unwrap();
-        let read = decode_state(&old);
-        assert!(read.versions.shared_document.has_gap && read.versions.shared_document.number == 0);
-        assert_eq!((&read.versions.versions, &read.replacements), (&steps.versions, &seats));
-        // Before voters could be replaced.
-        let older = decode_state(&postcard::to_stdvec(&steps).unwrap());
-        assert!(older.versions.versions == steps.versions && older.versions.shared_document.has_gap);
-    }
-
-    #[test]
-    fn the_program_before_reads_this_ones_log() {
-        let mut agreed = agreed();
-        agreed.versions.apply(&Command::ReplaceDocument { expected: 0, body: b"plan".to_vec() }).unwrap();
-        let data = encode_state(&agreed).unwrap();
-        let before: Before = postcard::from_bytes(&data).unwrap();
-        assert_eq!(
-            (before.steps.versions, before.seats),
-            (agreed.versions.versions.clone(), agreed.replacements.clone())
-        );
-        assert_eq!(decode_state(&data), agreed);
-    }
-
-    /// A new program's log that holds no common document yet.
-    #[test]
-    fn an_empty_log_lacks_nothing() {
-        assert_eq!(decode_state(&[]), ReplicatedState::default());
-        assert!(
-            !decode_state(&encode_state(&ReplicatedState::default()).unwrap())
-                .versions
-                .shared_document
-                .has_gap
-        );
-    }
-}
+mod tests;
--- a/crates/consensus/src/runner.rs
+++ b/crates/consensus/src/runner.rs
@@ -1,381 +1,254 @@
-//! The thread on which a balancer agrees with others on what they share.
+//! The state of the consensus thread, with the parts of it that other modules share.
 //!
-//! It has a lease renewed, hears of steps, and tells the thread that serves by what to act ([`Acting`]); that one says what it has
-//! come to act on, and only then do the others hear of it. A voter's part runs here too: its disk may be slow, and no request
-//! waits for it.
+//! The thread renews the member's lease, learns of new phases, and publishes the [`ActiveVersion`] for the thread that serves
+//! requests. That thread reports the epoch that it has come to act on, and only then do the other members learn of it. A voter runs
+//! on the same thread: its disk may be slow, and no request waits for it.
 
-use crate::active_version::{ActiveVersion, LocalStatus};
+use crate::active_version::ActiveVersion;
+use crate::admin::LocalStatus;
+use crate::config::ConsensusConfig;
 use crate::document_parts::PartKind;
-use crate::messages::{AdminReply, PeerMessage, RAFT_TOPIC, VERSIONS_TOPIC};
-use crate::service::{AdminCall, ConsensusConfig};
-use crate::shared_document::{PartReceivers, PartSenders, SharedDocumentState};
+use crate::document_state::SharedDocumentState;
+use crate::error::{ProposalError, RulesError};
+use crate::messages::{AdminReply, PeerMessage, VERSIONS_TOPIC};
+use crate::part_channels::PartSenders;
+use crate::rules::RulesCache;
+use crate::send_budget::SendBudget;
 use crate::store::Store;
-use crate::validation::ProposalValidation;
-use crate::voter::{ProposalOutcome, Voter};
+use crate::voter::Voter;
 use maplehook_cluster::Name;
 use maplehook_config::Proxy;
 use maplehook_transport::frames::Message;
-use maplehook_versions::lease_holder::LeaseHolder;
-use maplehook_versions::lease_manager::LeaseManager;
-use maplehook_versions::version_state::digest;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use maplehook_versions::{LeaseHolder, LeaseManager, digest};
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot, watch};
-use tokio::time::{MissedTickBehavior, interval};
 
-/// Raft's tick.
-pub(crate) const TICK: Duration = Duration::from_millis(50);
-/// How often a voter without a log asks the others whether they have one.
-pub(crate) const FOUNDING: Duration = Duration::from_millis(300);
-/// How long a wish that was passed on, or a check, may take.
-pub(crate) const WISH: Duration = Duration::from_millis(1500);
-pub(crate) const CHECK: Duration = Duration::from_millis(800);
-/// Bytes of texts that a leader tells within a tick.
-pub(crate) const TEXTS_AT_ONCE: usize = 4 << 20;
-/// Wishes that may be under way.
-pub(crate) const WISHES_MOST: usize = 64;
+/// How long a member may take to validate a proposal, or to reply to a request for its voter number.
+pub(crate) const VALIDATION_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The rules of a file with this shared part.
-pub(crate) fn read(file: &str, shared: &str) -> Result<Arc<Proxy>, String> {
-    let whole = maplehook_config::with_shared(file, shared).map_err(|e| e.to_string())?;
-    let operator = maplehook_config::parse(&whole).map_err(|e| e.to_string())?;
-    operator.proxy.map(Arc::new).ok_or_else(|| "it names no class and no upstream".into())
-}
-
-/// Who is to hear how a wish ended.
+/// Who receives the outcome of a request.
 pub(crate) enum Requester {
-    Here(oneshot::Sender<(LocalStatus, AdminReply)>),
-    There(Name, u64),
-    /// Whoever makes the common document.
-    Put(oneshot::Sender<Result<u64, String>>),
-    Nobody,
+    /// An operator at this member.
+    Local(oneshot::Sender<(LocalStatus, AdminReply)>),
+    /// An operator at another member, with the ticket of the forwarded request.
+    Remote(Name, u64),
+    /// The proposer of a part of the shared document.
+    PartProposer(oneshot::Sender<Result<u64, ProposalError>>),
+    /// The leader itself; nobody is notified.
+    Internal,
 }
 
-/// A voter's part.
+/// The part that this member takes in the consensus.
 pub(crate) enum VoterRole {
-    /// It does not vote.
-    None,
-    /// It has no log yet, and hears whether the others have.
-    Founding {
+    /// The member does not vote.
+    NonVoter,
+    /// The voter has no log yet, and asks the other voters whether they have one.
+    Bootstrapping {
+        /// The number by which this voter is known until there is a log.
         number: u64,
-        heard: BTreeMap<Name, u64>,
-        asked: Option<Instant>,
+        /// The numbers of the other voters without a log.
+        reported: BTreeMap<Name, u64>,
+        /// The time of the latest request to the other voters.
+        asked_at: Option<Instant>,
     },
+    /// The member votes.
     Voting {
         voter: Box<Voter>,
         store: Store,
-        grants: Option<LeaseManager>,
+        /// On the leader: the leases that it has granted.
+        lease_manager: Option<LeaseManager>,
     },
-    /// It must not vote.
-    Out(String),
+    /// The member must not vote, for this reason.
+    Disabled(String),
 }
 
-/// A member that is asked to take a voter's place.
+/// A voter that is to be replaced by a member whose voter number is not known yet.
 pub(crate) struct VoterReplacement {
     pub(crate) old: Name,
     pub(crate) new: Name,
-    pub(crate) wisher: Requester,
-    pub(crate) until: Instant,
+    pub(crate) requester: Requester,
+    pub(crate) deadline: Instant,
+}
+
+/// A proposed version that the members validate.
+pub(crate) struct ProposalValidation {
+    pub(crate) text: String,
+    pub(crate) digest: String,
+    pub(crate) expected: Option<u64>,
+    pub(crate) requester: Requester,
+    /// The members that were asked.
+    pub(crate) asked: BTreeSet<Name>,
+    /// The members among them that have not answered.
+    pub(crate) unanswered: BTreeSet<Name>,
+    /// Before this time members without a lease may still be parsing the text.
+    pub(crate) earliest_end: Instant,
+    pub(crate) deadline: Instant,
 }
 
-/// What waits for the others' word that this voter leads.
+/// A member's request for a lease.
+pub(crate) struct LeaseRequest {
+    pub(crate) from: Name,
+    pub(crate) request_id: u64,
+    /// The epoch that the member acts on.
+    pub(crate) epoch: u64,
+    /// The epoch whose texts the member has.
+    pub(crate) received_epoch: u64,
+}
+
+/// What is answered once a majority has confirmed that this voter is still the leader.
 pub(crate) enum PendingRead {
-    Lease {
-        from: Name,
-        number: u64,
-        epoch: u64,
-        has: u64,
-    },
+    /// A request for a lease.
+    Lease(LeaseRequest),
+    /// A request for the status of the cluster.
     Status(Requester),
-    /// Whether this one votes, who speaks as if it did.
-    Voter(Name),
+    /// Whether this member, which sends messages as a voter, still is one.
+    FormerVoter(Name),
 }
 
+/// The state of the consensus thread.
 pub(crate) struct Runner {
-    pub(crate) setup: ConsensusConfig,
-    /// The own file's shared part.
-    pub(crate) shared: String,
-    pub(crate) digest: String,
-    pub(crate) own: Arc<Proxy>,
-    pub(crate) say: mpsc::Sender<(Name, Message)>,
-    pub(crate) acting: watch::Sender<ActiveVersion>,
-    pub(crate) epoch: Instant,
-    pub(crate) holder: LeaseHolder,
-    pub(crate) applied: u64,
-    /// What the last texts come to here, by their digests: a long one is not read again at each step.
-    pub(crate) read: VecDeque<(String, Arc<Proxy>)>,
-    /// A step whose texts can't be acted on here is not acted on.
-    pub(crate) unfit: Option<String>,
-    pub(crate) leader: Option<Name>,
+    pub(crate) config: ConsensusConfig,
+    /// The part of the member's own file that versions replace.
+    pub(crate) shared_text: String,
+    pub(crate) file_digest: String,
+    /// The rules of the member's own file.
+    pub(crate) file_rules: Arc<Proxy>,
+    pub(crate) outgoing: mpsc::Sender<(Name, Message)>,
+    pub(crate) active_version: watch::Sender<ActiveVersion>,
+    pub(crate) started_at: Instant,
+    pub(crate) lease_holder: LeaseHolder,
+    /// The epoch that the thread that serves requests acts on.
+    pub(crate) applied_epoch: u64,
+    pub(crate) rules_cache: RulesCache,
+    /// Why this member can't apply the phase that it was told. It keeps acting on the previous one.
+    pub(crate) phase_error: Option<RulesError>,
+    /// The leader by the word of other members.
+    pub(crate) leader_hint: Option<Name>,
+    /// Counts the members that were asked for a lease while no leader was known.
     pub(crate) next_voter: usize,
-    pub(crate) part: VoterRole,
-    pub(crate) readings: BTreeMap<u64, PendingRead>,
-    pub(crate) proposals: BTreeMap<u64, Requester>,
-    pub(crate) passed_on: BTreeMap<u64, (Requester, Instant)>,
-    pub(crate) checks: BTreeMap<u64, ProposalValidation>,
-    pub(crate) seats: BTreeMap<u64, VoterReplacement>,
-    /// Bytes of texts that were told since, and since when: what a leader holds for many that are slow stays bounded.
-    pub(crate) texts_told: (usize, Instant),
-    pub(crate) advancing: Option<u64>,
-    pub(crate) digests: BTreeMap<Name, (String, Instant)>,
-    /// Its part in the common document.
-    pub(crate) share: SharedDocumentState,
-    /// Whose part of it the put is of that is under way, or was the last.
-    pub(crate) putting: Option<PartKind>,
+    pub(crate) role: VoterRole,
+    pub(crate) pending_reads: BTreeMap<u64, PendingRead>,
+    pub(crate) pending_proposals: BTreeMap<u64, Requester>,
+    /// Requests that were forwarded to the leader, with their deadlines.
+    pub(crate) forwarded_requests: BTreeMap<u64, (Requester, Instant)>,
+    pub(crate) validations: BTreeMap<u64, ProposalValidation>,
+    pub(crate) replacements: BTreeMap<u64, VoterReplacement>,
+    pub(crate) send_budget: SendBudget,
+    /// The ticket of the leader's own proposal, if it waits for one.
+    pub(crate) phase_proposal: Option<u64>,
+    /// The digests of the members' files, with the times at which they were reported.
+    pub(crate) file_digests: BTreeMap<Name, (String, Instant)>,
+    pub(crate) shared_document: SharedDocumentState,
+    /// The part whose proposal is under way, or was the last.
+    pub(crate) proposing_part: Option<PartKind>,
 }
 
-/// All that comes to the thread.
-pub(crate) struct Inputs {
-    pub(crate) heard: mpsc::Receiver<(Name, Message)>,
-    pub(crate) applies: watch::Receiver<u64>,
-    pub(crate) acts: watch::Receiver<u64>,
-    pub(crate) asked: mpsc::Receiver<AdminCall>,
-    pub(crate) places: PartReceivers,
-    pub(crate) rollout: PartReceivers,
-    pub(crate) stopped: oneshot::Receiver<()>,
-}
-
-/// Takes out those of which something holds.
-fn take_where<T>(of: &mut BTreeMap<u64, T>, mut holds: impl FnMut(&T) -> bool) -> Vec<T> {
-    let tickets: Vec<u64> = of.iter().filter(|(_, one)| holds(one)).map(|(ticket, _)| *ticket).collect();
-    tickets.into_iter().filter_map(|ticket| of.remove(&ticket)).collect()
+/// Removes and returns the values for which a condition holds.
+pub(crate) fn take_where<T>(pending: &mut BTreeMap<u64, T>, mut condition: impl FnMut(&T) -> bool) -> Vec<T> {
+    let tickets: Vec<u64> =
+        pending.iter().filter(|(_, value)| condition(value)).map(|(ticket, _)| *ticket).collect();
+    tickets.into_iter().filter_map(|ticket| pending.remove(&ticket)).collect()
 }
 
 impl Runner {
+    /// Creates the state of a member that does not vote yet.
     pub(crate) fn new(
-        setup: ConsensusConfig,
-        shared: String,
-        own: Arc<Proxy>,
-        say: mpsc::Sender<(Name, Message)>,
-        acting: watch::Sender<ActiveVersion>,
-        tells: BTreeMap<PartKind, PartSenders>,
+        config: ConsensusConfig,
+        shared_text: String,
+        file_rules: Arc<Proxy>,
+        outgoing: mpsc::Sender<(Name, Message)>,
+        active_version: watch::Sender<ActiveVersion>,
+        part_senders: BTreeMap<PartKind, PartSenders>,
     ) -> Self {
-        let share = SharedDocumentState::new(setup.lease_times, tells);
-        let holder = LeaseHolder::new(setup.lease_times, setup.expiry_policy);
-        let digest = digest(&shared);
-        let mut runner = Self {
-            setup,
-            shared,
-            digest,
-            own,
-            say,
-            acting,
-            epoch: Instant::now(),
-            holder,
-            applied: 0,
-            read: VecDeque::new(),
-            unfit: None,
-            leader: None,
+        Self {
+            lease_holder: LeaseHolder::new(config.lease_times, config.expiry_policy),
+            shared_document: SharedDocumentState::new(config.lease_times, part_senders),
+            file_digest: digest(&shared_text),
+            config,
+            shared_text,
+            file_rules,
+            outgoing,
+            active_version,
+            started_at: Instant::now(),
+            applied_epoch: 0,
+            rules_cache: RulesCache::default(),
+            phase_error: None,
+            leader_hint: None,
             next_voter: 0,
-            part: VoterRole::None,
-            readings: BTreeMap::new(),
-            proposals: BTreeMap::new(),
-            passed_on: BTreeMap::new(),
-            checks: BTreeMap::new(),
-            seats: BTreeMap::new(),
-            texts_told: (0, Instant::now()),
-            advancing: None,
-            digests: BTreeMap::new(),
-            share,
-            putting: None,
-        };
-        let has_voted = runner.setup.directory.as_deref().is_some_and(crate::store::has_voted);
-        if has_voted || runner.setup.voters.contains(&runner.setup.local_name) {
-            runner.open();
+            role: VoterRole::NonVoter,
+            pending_reads: BTreeMap::new(),
+            pending_proposals: BTreeMap::new(),
+            forwarded_requests: BTreeMap::new(),
+            validations: BTreeMap::new(),
+            replacements: BTreeMap::new(),
+            send_budget: SendBudget::new(),
+            phase_proposal: None,
+            file_digests: BTreeMap::new(),
+            proposing_part: None,
         }
-        runner
     }
 
+    /// Returns the time since the thread started, which all leases are reckoned in.
     pub(crate) fn now(&self) -> Duration {
-        self.epoch.elapsed()
+        self.started_at.elapsed()
     }
 
-    pub(crate) async fn run(mut self, ears: Inputs) {
-        let Inputs { mut heard, mut applies, mut acts, mut asked, mut places, mut rollout, mut stopped } =
-            ears;
-        let mut tick = interval(TICK);
-        tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        loop {
-            tokio::select! {
-                _ = &mut stopped => return,
-                _ = tick.tick() => self.tick(),
-                said = heard.recv() => match said {
-                    Some((from, message)) => self.hear(&from, &message),
-                    // The tier's thread has ended.
-                    None => return,
-                },
-                changed = applies.changed() => {
-                    if changed.is_err() {
-                        return;
-                    }
-                    self.applied = *applies.borrow_and_update();
-                    // The others wait to hear of it.
-                    self.ask_for_a_lease();
-                }
-                changed = acts.changed() => {
-                    if changed.is_err() {
-                        return;
-                    }
-                    let number = *acts.borrow_and_update();
-                    self.share.active_number = self.share.active_number.map(|_| number);
-                    self.ask_for_a_lease();
-                }
-                Some((op, reply)) = asked.recv() => self.wish(op, Requester::Here(reply)),
-                put = places.proposals.recv(), if self.share.active_number.is_some() => match put {
-                    Some(put) => self.propose_part(PartKind::Failover, put),
-                    // Nobody makes it here: it has no part.
-                    None => self.share.active_number = None,
-                },
-                Some((to, message)) = places.outgoing.recv() => self.send_part_message(PartKind::Failover, to, &message.body),
-                Some(put) = rollout.proposals.recv() => self.propose_part(PartKind::Rollout, put),
-                Some((to, message)) = rollout.outgoing.recv() => self.send_part_message(PartKind::Rollout, to, &message.body),
-            }
-            self.settle();
-            self.propose_queued_part();
-            self.push_document();
-            self.stand();
+    /// Sends a message to a member. It is dropped if the queue is full: whatever still matters is sent again.
+    pub(crate) fn send(&self, to: &Name, message: &PeerMessage) {
+        if let Ok(body) = postcard::to_stdvec(message) {
+            let message = Message { topic: VERSIONS_TOPIC, body: body.into() };
+            let _ = self.outgoing.try_send((to.clone(), message));
         }
     }
 
-    pub(crate) fn tell(&self, to: &Name, say: &PeerMessage) {
-        if let Ok(body) = postcard::to_stdvec(say) {
-            // What does not fit is said again, or was not needed.
-            let _ = self.say.try_send((to.clone(), Message { topic: VERSIONS_TOPIC, body: body.into() }));
-        }
-    }
-
-    /// The same to several: its bytes are there once.
-    pub(crate) fn tell_all(&self, to: &BTreeSet<Name>, say: &PeerMessage) {
-        let Ok(body) = postcard::to_stdvec(say) else { return };
+    /// Sends the same message to several members, which share its bytes. It is dropped for those whose queue is full.
+    pub(crate) fn send_to_all(&self, recipients: &BTreeSet<Name>, message: &PeerMessage) {
+        let Ok(body) = postcard::to_stdvec(message) else { return };
         let body = bytes::Bytes::from(body);
-        for name in to {
-            // What does not fit is said again, or was not needed.
-            let _ = self.say.try_send((name.clone(), Message { topic: VERSIONS_TOPIC, body: body.clone() }));
+        for name in recipients {
+            let message = Message { topic: VERSIONS_TOPIC, body: body.clone() };
+            let _ = self.outgoing.try_send((name.clone(), message));
         }
     }
 
-    pub(crate) fn others(&self) -> impl Iterator<Item = Name> {
-        let own = self.setup.local_name.clone();
-        self.setup.voters.clone().into_iter().filter(move |name| *name != own)
+    /// Returns the voters of the file, but for this member.
+    pub(crate) fn other_voters(&self) -> impl Iterator<Item = Name> {
+        let local_name = self.config.local_name.clone();
+        self.config.voters.clone().into_iter().filter(move |name| *name != local_name)
     }
 
-    pub(crate) fn tick(&mut self) {
-        if let VoterRole::Voting { voter, .. } = &mut self.part {
-            voter.tick();
-        }
-        self.found();
-        if self.now() >= self.holder.renewal_due() {
-            self.ask_for_a_lease();
-        }
-        let now = Instant::now();
-        for (wisher, _) in take_where(&mut self.passed_on, |(_, until)| *until <= now) {
-            self.end(
-                wisher,
-                AdminReply::Unavailable("the leader does not answer; it may be done or not".into()),
-            );
-        }
-        self.look_at_all();
-        for VoterReplacement { new, wisher, .. } in
-            take_where(&mut self.seats, |seating| seating.until <= now)
-        {
-            self.end(wisher, AdminReply::Unavailable(format!("{new} does not answer")));
-        }
-        self.lead();
-        self.share.refresh_status();
+    /// Returns whether this member is a leader that knows everything that was committed.
+    pub(crate) fn is_established_leader(&self) -> bool {
+        matches!(&self.role, VoterRole::Voting { voter, .. } if voter.is_established_leader())
     }
 
-    pub(crate) fn end(&self, wisher: Requester, reply: AdminReply) {
-        match wisher {
-            // It may have given up.
-            Requester::Here(to) => drop(to.send((self.local_status(), reply))),
-            Requester::There(name, ticket) => {
-                self.tell(&name, &PeerMessage::ForwardedReply { ticket, reply })
+    /// Tells a requester the outcome of its request. It may have stopped waiting.
+    pub(crate) fn answer(&self, requester: Requester, reply: AdminReply) {
+        match requester {
+            Requester::Local(reply_to) => drop(reply_to.send((self.local_status(), reply))),
+            Requester::Remote(name, ticket) => {
+                self.send(&name, &PeerMessage::ForwardedReply { ticket, reply })
             }
-            Requester::Put(to) => drop(to.send(match reply {
+            Requester::PartProposer(outcome) => drop(outcome.send(match reply {
                 AdminReply::Done(number) => Ok(number),
-                AdminReply::Rejected(why) | AdminReply::Unavailable(why) => Err(why),
-                _ => Err("it has no such end".into()),
+                AdminReply::Rejected(reason) | AdminReply::Unavailable(reason) => {
+                    Err(ProposalError::Failed(reason))
+                }
+                _ => Err(ProposalError::Failed("it has no such end".into())),
             })),
-            Requester::Nobody => {}
+            Requester::Internal => {}
         }
     }
 
-    /// Does what follows from what has come.
-    pub(crate) fn settle(&mut self) {
-        let VoterRole::Voting { voter, store, grants } = &mut self.part else { return };
-        let settled = voter.process_ready(&mut |batch| store.write(batch));
-        let leads = voter.is_leader();
-        let settled = match settled {
-            Ok(settled) => settled,
-            Err(e) => {
-                tracing::error!(
-                    "this voter's log can't be written: {e}; it takes no part in votes until its next start"
-                );
-                self.part = VoterRole::Out(e.to_string());
-                self.advancing = None;
-                self.readings.clear();
-                self.check_no_more("this voter's disk fails");
-                for (_, wisher) in std::mem::take(&mut self.proposals) {
-                    self.end(
-                        wisher,
-                        AdminReply::Unavailable("this voter's disk fails; it may be done or not".into()),
-                    );
-                }
-                return;
-            }
-        };
-        if settled.role_changed {
-            let now = self.epoch.elapsed();
-            *grants = leads.then(|| {
-                LeaseManager::new(
-                    self.setup.lease_times,
-                    self.setup.expiry_policy,
-                    self.setup.members.clone(),
-                    now,
-                )
-            });
-            self.digests.clear();
-            self.advancing = None;
-            self.share.on_role_change(leads, now, &self.setup);
-            tracing::info!(leads, "leads the voters, or no more");
-            let readings = std::mem::take(&mut self.readings);
-            for reading in readings.into_values() {
-                if let PendingRead::Status(wisher) = reading {
-                    self.end(wisher, AdminReply::Unavailable("the leader has changed".into()));
-                }
-            }
-            self.check_no_more("the leader has changed");
-        }
-        if let VoterRole::Voting { voter, .. } = &self.part
-            && voter.is_replaced()
-        {
-            return self.unseated();
-        }
-        for (to, bytes) in settled.messages {
-            if let VoterRole::Voting { voter, .. } = &self.part
-                && let Some(name) = voter.name_of(to)
-            {
-                // What is lost Raft says again.
-                let _ = self.say.try_send((name, Message { topic: RAFT_TOPIC, body: bytes.into() }));
-            }
-        }
-        for ticket in settled.confirmed_reads {
-            self.confirmed(ticket);
-        }
-        for (ticket, ended) in settled.outcomes {
-            if self.advancing == Some(ticket) {
-                self.advancing = None;
-            }
-            let Some(wisher) = self.proposals.remove(&ticket) else { continue };
-            let reply = match ended {
-                ProposalOutcome::Applied(Ok(number)) => AdminReply::Done(number),
-                ProposalOutcome::Applied(Err(refused)) => AdminReply::Rejected(refused.to_string()),
-                ProposalOutcome::Unknown => {
-                    AdminReply::Unavailable("the leader has changed; it may be done or not".into())
-                }
-            };
-            self.end(wisher, reply);
-        }
+    /// Tells a requester that its request was rejected for good.
+    pub(crate) fn reject(&self, requester: Requester, reason: impl Into<String>) {
+        self.answer(requester, AdminReply::Rejected(reason.into()));
+    }
+
+    /// Tells a requester that its request failed for now, or that its outcome is unknown.
+    pub(crate) fn answer_unavailable(&self, requester: Requester, reason: impl Into<String>) {
+        self.answer(requester, AdminReply::Unavailable(reason.into()));
     }
 }
--- a/crates/consensus/src/service.rs
+++ b/crates/consensus/src/service.rs
@@ -1,141 +1,133 @@
-//! A balancer's part in what is agreed on, as whoever serves sees it: a thread that is started, asked, and ends.
+//! The consensus service of one member: a thread that is started, asked, and stopped by dropping the handle.
 
-use crate::active_version::{ActiveVersion, LocalStatus, initial};
+use crate::active_version::ActiveVersion;
+use crate::admin::{AdminCall, AdminClient};
+use crate::config::ConsensusConfig;
 use crate::document_parts::PartKind;
-use crate::messages::{AdminReply, AdminRequest};
-use crate::runner::{Inputs, Runner, read};
-use crate::shared_document::{PartChannels, SharedDocumentStatus, part_channels};
-use maplehook_cluster::Name;
+use crate::error::{RulesError, StartError};
+use crate::event_loop::Inputs;
+use crate::part_channels::{PartChannels, PartEndpoints, SharedDocumentStatus};
+use crate::rules::parse_rules;
+use crate::runner::Runner;
 use maplehook_transport::Talk;
-use maplehook_versions::lease_manager::{LeaseExpiryPolicy, LeaseTimes};
-use std::collections::BTreeSet;
-use std::path::PathBuf;
 use std::thread::JoinHandle;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Who agrees, and how.
-#[derive(Clone, Debug)]
-pub struct ConsensusConfig {
-    /// This balancer.
-    pub local_name: Name,
-    /// The voters.
-    pub voters: Vec<Name>,
-    /// All that there may be, this one among them.
-    pub members: BTreeSet<Name>,
-    /// The times.
-    pub lease_times: LeaseTimes,
-    /// What one does that has lost touch.
-    pub expiry_policy: LeaseExpiryPolicy,
-    /// Where a voter keeps its log.
-    pub directory: Option<PathBuf>,
-    /// This balancer's file.
-    pub file: String,
-}
-
-pub(crate) type AdminCall = (AdminRequest, oneshot::Sender<(LocalStatus, AdminReply)>);
+/// Operators' requests that may be queued.
+const ADMIN_QUEUE: usize = 32;
+const THREAD_NAME: &str = "agreement";
+const STACK_BYTES: usize = 1024 * 1024;
 
-/// A balancer's part, on a thread of its own; it ends when this is dropped.
+/// The handle of the consensus thread, which ends when this is dropped.
 pub struct ConsensusService {
-    /// By what to act.
+    /// The version that this member acts on.
     pub active_version: watch::Receiver<ActiveVersion>,
-    /// What the thread that serves acts on.
+    /// The epoch that the thread that serves requests acts on, to be set by it.
     pub applied_epoch: watch::Sender<u64>,
-    /// How it stands with the common document's part of places.
+    /// The status of the failover part of the shared document.
     pub failover_status: watch::Receiver<SharedDocumentStatus>,
-    /// The number of that part that the thread that serves acts on.
+    /// The number of that part that the thread that serves requests acts on, to be set by it.
     pub applied_document: watch::Sender<u64>,
-    /// The ways of whoever makes that part; taken once. Where they are dropped this balancer has no part in the common document:
-    /// it is told of none, and nobody waits for it.
+    /// The channels of the failover part's proposer, to be taken once. If they are dropped, this member has no part in the shared
+    /// document: it receives none, and no other member waits for it.
     pub failover: Option<PartChannels>,
-    /// How it stands with the common document's part of changes in stages.
+    /// The status of the rollout part of the shared document.
     pub rollout_status: watch::Receiver<SharedDocumentStatus>,
-    /// The ways of whoever makes that part; taken once.
+    /// The channels of the rollout part's proposer, to be taken once.
     pub rollout: Option<PartChannels>,
     admin_calls: mpsc::Sender<AdminCall>,
-    stop: Option<oneshot::Sender<()>>,
+    shutdown: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// Tells operators, and takes their wishes.
-#[derive(Clone)]
-pub struct AdminClient(mpsc::Sender<AdminCall>);
-
-impl AdminClient {
-    /// `None` where the thread does not answer.
-    pub async fn request(&self, op: AdminRequest) -> Option<(LocalStatus, AdminReply)> {
-        let (reply, ended) = oneshot::channel();
-        self.0.try_send((op, reply)).ok()?;
-        ended.await.ok()
-    }
-}
-
 impl ConsensusService {
-    /// Begins to agree. The file is known to be good.
-    pub fn start(setup: ConsensusConfig, talk: Talk) -> Result<Self, String> {
-        let (_, here) = watch::channel(true);
-        Self::start_when(setup, talk, here)
+    /// Starts the thread.
+    ///
+    /// # Errors
+    ///
+    /// If the member's file is invalid, or the thread can't be created.
+    pub fn start(config: ConsensusConfig, talk: Talk) -> Result<Self, StartError> {
+        let (_, ready) = watch::channel(true);
+        Self::start_when(config, talk, ready)
     }
 
-    /// The same, once this balancer is `here`.
+    /// Starts the thread, which takes part once `ready` is true: until then another process may hold the directory.
+    ///
+    /// # Errors
+    ///
+    /// If the member's file is invalid, or the thread can't be created.
     pub fn start_when(
-        setup: ConsensusConfig,
+        config: ConsensusConfig,
         talk: Talk,
-        mut here: watch::Receiver<bool>,
-    ) -> Result<Self, String> {
-        let (shared, _) = maplehook_config::shared(&setup.file).map_err(|e| e.to_string())?;
-        let own = read(&setup.file, &shared)?;
-        let (acting_to, acting) = watch::channel(initial(&own, setup.expiry_policy));
-        let (applied, applies) = watch::channel(0);
-        let (acts, acted) = watch::channel(0);
-        let (places, standing, inner) = part_channels();
-        let (rollout, rollout_standing, staged) = part_channels();
-        let (asks, asked) = mpsc::channel(32);
-        let (stop, mut stopped) = oneshot::channel();
-        let runtime =
-            tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
-        let thread = std::thread::Builder::new()
-            .name("agreement".into())
-            .stack_size(1024 * 1024)
-            .spawn(move || {
-                runtime.block_on(async {
-                    // Until then another process may hold the directory.
-                    tokio::select! {
-                        here = here.wait_for(|here| *here) => if here.is_err() { return },
-                        _ = &mut stopped => return,
-                    }
-                    let tells =
-                        [(PartKind::Failover, inner.senders), (PartKind::Rollout, staged.senders)].into();
-                    let runner = Runner::new(setup, shared, own, talk.say, acting_to, tells);
-                    let (places, rollout) = (inner.receivers, staged.receivers);
-                    let ears =
-                        Inputs { heard: talk.heard, applies, acts: acted, asked, places, rollout, stopped };
-                    runner.run(ears).await;
-                });
-            })
-            .map_err(|e| e.to_string())?;
+        ready: watch::Receiver<bool>,
+    ) -> Result<Self, StartError> {
+        let (shared_text, _) = maplehook_config::shared(&config.file).map_err(RulesError::File)?;
+        let file_rules = parse_rules(&config.file, &shared_text)?;
+        let initial = ActiveVersion::initial(&file_rules, config.expiry_policy);
+        let (active_sender, active_version) = watch::channel(initial);
+        let (applied_epoch, applied_epoch_receiver) = watch::channel(0);
+        let (applied_document, applied_document_receiver) = watch::channel(0);
+        let (failover, rollout) = (PartEndpoints::new(), PartEndpoints::new());
+        let (admin_calls, admin_receiver) = mpsc::channel(ADMIN_QUEUE);
+        let (shutdown, shutdown_receiver) = oneshot::channel();
+        let inputs = Inputs {
+            messages: talk.heard,
+            applied_epoch: applied_epoch_receiver,
+            applied_document: applied_document_receiver,
+            admin_calls: admin_receiver,
+            failover: failover.receivers,
+            rollout: rollout.receivers,
+            shutdown: shutdown_receiver,
+        };
+        let part_senders =
+            [(PartKind::Failover, failover.senders), (PartKind::Rollout, rollout.senders)].into();
+        let new_runner =
+            move || Runner::new(config, shared_text, file_rules, talk.say, active_sender, part_senders);
+        let thread = spawn(ready, inputs, new_runner)?;
         Ok(Self {
-            active_version: acting,
-            applied_epoch: applied,
-            failover_status: standing,
-            applied_document: acts,
-            failover: Some(places),
-            rollout_status: rollout_standing,
-            rollout: Some(rollout),
-            admin_calls: asks,
-            stop: Some(stop),
+            active_version,
+            applied_epoch,
+            failover_status: failover.status,
+            applied_document,
+            failover: Some(failover.proposer),
+            rollout_status: rollout.status,
+            rollout: Some(rollout.proposer),
+            admin_calls,
+            shutdown: Some(shutdown),
             thread: Some(thread),
         })
     }
 
-    /// By which operators ask.
+    /// Returns a handle for operators' requests.
     pub fn admin_client(&self) -> AdminClient {
         AdminClient(self.admin_calls.clone())
     }
 }
 
+fn spawn(
+    mut ready: watch::Receiver<bool>,
+    mut inputs: Inputs,
+    new_runner: impl FnOnce() -> Runner + Send + 'static,
+) -> Result<JoinHandle<()>, StartError> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let thread = std::thread::Builder::new().name(THREAD_NAME.into()).stack_size(STACK_BYTES);
+    let run = move || {
+        runtime.block_on(async {
+            tokio::select! {
+                ready = ready.wait_for(|ready| *ready) => if ready.is_err() { return },
+                _ = &mut inputs.shutdown => return,
+            }
+            let mut runner = new_runner();
+            runner.open_voter();
+            runner.run(inputs).await;
+        });
+    };
+    Ok(thread.spawn(run)?)
+}
+
 impl Drop for ConsensusService {
     fn drop(&mut self) {
-        drop(self.stop.take());
+        drop(self.shutdown.take());
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -1,76 +1,143 @@
-//! What a voter may not forget: its vote, its part of the log, and what the log came to. On disk, synced before anything is
-//! answered that rests on it.
+//! What a voter must not forget: its vote, its log, and the state that the log has led to. It is synced to disk before any message is
+//! sent that depends on it.
 //!
-//! `redb` commits a transaction whole or not at all. A second file, written first and once, says that this directory has had a
-//! log: where that is there and the log is not, it was lost, and a voter that has lost its log must not vote.
+//! `redb` commits a transaction as a whole or not at all. A second file, written once when the log is created, marks a directory that
+//! has had a log. If that file exists without a log, the log was lost, and a voter that has lost its log must not vote.
 
 use fail::fail_point;
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use redb::{Database, ReadableTable, TableDefinition};
-use std::fmt;
 use std::fs::{self, File};
-use std::io::Write;
+use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
-const STATE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("state");
-const HARD: &str = "hard";
-const SNAPSHOT: &str = "snapshot";
-/// The files.
-const NAME: &str = "log.redb";
-const HAD: &str = "has-voted";
-const FOUNDING: &str = "founding";
-const FOUNDERS: &str = "founders";
-const SEAT: &str = "seat";
+const LOG_TABLE: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
+const STATE_TABLE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("state");
+const HARD_STATE_KEY: &str = "hard";
+const SNAPSHOT_KEY: &str = "snapshot";
+
+const LOG_FILE: &str = "log.redb";
+/// Marks a directory that has had a log.
+const HAS_VOTED_FILE: &str = "has-voted";
+/// Holds the number of a voter that has no log yet.
+const BOOTSTRAP_FILE: &str = "founding";
+/// Holds the names and numbers of the voters with which the log began.
+const FOUNDERS_FILE: &str = "founders";
+/// Holds the number of a voter that has replaced another one.
+const REPLACEMENT_FILE: &str = "seat";
 
 /// Why a store can't be used.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// It was there and is not any more.
+    /// The directory has had a log, which is missing.
+    #[error("this voter's log is lost: it takes no part in votes any more")]
     Lost,
-    /// It can't be read or written.
-    Unusable(String),
+    /// A file or the directory can't be written.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// A file can't be read.
+    #[error("{}: {source}", path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// The cause.
+        source: io::Error,
+    },
+    /// A file that must hold a number does not.
+    #[error("{}: no number", path.display())]
+    InvalidNumber {
+        /// The file.
+        path: PathBuf,
+    },
+    /// The database can't be opened or read.
+    #[error("{}: {source}", path.display())]
+    Open {
+        /// The database file.
+        path: PathBuf,
+        /// The cause.
+        source: DatabaseError,
+    },
+    /// The database can't be written.
+    #[error(transparent)]
+    Database(#[from] DatabaseError),
+    /// Raft rejects what the store holds, or what it is told to store.
+    #[error(transparent)]
+    Raft(#[from] raft::Error),
+    /// The state can't be encoded.
+    #[error(transparent)]
+    Encode(#[from] postcard::Error),
+    /// A log entry can't be decoded.
+    #[error(transparent)]
+    Decode(#[from] protobuf::ProtobufError),
 }
 
-impl fmt::Display for StoreError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Lost => f.write_str("this voter's log is lost: it takes no part in votes any more"),
-            Self::Unusable(why) => f.write_str(why),
-        }
+/// A failure of the database. The cause is boxed, since it is large.
+#[derive(Debug, thiserror::Error)]
+#[error(transparent)]
+pub struct DatabaseError(Box<DatabaseErrorKind>);
+
+impl<E: Into<DatabaseErrorKind>> From<E> for DatabaseError {
+    fn from(error: E) -> Self {
+        Self(Box::new(error.into()))
     }
 }
 
-impl std::error::Error for StoreError {}
-
-fn unusable(e: impl fmt::Display) -> StoreError {
-    StoreError::Unusable(e.to_string())
+/// What failed in the database.
+#[derive(Debug, thiserror::Error)]
+pub enum DatabaseErrorKind {
+    /// The file can't be opened or created.
+    #[error(transparent)]
+    Open(#[from] redb::DatabaseError),
+    /// A transaction can't begin.
+    #[error(transparent)]
+    Transaction(#[from] redb::TransactionError),
+    /// A table can't be opened.
+    #[error(transparent)]
+    Table(#[from] redb::TableError),
+    /// A value can't be read or written.
+    #[error(transparent)]
+    Storage(#[from] redb::StorageError),
+    /// A transaction can't be committed.
+    #[error(transparent)]
+    Commit(#[from] redb::CommitError),
+    /// A value can't be encoded or decoded.
+    #[error(transparent)]
+    Encoding(#[from] protobuf::ProtobufError),
 }
 
 /// What is on disk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
-    /// Term, vote and commit.
+    /// The term, the vote and the commit index.
     pub hard_state: HardState,
-    /// What the log came to, up to an index.
+    /// The state that the log has led to, up to an index.
     pub snapshot: Snapshot,
-    /// The entries behind it.
+    /// The entries after that index.
     pub entries: Vec<Entry>,
 }
 
-/// What is to be written at once.
+impl PersistedState {
+    /// Returns the state of a log that begins with a snapshot.
+    pub fn initial(snapshot: &Snapshot) -> Self {
+        let metadata = snapshot.get_metadata();
+        let hard_state = HardState { term: metadata.term, commit: metadata.index, ..HardState::default() };
+        Self { hard_state, snapshot: snapshot.clone(), entries: Vec::new() }
+    }
+}
+
+/// What is written in one transaction.
 #[derive(Clone, Debug, Default)]
 pub struct WriteBatch<'a> {
-    /// Term, vote and commit, if they have changed.
+    /// The term, the vote and the commit index, if they have changed.
     pub hard_state: Option<&'a HardState>,
-    /// A snapshot that takes the place of the log up to its index.
+    /// A snapshot that replaces the log up to its index.
     pub snapshot: Option<&'a Snapshot>,
-    /// Entries; what stands at their index and behind it is void.
+    /// Entries that replace those from the first one's index on.
     pub entries: &'a [Entry],
 }
 
-/// The points at which a process may be killed while it writes, for tests that do so.
+/// The points at which tests kill a process while it writes.
 pub const WRITE_POINTS: [&str; 11] = [
     "put: made",
     "put: written",
@@ -85,173 +152,100 @@
     "seat: cleared",
 ];
 
-/// A voter's disk.
+/// The store of a voter.
 pub struct Store {
     database: Database,
 }
 
-/// A file that is there whole, or not at all.
-fn write_atomically(path: &Path, text: &[u8]) -> std::io::Result<()> {
-    let new = path.with_extension("new");
-    let mut file = File::create(&new)?;
-    fail_point!("put: made");
-    file.write_all(text)?;
-    fail_point!("put: written");
-    file.sync_all()?;
-    fail_point!("put: synced");
-    fs::rename(&new, path)?;
-    fail_point!("put: renamed");
-    match path.parent() {
-        Some(directory) => File::open(directory)?.sync_all(),
-        None => Ok(()),
-    }
-}
-
-/// The number by which a voter that has no log yet is known to the others; the same after a restart.
-pub fn bootstrap_number(directory: &Path, drawn: u64) -> Result<u64, StoreError> {
-    let path = directory.join(FOUNDING);
-    if let Some(number) = read_number(&path)? {
-        return Ok(number);
-    }
-    fs::create_dir_all(directory).map_err(unusable)?;
-    write_atomically(&path, drawn.to_string().as_bytes()).map_err(unusable)?;
-    Ok(drawn)
-}
-
-/// The number that a file holds; `None` where there is no such file.
-fn read_number(path: &Path) -> Result<Option<u64>, StoreError> {
-    match fs::read_to_string(path) {
-        Ok(text) => {
-            let number = text.trim().parse();
-            number.map(Some).map_err(|_| StoreError::Unusable(format!("{}: no number", path.display())))
-        }
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(None),
-        Err(e) => Err(StoreError::Unusable(format!("{}: {e}", path.display()))),
-    }
-}
-
-impl PersistedState {
-    /// That of a log that begins with this.
-    pub fn initial(snapshot: &Snapshot) -> Self {
-        let metadata = snapshot.get_metadata();
-        let hard = HardState { term: metadata.term, commit: metadata.index, ..HardState::default() };
-        Self { hard_state: hard, snapshot: snapshot.clone(), entries: Vec::new() }
-    }
-}
-
-/// The number under which this voter took its place, where it did so after the log had begun.
-pub fn replacement_number(directory: &Path) -> Result<Option<u64>, StoreError> {
-    read_number(&directory.join(SEAT))
-}
-
-/// Whether there is a voter's log here, or was one.
-pub fn has_voted(directory: &Path) -> bool {
-    directory.join(HAD).exists()
-}
-
-/// Clears the directory for a voter that takes a place, under this number: what was there is of a voter that is none any more.
-pub fn create_replacement(directory: &Path, number: u64) -> Result<(Store, PersistedState), StoreError> {
-    fs::create_dir_all(directory).map_err(unusable)?;
-    // The mark goes first: what is left of the log without it is a creation that was torn.
-    for name in [HAD, NAME, FOUNDERS, FOUNDING] {
-        fail_point!("seat: clears");
-        match fs::remove_file(directory.join(name)) {
-            Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(unusable(e)),
-            _ => {}
-        }
-    }
-    fail_point!("seat: cleared");
-    write_atomically(&directory.join(SEAT), number.to_string().as_bytes()).map_err(unusable)?;
-    Ok((Store::create(directory, &Snapshot::default())?, PersistedState::default()))
-}
-
-/// Keeps with whom this voter's log began, by the numbers that they went by.
-pub fn write_founders(directory: &Path, founded: &[(String, u64)]) -> Result<(), StoreError> {
-    let lines: String = founded.iter().map(|(name, number)| format!("{name} {number}\n")).collect();
-    write_atomically(&directory.join(FOUNDERS), lines.as_bytes()).map_err(unusable)
-}
-
-/// With whom it began; nobody where that can't be read.
-pub fn read_founders(directory: &Path) -> Vec<(String, u64)> {
-    let text = fs::read_to_string(directory.join(FOUNDERS)).unwrap_or_default();
-    let line = |line: &str| {
-        let (name, number) = line.split_once(' ')?;
-        Some((name.to_owned(), number.parse().ok()?))
-    };
-    text.lines().filter_map(line).collect()
-}
-
 impl Store {
-    /// Opens the one that is there; `None` where there never was one.
+    /// Opens the store of a directory. Returns `None` if it has never had one.
+    ///
+    /// # Errors
+    ///
+    /// If the log was lost or can't be read.
     pub fn open(directory: &Path) -> Result<Option<(Self, PersistedState)>, StoreError> {
-        let (path, had) = (directory.join(NAME), directory.join(HAD));
-        match (path.exists(), had.exists()) {
+        let path = directory.join(LOG_FILE);
+        match (path.exists(), has_voted(directory)) {
             (false, false) => return Ok(None),
             (false, true) => return Err(StoreError::Lost),
-            // A creation that was torn: nothing can have been voted by it.
+            // The creation was interrupted, so that this voter can't have voted.
             (true, false) => {
-                fs::remove_file(&path).map_err(unusable)?;
+                fs::remove_file(&path)?;
                 return Ok(None);
             }
             (true, true) => {}
         }
-        let database =
-            Database::open(&path).map_err(|e| StoreError::Unusable(format!("{}: {e}", path.display())))?;
-        let store = Self { database };
-        let kept = store.read().map_err(|e| StoreError::Unusable(format!("{}: {e}", path.display())))?;
-        Ok(Some((store, kept)))
+        match Self::open_database(&path) {
+            Ok(opened) => Ok(Some(opened)),
+            Err(source) => Err(StoreError::Open { path, source }),
+        }
+    }
+
+    fn open_database(path: &Path) -> Result<(Self, PersistedState), DatabaseError> {
+        let store = Self { database: Database::open(path)? };
+        let state = store.read()?;
+        Ok((store, state))
     }
 
-    /// Makes one that begins with this.
-    pub fn create(directory: &Path, begins: &Snapshot) -> Result<Self, StoreError> {
-        let path: PathBuf = directory.join(NAME);
-        fs::create_dir_all(directory).map_err(unusable)?;
-        let database =
-            Database::create(&path).map_err(|e| StoreError::Unusable(format!("{}: {e}", path.display())))?;
+    /// Creates a store whose log begins with a snapshot.
+    ///
+    /// # Errors
+    ///
+    /// If the files can't be written.
+    pub fn create(directory: &Path, snapshot: &Snapshot) -> Result<Self, StoreError> {
+        let path = directory.join(LOG_FILE);
+        fs::create_dir_all(directory)?;
+        let database = Database::create(&path)
+            .map_err(|error| StoreError::Open { path: path.clone(), source: error.into() })?;
         let store = Self { database };
         fail_point!("create: made");
-        let PersistedState { hard_state: hard, .. } = PersistedState::initial(begins);
-        store.write(&WriteBatch { hard_state: Some(&hard), snapshot: Some(begins), entries: &[] })?;
+        let PersistedState { hard_state, .. } = PersistedState::initial(snapshot);
+        store.write(&WriteBatch { hard_state: Some(&hard_state), snapshot: Some(snapshot), entries: &[] })?;
         fail_point!("create: written");
-        // Only now may it vote.
-        write_atomically(&directory.join(HAD), b"1\n").map_err(unusable)?;
+        // The voter may vote only from here on.
+        write_atomically(&directory.join(HAS_VOTED_FILE), b"1\n")?;
         Ok(store)
     }
 
-    fn read(&self) -> Result<PersistedState, Box<dyn std::error::Error>> {
-        let read = self.database.begin_read()?;
-        let (log, state) = (read.open_table(LOG)?, read.open_table(STATE)?);
-        let mut kept = PersistedState::default();
-        if let Some(bytes) = state.get(HARD)? {
-            kept.hard_state = HardState::parse_from_bytes(bytes.value())?;
+    fn read(&self) -> Result<PersistedState, DatabaseError> {
+        let transaction = self.database.begin_read()?;
+        let (log, state) = (transaction.open_table(LOG_TABLE)?, transaction.open_table(STATE_TABLE)?);
+        let mut persisted = PersistedState::default();
+        if let Some(bytes) = state.get(HARD_STATE_KEY)? {
+            persisted.hard_state = HardState::parse_from_bytes(bytes.value())?;
         }
-        if let Some(bytes) = state.get(SNAPSHOT)? {
-            kept.snapshot = Snapshot::parse_from_bytes(bytes.value())?;
+        if let Some(bytes) = state.get(SNAPSHOT_KEY)? {
+            persisted.snapshot = Snapshot::parse_from_bytes(bytes.value())?;
         }
         for row in log.iter()? {
             let (_, bytes) = row?;
-            kept.entries.push(Entry::parse_from_bytes(bytes.value())?);
+            persisted.entries.push(Entry::parse_from_bytes(bytes.value())?);
         }
-        Ok(kept)
+        Ok(persisted)
     }
 
-    /// Writes it, whole or not at all; when this returns well it is on the disk.
+    /// Writes a batch as a whole or not at all. It is synced to disk when this returns without an error.
+    ///
+    /// # Errors
+    ///
+    /// If the database can't be written.
     pub fn write(&self, batch: &WriteBatch<'_>) -> Result<(), StoreError> {
-        self.try_write(batch).map_err(unusable)
+        Ok(self.write_transaction(batch)?)
     }
 
-    fn try_write(&self, batch: &WriteBatch<'_>) -> Result<(), Box<dyn std::error::Error>> {
-        // Synced: the default, named since everything rests on it.
-        let mut write = self.database.begin_write()?;
+    fn write_transaction(&self, batch: &WriteBatch<'_>) -> Result<(), DatabaseError> {
+        let mut transaction = self.database.begin_write()?;
         fail_point!("write: begun");
-        write.set_durability(redb::Durability::Immediate);
+        // This is the default, stated because everything depends on the data being synced.
+        transaction.set_durability(redb::Durability::Immediate);
         {
-            let (mut log, mut state) = (write.open_table(LOG)?, write.open_table(STATE)?);
-            if let Some(hard) = batch.hard_state {
-                state.insert(HARD, hard.write_to_bytes()?.as_slice())?;
+            let mut log = transaction.open_table(LOG_TABLE)?;
+            let mut state = transaction.open_table(STATE_TABLE)?;
+            if let Some(hard_state) = batch.hard_state {
+                state.insert(HARD_STATE_KEY, hard_state.write_to_bytes()?.as_slice())?;
             }
             if let Some(snapshot) = batch.snapshot {
-                state.insert(SNAPSHOT, snapshot.write_to_bytes()?.as_slice())?;
+                state.insert(SNAPSHOT_KEY, snapshot.write_to_bytes()?.as_slice())?;
                 log.retain_in(..=snapshot.get_metadata().index, |_, _| false)?;
             }
             if let Some(first) = batch.entries.first() {
@@ -262,69 +256,110 @@
             }
         }
         fail_point!("write: whole");
-        write.commit()?;
+        transaction.commit()?;
         fail_point!("write: synced");
         Ok(())
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+/// Returns whether a directory has, or has had, a voter's log.
+pub fn has_voted(directory: &Path) -> bool {
+    directory.join(HAS_VOTED_FILE).exists()
+}
 
-    fn directory(name: &str) -> PathBuf {
-        let path = std::env::temp_dir().join(format!("maplehook-consensus-{}-{name}", std::process::id()));
-        let _ = fs::remove_dir_all(&path);
-        path
+/// Returns the number by which a voter without a log is known to the others, which stays the same after a restart. `drawn` is used if
+/// there is none yet.
+///
+/// # Errors
+///
+/// If the number can't be read or written.
+pub fn bootstrap_number(directory: &Path, drawn: u64) -> Result<u64, StoreError> {
+    let path = directory.join(BOOTSTRAP_FILE);
+    if let Some(number) = read_number(path.clone())? {
+        return Ok(number);
     }
+    fs::create_dir_all(directory)?;
+    write_atomically(&path, drawn.to_string().as_bytes())?;
+    Ok(drawn)
+}
+
+/// Returns the number under which this voter has replaced another one; `None` if the log began with this voter.
+///
+/// # Errors
+///
+/// If the number can't be read.
+pub fn replacement_number(directory: &Path) -> Result<Option<u64>, StoreError> {
+    read_number(directory.join(REPLACEMENT_FILE))
+}
 
-    fn entry(index: u64, term: u64) -> Entry {
-        let mut entry = Entry::default();
-        (entry.index, entry.term) = (index, term);
-        entry
+/// Replaces what a directory holds by the empty log of a voter that replaces another one under this number.
+///
+/// # Errors
+///
+/// If the files can't be removed or written.
+pub fn create_replacement(directory: &Path, number: u64) -> Result<(Store, PersistedState), StoreError> {
+    fs::create_dir_all(directory)?;
+    // The mark goes first: a log without it is an interrupted creation.
+    for name in [HAS_VOTED_FILE, LOG_FILE, FOUNDERS_FILE, BOOTSTRAP_FILE] {
+        fail_point!("seat: clears");
+        match fs::remove_file(directory.join(name)) {
+            Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error.into()),
+            _ => {}
+        }
     }
+    fail_point!("seat: cleared");
+    write_atomically(&directory.join(REPLACEMENT_FILE), number.to_string().as_bytes())?;
+    Ok((Store::create(directory, &Snapshot::default())?, PersistedState::default()))
+}
+
+/// Writes the names and numbers of the voters with which this voter's log begins.
+///
+/// # Errors
+///
+/// If the file can't be written.
+pub fn write_founders(directory: &Path, founders: &[(String, u64)]) -> Result<(), StoreError> {
+    let lines: String = founders.iter().map(|(name, number)| format!("{name} {number}\n")).collect();
+    Ok(write_atomically(&directory.join(FOUNDERS_FILE), lines.as_bytes())?)
+}
+
+/// Returns the names and numbers of the voters with which the log began; none if they can't be read.
+pub fn read_founders(directory: &Path) -> Vec<(String, u64)> {
+    let text = fs::read_to_string(directory.join(FOUNDERS_FILE)).unwrap_or_default();
+    let parse_line = |line: &str| {
+        let (name, number) = line.split_once(' ')?;
+        Some((name.to_owned(), number.parse().ok()?))
+    };
+    text.lines().filter_map(parse_line).collect()
+}
 
-    #[test]
-    fn what_was_written_is_there_and_what_was_overwritten_is_not() {
-        let place = directory("written");
-        assert!(Store::open(&place).unwrap().is_none(), "there never was one");
-        let mut begins = Snapshot::default();
-        (begins.mut_metadata().index, begins.mut_metadata().term) = (1, 1);
-        let store = Store::create(&place, &begins).unwrap();
-        let mut hard = HardState::default();
-        (hard.term, hard.vote) = (3, 7);
-        let entries = [entry(2, 1), entry(3, 1), entry(4, 1)];
-        store.write(&WriteBatch { hard_state: Some(&hard), snapshot: None, entries: &entries }).unwrap();
-        // Another leader's word for what is not committed.
-        store.write(&WriteBatch { entries: &[entry(3, 2)], ..WriteBatch::default() }).unwrap();
-        drop(store);
-        let (store, kept) = Store::open(&place).unwrap().unwrap();
-        assert_eq!((kept.hard_state.term, kept.hard_state.vote), (3, 7));
-        assert_eq!(kept.entries, [entry(2, 1), entry(3, 2)]);
-        let mut later = Snapshot::default();
-        later.mut_metadata().index = 2;
-        store.write(&WriteBatch { snapshot: Some(&later), ..WriteBatch::default() }).unwrap();
-        drop(store);
-        let (_, kept) = Store::open(&place).unwrap().unwrap();
-        assert_eq!((kept.snapshot.get_metadata().index, kept.entries.len()), (2, 1));
-        fs::remove_dir_all(&place).unwrap();
+/// Returns the number that a file holds; `None` if there is no such file.
+fn read_number(path: PathBuf) -> Result<Option<u64>, StoreError> {
+    match fs::read_to_string(&path) {
+        Ok(text) => match text.trim().parse() {
+            Ok(number) => Ok(Some(number)),
+            Err(_) => Err(StoreError::InvalidNumber { path }),
+        },
+        Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
+        Err(source) => Err(StoreError::Read { path, source }),
     }
+}
 
-    #[test]
-    fn a_log_that_is_lost_is_told_from_none_and_from_one_that_is_spoilt() {
-        let place = directory("lost");
-        Store::create(&place, &Snapshot::default()).unwrap();
-        fs::write(place.join(NAME), "garbage").unwrap();
-        assert!(matches!(Store::open(&place), Err(StoreError::Unusable(_))));
-        fs::remove_file(place.join(NAME)).unwrap();
-        assert!(matches!(Store::open(&place), Err(StoreError::Lost)));
-        fs::remove_dir_all(&place).unwrap();
-        // A creation that was killed half way has voted for nobody.
-        fs::create_dir_all(&place).unwrap();
-        fs::write(place.join(NAME), "half").unwrap();
-        assert!(Store::open(&place).unwrap().is_none());
-        assert_eq!(bootstrap_number(&place, 5).unwrap(), 5);
-        assert_eq!(bootstrap_number(&place, 6).unwrap(), 5, "the same after a restart");
-        fs::remove_dir_all(&place).unwrap();
+/// Writes a file that afterwards exists as a whole or not at all.
+fn write_atomically(path: &Path, text: &[u8]) -> io::Result<()> {
+    let new_path = path.with_extension("new");
+    let mut file = File::create(&new_path)?;
+    fail_point!("put: made");
+    file.write_all(text)?;
+    fail_point!("put: written");
+    file.sync_all()?;
+    fail_point!("put: synced");
+    fs::rename(&new_path, path)?;
+    fail_point!("put: renamed");
+    match path.parent() {
+        Some(directory) => File::open(directory)?.sync_all(),
+        None => Ok(()),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/consensus/src/validation.rs
+++ b/crates/consensus/src/validation.rs
@@ -1,190 +1,208 @@
-//! What a proposal waits for: that whoever holds a lease can act on it, and that all have left the step before.
+//! The validation of a proposed version: every member with a lease must be able to apply it, and every member must have left the
+//! previous phase.
 //!
-//! Whoever's lease has run out is not waited for: it acts by its careful reading until it is told, and goes on with that if it
-//! can't act on what it is told.
+//! A member whose lease has expired is not waited for. It enforces conservative rules until it learns of the new phase, and keeps
+//! enforcing them if it can't apply that one.
 
-use crate::messages::{AdminReply, AdminRequest, PeerMessage};
-use crate::runner::{CHECK, Requester, Runner, VoterRole};
+use crate::messages::{AdminRequest, PeerMessage};
+use crate::runner::{ProposalValidation, Requester, Runner, VALIDATION_TIMEOUT, VoterRole};
 use maplehook_cluster::Name;
 use maplehook_transport::unix_ms;
-use maplehook_versions::version_state::{Command, Phase, digest};
+use maplehook_versions::{Command, LeaseManager, Phase, VersionState, digest};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Bytes of texts that pass between machines in a second, and that a small machine reads in one.
-const TOLD_PER_S: f64 = 40e6;
-const READ_PER_S: f64 = 2e6;
-
-/// In which one answers that is there and has no lease, since it can't act on the step that it was told.
-const PROMPT: Duration = Duration::from_millis(200);
-
-/// A proposal that the members look at.
-pub(crate) struct ProposalValidation {
-    text: String,
-    digest: String,
-    expect: Option<u64>,
-    wisher: Requester,
-    /// Who was asked, and who has not answered.
-    asked: BTreeSet<Name>,
-    waits: BTreeSet<Name>,
-    /// Before this even those without a lease may still be reading.
-    least: Instant,
-    until: Instant,
-}
+/// Bytes of texts that are transferred between machines in a second.
+const TRANSFERRED_BYTES_PER_SECOND: f64 = 40e6;
+/// Bytes of texts that a small machine parses in a second.
+const PARSED_BYTES_PER_SECOND: f64 = 2e6;
+/// In this time a reachable member answers that has no lease because it can't apply the present phase.
+const PROMPT_REPLY: Duration = Duration::from_millis(200);
 
 impl Runner {
-    /// What it takes at the most to tell all members a wish's text, and them to read it.
-    fn telling(&self, op: &AdminRequest) -> Duration {
-        let AdminRequest::Propose { text, .. } = op else { return Duration::ZERO };
-        let told = (text.len() * self.setup.members.len()) as f64 / TOLD_PER_S;
-        Duration::from_secs_f64(told + text.len() as f64 / READ_PER_S)
+    /// Returns the longest time that it takes to send a text to all members and to parse it there.
+    fn transfer_time(&self, text: &str) -> Duration {
+        let transfer = (text.len() * self.config.members.len()) as f64 / TRANSFERRED_BYTES_PER_SECOND;
+        Duration::from_secs_f64(transfer + text.len() as f64 / PARSED_BYTES_PER_SECOND)
     }
 
-    /// How long a proposal is looked at, at the most.
-    pub(crate) fn checking(&self, op: &AdminRequest) -> Duration {
-        match op {
-            AdminRequest::Propose { .. } => self.telling(op) + self.setup.lease_times.max_lease() + CHECK,
+    /// Returns the longest time that the leader takes to validate a request, before it proposes it.
+    pub(crate) fn max_validation_time(&self, request: &AdminRequest) -> Duration {
+        match request {
+            AdminRequest::Propose { text, .. } => self.max_text_validation_time(text),
             _ => Duration::ZERO,
         }
     }
 
-    /// A proposal is looked at by whoever holds a lease.
-    pub(crate) fn check(&mut self, op: AdminRequest, wisher: Requester) {
+    fn max_text_validation_time(&self, text: &str) -> Duration {
+        self.transfer_time(text) + self.config.lease_times.max_lease() + VALIDATION_TIMEOUT
+    }
+
+    /// Begins to validate a version, which is proposed once all members with a lease can apply it.
+    pub(crate) fn validate_proposal(&mut self, text: String, expected: Option<u64>, requester: Requester) {
         let now = Instant::now();
-        let (least, until) = (now + self.telling(&op) + PROMPT, now + self.checking(&op));
-        let AdminRequest::Propose { text, expected: expect } = op else { return };
-        if let Err(e) = self.fits(&text) {
-            return self.end(wisher, AdminReply::Rejected(format!("{}: {e}", self.setup.local_name)));
+        let earliest_end = now + self.transfer_time(&text) + PROMPT_REPLY;
+        let deadline = now + self.max_text_validation_time(&text);
+        if let Err(error) = self.validate_text(&text) {
+            return self.reject(requester, format!("{}: {error}", self.config.local_name));
         }
-        let VoterRole::Voting { voter, grants: Some(grants), .. } = &self.part else { return };
-        let (steps, digest) = (voter.version_state(), digest(&text));
-        let same = |number: u64| steps.version(number).is_some_and(|version| version.digest == digest);
-        let busy = match steps.phase {
+        let digest = digest(&text);
+        if self.is_previous_phase_pending(&digest) {
+            return self.answer_unavailable(requester, self.describe_pending_members());
+        }
+        // The same proposal again replaces the requester, which has given up, and is not sent to the members twice.
+        let is_same = |validation: &&mut ProposalValidation| {
+            validation.digest == digest && validation.expected == expected
+        };
+        if let Some(validation) = self.validations.values_mut().find(is_same) {
+            let previous = std::mem::replace(&mut validation.requester, requester);
+            return self.answer_unavailable(previous, "it was asked for again");
+        }
+        let ticket = fastrand::u64(..);
+        let validation = ProposalValidation {
+            text,
+            digest,
+            expected,
+            requester,
+            asked: BTreeSet::new(),
+            unanswered: BTreeSet::new(),
+            earliest_end,
+            deadline,
+        };
+        self.validations.insert(ticket, validation);
+        self.advance_validation(ticket);
+    }
+
+    /// Returns whether a text other than the present one can't be proposed yet, because members may act on the previous phase.
+    fn is_previous_phase_pending(&self, digest: &str) -> bool {
+        let VoterRole::Voting { voter, lease_manager: Some(leases), .. } = &self.role else { return false };
+        let state = voter.version_state();
+        let has_digest = |number: u64| state.version(number).is_some_and(|version| version.digest == digest);
+        let pending_members = leases.pending_members(self.now(), state);
+        match state.phase {
             Phase::Initial => false,
+            // Members without a limit are waited for until they are forgotten.
             Phase::Stable(number) => {
-                // Those without an end are waited for until they are forgotten.
-                let waits = grants.pending_members(self.now(), steps);
-                !same(number) && waits.iter().any(|waits| waits.max_wait.is_none())
-            }
-            Phase::Transition { to, .. } => {
-                !same(to) && !grants.pending_members(self.now(), steps).is_empty()
+                !has_digest(number) && pending_members.iter().any(|pending| pending.max_wait.is_none())
             }
-        };
-        if busy {
-            let why = self.not_everywhere();
-            return self.end(wisher, AdminReply::Unavailable(why));
+            Phase::Transition { to, .. } => !has_digest(to) && !pending_members.is_empty(),
         }
-        // The same again while it is looked at: whoever asked first has given up, and nobody is told it twice.
-        if let Some(check) = self.checks.values_mut().find(|c| c.digest == digest && c.expect == expect) {
-            let before = std::mem::replace(&mut check.wisher, wisher);
-            return self.end(before, AdminReply::Unavailable("it was asked for again".into()));
-        }
-        let ticket = fastrand::u64(..);
-        let (asked, waits) = (BTreeSet::new(), BTreeSet::new());
-        let check = ProposalValidation { text, digest, expect, wisher, asked, waits, least, until };
-        self.checks.insert(ticket, check);
-        self.look(ticket);
     }
 
-    fn not_everywhere(&self) -> String {
-        let names: Vec<String> = match &self.part {
-            VoterRole::Voting { voter, grants: Some(grants), .. } => grants
-                .pending_members(self.now(), voter.version_state())
-                .iter()
-                .map(|waits| waits.name.to_string())
-                .collect(),
+    fn describe_pending_members(&self) -> String {
+        let names: Vec<String> = match &self.role {
+            VoterRole::Voting { voter, lease_manager: Some(leases), .. } => {
+                let pending_members = leases.pending_members(self.now(), voter.version_state());
+                pending_members.iter().map(|pending| pending.name.to_string()).collect()
+            }
             _ => Vec::new(),
         };
         format!("the last step is not everywhere yet: {}", names.join(", "))
     }
 
-    /// A member has said whether it can act on it.
-    pub(crate) fn checked(&mut self, from: &Name, ticket: u64, fault: Option<String>) {
-        let Some(check) = self.checks.get_mut(&ticket) else { return };
-        if let Some(fault) = fault {
-            if let Some(check) = self.checks.remove(&ticket) {
-                self.end(check.wisher, AdminReply::Rejected(format!("{from}: {fault}")));
-            }
-            return;
+    /// Handles a member's answer: `error` says why it can't apply the text.
+    pub(crate) fn on_validation_result(&mut self, from: &Name, ticket: u64, error: Option<String>) {
+        let Some(validation) = self.validations.get_mut(&ticket) else { return };
+        let Some(error) = error else {
+            validation.unanswered.remove(from);
+            return self.advance_validation(ticket);
+        };
+        if let Some(validation) = self.validations.remove(&ticket) {
+            self.reject(validation.requester, format!("{from}: {error}"));
         }
-        check.waits.remove(from);
-        self.look(ticket);
     }
 
-    /// Time passes: leases run out.
-    pub(crate) fn look_at_all(&mut self) {
-        let tickets: Vec<u64> = self.checks.keys().copied().collect();
-        tickets.into_iter().for_each(|ticket| self.look(ticket));
+    /// Advances all validations, because leases may have expired.
+    pub(crate) fn advance_validations(&mut self) {
+        let tickets: Vec<u64> = self.validations.keys().copied().collect();
+        tickets.into_iter().for_each(|ticket| self.advance_validation(ticket));
     }
 
-    /// Goes on with a proposal for which nobody is waited any more.
-    fn look(&mut self, ticket: u64) {
-        let (now, at) = (self.now(), Instant::now());
-        let own = &self.setup.local_name;
-        let (VoterRole::Voting { voter, grants: Some(grants), .. }, Some(check)) =
-            (&self.part, self.checks.get_mut(&ticket))
-        else {
-            return;
-        };
-        // Also those of whom nothing was known when it began.
-        let fresh = self.setup.lease_times.lease;
-        let heard = self.digests.iter().filter(|(name, (_, at))| *name != own && at.elapsed() < fresh);
-        let more: BTreeSet<Name> =
-            heard.map(|(name, _)| name).filter(|name| !check.asked.contains(*name)).cloned().collect();
-        check.asked.extend(more.iter().cloned());
-        check.waits.extend(more.iter().cloned());
-        if at >= check.least {
-            let holds =
-                |name: &Name| grants.lease_end(name).is_none_or(|until| until > now) || more.contains(name);
-            check.waits.retain(holds);
+    /// Proposes the version if no member has to be waited for any more, or gives up at the deadline.
+    fn advance_validation(&mut self, ticket: u64) {
+        let (now, checked_at) = (self.now(), Instant::now());
+        let VoterRole::Voting { voter, lease_manager: Some(leases), .. } = &self.role else { return };
+        let Some(validation) = self.validations.get_mut(&ticket) else { return };
+        let max_age = self.config.lease_times.lease;
+        let recent = self.file_digests.iter().filter(|(_, (_, reported_at))| reported_at.elapsed() < max_age);
+        let others = recent.map(|(name, _)| name).filter(|name| **name != self.config.local_name);
+        let newly_asked = validation.add_members(others);
+        if checked_at >= validation.earliest_end {
+            validation.drop_expired(leases, now, &newly_asked);
         }
-        let steps = voter.version_state();
-        let left = match steps.phase {
-            Phase::Stable(number) if steps.version(number).is_some_and(|v| v.digest != check.digest) => {
-                grants.pending_members(now, steps).is_empty()
-            }
-            _ => true,
-        };
-        let (done, over) = (check.waits.is_empty() && left, at >= check.until);
-        if !more.is_empty() {
-            let text = check.text.clone();
-            self.tell_all(&more, &PeerMessage::ValidationRequest { ticket, text });
+        let state = voter.version_state();
+        let is_phase_complete = validation.is_phase_complete(leases, now, state);
+        let is_valid = validation.unanswered.is_empty() && is_phase_complete;
+        let is_overdue = checked_at >= validation.deadline;
+        let epoch = state.epoch;
+        if !newly_asked.is_empty() {
+            let text = validation.text.clone();
+            self.send_to_all(&newly_asked, &PeerMessage::ValidationRequest { ticket, text });
         }
-        if !done && !over {
-            return;
+        if is_valid {
+            self.propose_validated(ticket, epoch);
+        } else if is_overdue {
+            self.give_up_validation(ticket, is_phase_complete);
         }
-        let epoch = steps.epoch;
-        let why = (!left).then(|| self.not_everywhere());
-        let Some(ProposalValidation { text, expect, wisher, waits, .. }) = self.checks.remove(&ticket) else {
-            return;
+    }
+
+    fn propose_validated(&mut self, ticket: u64, epoch: u64) {
+        let Some(validation) = self.validations.remove(&ticket) else { return };
+        let ProposalValidation { text, expected, requester, .. } = validation;
+        let proposed_by = match &requester {
+            Requester::Remote(name, _) => name.to_string(),
+            _ => self.config.local_name.to_string(),
         };
-        if !done {
-            // Whoever holds a lease and does not answer may be one that can't act on it.
-            let names: Vec<String> = waits.iter().map(ToString::to_string).collect();
-            let silent = || format!("{} did not say whether it can act on this", names.join(", "));
-            let why = if waits.is_empty() { why.unwrap_or_default() } else { silent() };
-            return self.end(wisher, AdminReply::Unavailable(why));
-        }
-        let by = match &wisher {
-            Requester::There(name, _) => name.to_string(),
-            _ => self.setup.local_name.to_string(),
+        let proposed_at_unix_ms = unix_ms();
+        self.propose(Command::Propose { epoch, expected, text, proposed_by, proposed_at_unix_ms }, requester);
+    }
+
+    /// A member that holds a lease and does not answer may be one that can't apply the text.
+    fn give_up_validation(&mut self, ticket: u64, is_phase_complete: bool) {
+        let Some(validation) = self.validations.remove(&ticket) else { return };
+        let names: Vec<String> = validation.unanswered.iter().map(ToString::to_string).collect();
+        let reason = if !names.is_empty() {
+            format!("{} did not say whether it can act on this", names.join(", "))
+        } else if is_phase_complete {
+            String::new()
+        } else {
+            self.describe_pending_members()
         };
-        self.put(
-            Command::Propose {
-                epoch,
-                expected: expect,
-                text,
-                proposed_by: by,
-                proposed_at_unix_ms: unix_ms(),
-            },
-            wisher,
-        );
+        self.answer_unavailable(validation.requester, reason);
+    }
+
+    /// Gives up all validations, because this voter has become or ceased to be the leader, or has failed.
+    pub(crate) fn cancel_validations(&mut self, reason: &str) {
+        for validation in std::mem::take(&mut self.validations).into_values() {
+            self.answer_unavailable(validation.requester, reason);
+        }
+    }
+}
+
+impl ProposalValidation {
+    /// Adds members that have not been asked yet, and returns them.
+    fn add_members<'a>(&mut self, members: impl Iterator<Item = &'a Name>) -> BTreeSet<Name> {
+        let added: BTreeSet<Name> = members.filter(|name| !self.asked.contains(*name)).cloned().collect();
+        self.asked.extend(added.iter().cloned());
+        self.unanswered.extend(added.iter().cloned());
+        added
     }
 
-    /// This voter leads no more, or only just.
-    pub(crate) fn check_no_more(&mut self, why: &str) {
-        for check in std::mem::take(&mut self.checks).into_values() {
-            self.end(check.wisher, AdminReply::Unavailable(why.into()));
+    /// Stops waiting for members whose lease has expired, but for those that have just been asked.
+    fn drop_expired(&mut self, leases: &LeaseManager, now: Duration, newly_asked: &BTreeSet<Name>) {
+        let may_hold_lease = |name: &Name| leases.lease_end(name).is_none_or(|end| end > now);
+        self.unanswered.retain(|name| may_hold_lease(name) || newly_asked.contains(name));
+    }
+
+    /// Returns whether no member acts on the previous phase any more, or the text is the present one.
+    fn is_phase_complete(&self, leases: &LeaseManager, now: Duration, state: &VersionState) -> bool {
+        match state.phase {
+            Phase::Stable(number)
+                if state.version(number).is_some_and(|version| version.digest != self.digest) =>
+            {
+                leases.pending_members(now, state).is_empty()
+            }
+            _ => true,
         }
     }
 }
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -1,48 +1,50 @@
-//! A voter: Raft by the `raft` crate, which has no I/O, and what its log comes to.
+//! A voter: Raft by the `raft` crate, which has no I/O, over the replicated state.
 //!
-//! Time, messages and the disk are its embedder's: [`Voter::tick`], [`Voter::step`], [`Voter::settle`]. What it says rests on
-//! what is on the disk; where that can't be written it says nothing more.
+//! Time, messages and the disk belong to the embedder, which calls [`Voter::tick`], [`Voter::step`] and [`Voter::process_ready`]. What
+//! a voter sends depends on what is on its disk; once that can't be written it sends nothing more.
 
 use crate::replicated_state::{MemoryLog, ReplicatedState, decode_state, entries_bytes};
 pub use crate::replicated_state::{initial_snapshot, replacement_voter_id, voter_id};
 use crate::store::PersistedState;
 use maplehook_cluster::Name;
-use maplehook_versions::version_state::{Command, CommandError, VersionState};
+use maplehook_versions::{Command, CommandError, VersionState};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Message};
 use raft::storage::MemStorage;
 use raft::{Config, RawNode, ReadOnlyOption, SnapshotStatus, StateRole};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Between two ticks an embedder lets pass 50 ms: an election after 0.5 to 1 s without a leader.
+/// The ticks without a leader after which an election begins. With a tick of 50 ms, that is after 0.5 to 1 s.
 pub const ELECTION_TICKS: usize = 10;
 const HEARTBEAT_TICKS: usize = 2;
-/// Ticks after which a snapshot that was not taken counts as lost: Raft itself waits for its embedder's word for good.
+/// The ticks after which a snapshot counts as lost. Raft itself waits without limit for its embedder's report.
 const SNAPSHOT_TICKS: u32 = 30;
-/// The most commands that may wait for the log.
-const WAITING_MOST: usize = 64;
-/// Reads that may wait to be confirmed.
-const READS_MOST: usize = 1024;
+const MAX_MESSAGE_BYTES: u64 = 1 << 20;
+const MAX_INFLIGHT_MESSAGES: usize = 16;
+/// The most commands that may wait to be committed.
+const MAX_PENDING_PROPOSALS: usize = 64;
+/// The most reads that may wait to be confirmed.
+const MAX_PENDING_READS: usize = 1024;
 
-/// A command's end.
+/// The outcome of a proposed command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// It is in the log: this came of it.
+    /// The command was committed and applied, with this result.
     Applied(Result<u64, CommandError>),
-    /// It may be in the log, or not: whoever asks again hears.
+    /// The command may be committed or not.
     Unknown,
 }
 
-/// What came of settling.
+/// What follows from processing what Raft has ready.
 #[derive(Debug, Default)]
 pub struct ReadyOutput {
-    /// To be sent.
+    /// Messages to be sent, with the receivers' ids.
     pub messages: Vec<(u64, Vec<u8>)>,
-    /// Commands that have ended, by their tickets.
+    /// The outcomes of proposals, by their tickets.
     pub outcomes: Vec<(u64, ProposalOutcome)>,
-    /// Reads that are confirmed, by their tickets: this voter led after they had begun.
+    /// The tickets of reads that are confirmed: this voter was the leader after they had begun.
     pub confirmed_reads: Vec<u64>,
-    /// The role has changed.
+    /// Whether this voter has become the leader, or is no longer.
     pub role_changed: bool,
 }
 
@@ -52,65 +54,55 @@
     pub(crate) state: ReplicatedState,
     pub(crate) applied_index: u64,
     pub(crate) conf_state: ConfState,
-    /// Whoever may have been there when the log began.
-    pub(crate) initial_names: BTreeMap<u64, Name>,
+    /// The names of all members, by the ids that they would have had when the log began.
+    initial_names: BTreeMap<u64, Name>,
     /// The ticket of the change of voters that is under way.
     pub(crate) pending_conf_change: Option<u64>,
-    /// The voters have changed: whoever is new needs a snapshot that says so.
+    /// Whether the voters have changed since the last snapshot: a new voter needs one that names it.
     pub(crate) voters_changed: bool,
-    /// Bytes of the entries that are in memory.
+    /// The bytes of the entries in memory.
     pub(crate) retained_bytes: usize,
-    /// Snapshots that were sent, and how many ticks ago.
+    /// The ticks since each snapshot was sent, by the receivers' ids.
     pub(crate) snapshots_in_flight: BTreeMap<u64, u32>,
-    /// Commands that this voter has put into the log, with their tickets and where they stand.
-    pub(crate) pending_proposals: VecDeque<(u64, Option<u64>)>,
+    /// The tickets of commands that this voter has proposed and that have no outcome yet.
+    pub(crate) pending_proposals: VecDeque<u64>,
     pub(crate) was_leader: bool,
+    /// Whether the disk could not be written.
     pub(crate) has_failed: bool,
 }
 
 impl Voter {
-    /// One that goes on from what is on its disk, under the number that it has.
-    pub fn new(id_of_own: u64, members: &[Name], kept: PersistedState) -> Result<Self, String> {
-        let PersistedState { hard_state: hard, snapshot, entries } = kept;
-        let conf = snapshot.get_metadata().get_conf_state().clone();
-        let applied = snapshot.get_metadata().index;
-        let memory = MemStorage::new();
+    /// Creates a voter that continues from what is on its disk.
+    ///
+    /// # Errors
+    ///
+    /// If Raft rejects that state.
+    pub fn new(id: u64, members: &[Name], persisted: PersistedState) -> raft::Result<Self> {
+        let PersistedState { hard_state, snapshot, entries } = persisted;
+        let conf_state = snapshot.get_metadata().get_conf_state().clone();
+        let applied_index = snapshot.get_metadata().index;
+        let storage = MemStorage::new();
         {
-            let mut core = memory.wl();
-            // One that has just been given a place has heard of nothing yet.
-            if snapshot.get_metadata().index > 0 {
-                core.apply_snapshot(snapshot.clone()).map_err(|e| e.to_string())?;
+            let mut core = storage.wl();
+            // A voter that has just replaced another one has received nothing yet.
+            if applied_index > 0 {
+                core.apply_snapshot(snapshot.clone())?;
             }
-            core.append(&entries).map_err(|e| e.to_string())?;
-            core.set_hardstate(hard);
+            core.append(&entries)?;
+            core.set_hardstate(hard_state);
         }
-        let agreed = decode_state(snapshot.get_data());
-        let behind = entries_bytes(&entries);
-        let config = Config {
-            id: id_of_own,
-            election_tick: ELECTION_TICKS,
-            heartbeat_tick: HEARTBEAT_TICKS,
-            applied,
-            max_size_per_msg: 1 << 20,
-            max_inflight_msgs: 16,
-            check_quorum: true,
-            pre_vote: true,
-            read_only_option: ReadOnlyOption::Safe,
-            ..Config::default()
-        };
+        let state = decode_state(snapshot.get_data());
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let raft = RawNode::new(&config, MemoryLog { storage: memory, snapshot }, &logger)
-            .map_err(|e| e.to_string())?;
-        let names = members.iter().map(|name| (voter_id(name), name.clone())).collect();
+        let log = MemoryLog { storage, snapshot };
         Ok(Self {
-            node: raft,
-            state: agreed,
-            applied_index: applied,
-            conf_state: conf,
-            initial_names: names,
+            node: RawNode::new(&raft_config(id, applied_index), log, &logger)?,
+            state,
+            applied_index,
+            conf_state,
+            initial_names: members.iter().map(|name| (voter_id(name), name.clone())).collect(),
             pending_conf_change: None,
             voters_changed: false,
-            retained_bytes: behind,
+            retained_bytes: entries_bytes(&entries),
             snapshots_in_flight: BTreeMap::new(),
             pending_proposals: VecDeque::new(),
             was_leader: false,
@@ -118,86 +110,80 @@
         })
     }
 
-    /// Time passes.
+    /// Advances Raft's clock by one tick.
     pub fn tick(&mut self) {
         if self.has_failed {
             return;
         }
         self.node.tick();
         self.snapshots_in_flight.values_mut().for_each(|ticks| *ticks += 1);
-        let lost: Vec<u64> = self
-            .snapshots_in_flight
-            .iter()
-            .filter(|(_, ticks)| **ticks >= SNAPSHOT_TICKS)
-            .map(|(to, _)| *to)
-            .collect();
+        let in_flight = self.snapshots_in_flight.iter();
+        let lost: Vec<u64> =
+            in_flight.filter(|(_, ticks)| **ticks >= SNAPSHOT_TICKS).map(|(to, _)| *to).collect();
         for to in lost {
             self.snapshots_in_flight.remove(&to);
-            // Of one that was taken this changes nothing; another is sent to whoever still needs it.
+            // If the snapshot did arrive, this has no effect; a voter that still needs one is sent another.
             self.node.report_snapshot(to, SnapshotStatus::Failure);
         }
     }
 
-    /// Who goes by this number.
+    /// Returns the name of the voter with this id.
     pub fn name_of(&self, id: u64) -> Option<Name> {
-        let seated = self.state.replacements.get(&id).and_then(|name| Name::new(name));
-        seated.or_else(|| self.initial_names.get(&id).cloned())
+        let replacement = self.state.replacements.get(&id).and_then(|name| Name::new(name));
+        replacement.or_else(|| self.initial_names.get(&id).cloned())
     }
 
-    /// The voters, by the log as far as it is known here.
+    /// Returns the voters by the log, as far as it is known here.
     pub fn voters(&self) -> Vec<Name> {
-        let mut names: Vec<Name> =
-            self.conf_state.get_voters().iter().filter_map(|id| self.name_of(*id)).collect();
+        let ids = self.conf_state.get_voters().iter();
+        let mut names: Vec<Name> = ids.filter_map(|id| self.name_of(*id)).collect();
         names.sort();
         names
     }
 
-    /// Whether the log, as far as it is known here, gives its place to somebody else.
+    /// Returns whether the log, as far as it is known here, has replaced this voter.
     pub fn is_replaced(&self) -> bool {
         !self.conf_state.get_voters().is_empty() && !self.is_voter(self.node.raft.id)
     }
 
-    /// Whether somebody of this name votes, be it only until a change of voters has come to its end.
+    /// Returns whether a voter has this name, even if it is one only until a change of voters is complete.
     pub fn is_voter_name(&self, name: &Name) -> bool {
-        let ids = self.conf_state.get_voters().iter().chain(self.conf_state.get_voters_outgoing());
-        ids.into_iter().any(|id| self.name_of(*id).as_ref() == Some(name))
+        let mut ids = self.conf_state.get_voters().iter().chain(self.conf_state.get_voters_outgoing());
+        ids.any(|id| self.name_of(*id).as_ref() == Some(name))
     }
 
-    /// Whether a change of voters is under way.
+    /// Returns whether a change of voters is under way.
     pub fn has_pending_conf_change(&self) -> bool {
         self.pending_conf_change.is_some() || !self.conf_state.get_voters_outgoing().is_empty()
     }
 
-    /// Whether it has been given a place and has not heard of the log yet.
+    /// Returns whether this voter has replaced another one and has not received the log yet.
     pub fn awaits_snapshot(&self) -> bool {
         self.applied_index == 0
     }
 
-    /// Whether whoever speaks for this number votes, by the log as far as it is known here.
+    /// Returns whether this id is a voter's by the log, as far as it is known here.
     pub fn is_voter(&self, id: u64) -> bool {
         is_voter_in(&self.conf_state, id)
     }
 
-    /// Gives a voter's place to another member, under the number that it says; its ticket comes back once that is done. `false`
-    /// where this voter does not lead, or another change is under way.
+    /// Proposes to replace a voter by another member under the number that it has assigned. The ticket is among the outcomes once the
+    /// change is complete. Returns `false` if this voter is not the leader or another change is under way.
     pub fn replace_voter(&mut self, ticket: u64, old: &Name, new: &Name, number: u64) -> bool {
         if self.has_failed || !self.is_established_leader() || self.has_pending_conf_change() {
             return false;
         }
-        let Some(gone) =
-            self.conf_state.get_voters().iter().copied().find(|id| self.name_of(*id).as_ref() == Some(old))
-        else {
-            return false;
-        };
-        let comes = replacement_voter_id(new, number);
+        let mut ids = self.conf_state.get_voters().iter().copied();
+        let Some(removed) = ids.find(|id| self.name_of(*id).as_ref() == Some(old)) else { return false };
+        let added = replacement_voter_id(new, number);
         let mut change = ConfChangeV2::default();
-        for (kind, node) in [(ConfChangeType::AddNode, comes), (ConfChangeType::RemoveNode, gone)] {
+        for (change_type, id) in [(ConfChangeType::AddNode, added), (ConfChangeType::RemoveNode, removed)] {
             let mut single = ConfChangeSingle::default();
-            single.set_change_type(kind);
-            single.node_id = node;
+            single.set_change_type(change_type);
+            single.node_id = id;
             change.mut_changes().push(single);
         }
-        let Ok(context) = postcard::to_stdvec(&(comes, new.to_string())) else { return false };
+        let Ok(context) = postcard::to_stdvec(&(added, new.to_string())) else { return false };
         change.set_context(context.into());
         if self.node.propose_conf_change(ticket.to_be_bytes().to_vec(), change).is_err() {
             return false;
@@ -206,77 +192,96 @@
         true
     }
 
-    /// Lets another voter lead, as soon as one is as far.
+    /// Transfers the leadership to another active voter, as soon as that one has all entries.
     pub fn transfer_leadership(&mut self) {
-        let own = self.node.raft.id;
-        let next = self.conf_state.get_voters().iter().copied().find(|id| {
-            *id != own && self.node.raft.prs().get(*id).is_some_and(|progress| progress.recent_active)
-        });
-        if let Some(next) = next {
+        let own_id = self.node.raft.id;
+        let progress = self.node.raft.prs();
+        let is_active = |id: u64| progress.get(id).is_some_and(|progress| progress.recent_active);
+        let mut ids = self.conf_state.get_voters().iter().copied();
+        if let Some(next) = ids.find(|id| *id != own_id && is_active(*id)) {
             self.node.transfer_leader(next);
         }
     }
 
-    /// Another voter says this. `false`: it makes no sense.
+    /// Handles a Raft message. Returns `false` if it is invalid.
     pub fn step(&mut self, from: &Name, bytes: &[u8]) -> bool {
         if self.has_failed {
             return true;
         }
         let Ok(message) = Message::parse_from_bytes(bytes) else { return false };
-        // It speaks for itself alone, and to us. A number that is not known here is that of a voter that has taken a place since:
-        // whoever lags must hear it, were it the leader. One that is known, and votes no more, is not heard.
-        let owner = self.name_of(message.from);
-        let voted = owner.is_some() && !self.awaits_snapshot() && !self.is_voter(message.from);
-        if owner.is_some_and(|name| name != *from) || voted || message.to != self.node.raft.id {
+        // A voter sends for itself alone, and to this one. An unknown id is that of a voter that has joined since: a voter that lags
+        // must accept its messages, as it may be the leader. A known id that is no longer a voter's is rejected.
+        let sender = self.name_of(message.from);
+        let is_former_voter = sender.is_some() && !self.awaits_snapshot() && !self.is_voter(message.from);
+        let is_other_sender = sender.is_some_and(|name| name != *from);
+        if is_other_sender || is_former_voter || message.to != self.node.raft.id {
             return false;
         }
         self.node.step(message).is_ok()
     }
 
-    /// Puts a command into the log, if this voter leads; its ticket comes back when it has ended.
+    /// Proposes a command. The ticket is among the outcomes later. Returns `false` if this voter is not the leader, or too many
+    /// proposals are pending.
     pub fn propose(&mut self, ticket: u64, command: &Command) -> bool {
-        if self.has_failed || !self.is_leader() || self.pending_proposals.len() >= WAITING_MOST {
+        if self.has_failed || !self.is_leader() || self.pending_proposals.len() >= MAX_PENDING_PROPOSALS {
             return false;
         }
         let Ok(data) = postcard::to_stdvec(command) else { return false };
         if self.node.propose(ticket.to_be_bytes().to_vec(), data).is_err() {
             return false;
         }
-        self.pending_proposals.push_back((ticket, None));
+        self.pending_proposals.push_back(ticket);
         true
     }
 
-    /// Asks the others whether this voter still leads; its ticket comes back once they have said so.
+    /// Asks the other voters whether this one still is the leader. The ticket is among the confirmed reads once a majority has
+    /// confirmed that. Returns `false` if this voter is not the leader, or too many reads are pending.
     pub fn confirm_leadership(&mut self, ticket: u64) -> bool {
-        if self.has_failed || !self.is_leader() || self.node.raft.pending_read_count() >= READS_MOST {
+        if self.has_failed || !self.is_leader() || self.node.raft.pending_read_count() >= MAX_PENDING_READS {
             return false;
         }
         self.node.read_index(ticket.to_be_bytes().to_vec());
         true
     }
 
-    /// Whether it takes itself for the leader.
+    /// Returns whether this voter takes itself for the leader.
     pub fn is_leader(&self) -> bool {
         !self.has_failed && self.node.raft.state == StateRole::Leader
     }
 
-    /// Whom it takes for the leader.
+    /// Returns the leader, as far as this voter knows.
     pub fn leader(&self) -> Option<Name> {
         if self.has_failed { None } else { self.name_of(self.node.raft.leader_id) }
     }
 
-    /// What the log comes to, as far as it is known here.
+    /// Returns the versions and the shared document by the log, as far as it is known here.
     pub fn version_state(&self) -> &VersionState {
         &self.state.versions
     }
 
-    /// Whether a command of its own term is in the log: before that a leader does not know all that was agreed.
+    /// Returns whether this voter is the leader and has committed an entry of its own term. Before that a leader does not know
+    /// everything that was committed.
     pub fn is_established_leader(&self) -> bool {
         self.is_leader() && self.node.raft.commit_to_current_term()
     }
 }
 
-/// Whether a number votes, be it only until a change of voters has come to its end.
-pub(crate) fn is_voter_in(conf: &ConfState, id: u64) -> bool {
-    conf.get_voters().contains(&id) || conf.get_voters_outgoing().contains(&id)
+fn raft_config(id: u64, applied: u64) -> Config {
+    Config {
+        id,
+        election_tick: ELECTION_TICKS,
+        heartbeat_tick: HEARTBEAT_TICKS,
+        applied,
+        max_size_per_msg: MAX_MESSAGE_BYTES,
+        max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
+        check_quorum: true,
+        pre_vote: true,
+        read_only_option: ReadOnlyOption::Safe,
+        ..Config::default()
+    }
+}
+
+/// Returns whether an id is a voter's, even if only until a change of voters is complete.
+pub(crate) fn is_voter_in(conf_state: &ConfState, id: u64) -> bool {
+    conf_state.get_voters().contains(&id) || conf_state.get_voters_outgoing().contains(&id)
 }
--- a/crates/consensus/tests/cluster.rs
+++ b/crates/consensus/tests/cluster.rs
@@ -3,7 +3,7 @@
 mod voters;
 
 use maplehook_consensus::voter::ProposalOutcome;
-use maplehook_versions::version_state::{Command, CommandError};
+use maplehook_versions::{Command, CommandError};
 use voters::Cluster;
 
 fn storm(n: usize, seed: u64, lies: bool) -> Result<usize, String> {
@@ -114,7 +114,7 @@
         let epoch = voter.version_state().epoch;
         let text = format!("{ticket} {long}");
         let command = match voter.version_state().phase {
-            maplehook_versions::version_state::Phase::Transition { .. } => Command::Advance { epoch },
+            maplehook_versions::Phase::Transition { .. } => Command::Advance { epoch },
             _ => Command::Propose {
                 epoch,
                 expected: None,
--- a/crates/consensus/tests/common.rs
+++ b/crates/consensus/tests/common.rs
@@ -5,7 +5,7 @@
 use fleet::{FILE, Fleet, begin_put, until};
 use maplehook_consensus::SHARED_DOCUMENT_TOPIC;
 use maplehook_transport::frames::Message;
-use maplehook_versions::lease_manager::LeaseExpiryPolicy;
+use maplehook_versions::LeaseExpiryPolicy;
 use std::time::{Duration, Instant};
 
 fn all_hold(fleet: &Fleet, number: u64) -> bool {
@@ -303,7 +303,8 @@
     assert_eq!(&fleet.standing(other).received.unwrap().body[..], [19]);
     // One's number is not the other's.
     let wrong = begin_put(fleet.rollout[leader].as_ref().unwrap(), places.min(rollout) - 1, b"x");
-    assert_eq!(wrong.blocking_recv().unwrap(), Err(format!("common document {rollout} is in force")));
+    let wrong = wrong.blocking_recv().unwrap().map_err(|error| error.to_string());
+    assert_eq!(wrong, Err(format!("common document {rollout} is in force")));
     // Who acts on a part's newest body is not behind for another part's sake.
     until("nobody is behind", || fleet.standing(leader).lagging_members.is_empty());
     let told = Message { topic: SHARED_DOCUMENT_TOPIC, body: b"hear"[..].into() };
--- a/crates/consensus/tests/fleet/mod.rs
+++ b/crates/consensus/tests/fleet/mod.rs
@@ -7,12 +7,12 @@
 use maplehook_consensus::store::{Store, WriteBatch};
 use maplehook_consensus::voter::{Voter, voter_id};
 use maplehook_consensus::{
-    ConsensusConfig, ConsensusService, LocalStatus, PartChannels as Maker, PartProposal,
+    ConsensusConfig, ConsensusService, LocalStatus, PartChannels as Maker, PartProposal, ProposalError,
     SHARED_DOCUMENT_TOPIC, SharedDocumentStatus,
 };
 use maplehook_transport::Talk;
 use maplehook_transport::frames::Message;
-use maplehook_versions::lease_manager::{LeaseExpiryPolicy, LeaseTimes};
+use maplehook_versions::{LeaseExpiryPolicy, LeaseTimes};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -181,10 +181,15 @@
     }
 
     pub fn put(&self, n: usize, expect: u64, body: &[u8]) -> Result<u64, String> {
-        self.begin_put(n, expect, body).blocking_recv().unwrap()
+        self.begin_put(n, expect, body).blocking_recv().unwrap().map_err(|error| error.to_string())
     }
 
-    pub fn begin_put(&self, n: usize, expect: u64, body: &[u8]) -> oneshot::Receiver<Result<u64, String>> {
+    pub fn begin_put(
+        &self,
+        n: usize,
+        expect: u64,
+        body: &[u8],
+    ) -> oneshot::Receiver<Result<u64, ProposalError>> {
         begin_put(self.places[n].as_ref().unwrap(), expect, body)
     }
 
@@ -218,7 +223,7 @@
     }
 }
 
-pub fn begin_put(maker: &Maker, expect: u64, body: &[u8]) -> oneshot::Receiver<Result<u64, String>> {
+pub fn begin_put(maker: &Maker, expect: u64, body: &[u8]) -> oneshot::Receiver<Result<u64, ProposalError>> {
     let (done, ended) = oneshot::channel();
     maker
         .proposals
--- a/crates/consensus/tests/killed.rs
+++ b/crates/consensus/tests/killed.rs
@@ -4,7 +4,7 @@
 use maplehook_cluster::Name;
 use maplehook_consensus::store::{self, PersistedState, Store, WRITE_POINTS};
 use maplehook_consensus::voter::{ProposalOutcome, Voter, initial_snapshot, replacement_voter_id, voter_id};
-use maplehook_versions::version_state::{Command, Phase, digest};
+use maplehook_versions::{Command, Phase, digest};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
--- a/crates/consensus/tests/lost.rs
+++ b/crates/consensus/tests/lost.rs
@@ -5,7 +5,7 @@
 use fleet::{FILE, Fleet, shared, until};
 use maplehook_consensus::EnforcementMode;
 use maplehook_consensus::messages::{AdminReply, AdminRequest};
-use maplehook_versions::lease_manager::LeaseExpiryPolicy;
+use maplehook_versions::LeaseExpiryPolicy;
 use std::time::{Duration, Instant};
 
 fn label(fleet: &Fleet, n: usize) -> String {
--- a/crates/consensus/tests/seats.rs
+++ b/crates/consensus/tests/seats.rs
@@ -4,7 +4,7 @@
 
 use maplehook_consensus::store::PersistedState;
 use maplehook_consensus::voter::{ProposalOutcome, initial_snapshot};
-use maplehook_versions::version_state::Command;
+use maplehook_versions::Command;
 use voters::Cluster;
 
 /// Three voters; the fourth is a member and no voter: its disk has no log.
--- a/crates/consensus/tests/voters/mod.rs
+++ b/crates/consensus/tests/voters/mod.rs
@@ -5,7 +5,7 @@
 use maplehook_cluster::Name;
 use maplehook_consensus::store::{PersistedState, WriteBatch};
 use maplehook_consensus::voter::{ProposalOutcome, Voter, initial_snapshot, replacement_voter_id, voter_id};
-use maplehook_versions::version_state::{Command, VersionState};
+use maplehook_versions::{Command, VersionState};
 use protobuf::Message as _;
 use raft::eraftpb::{MessageType, Snapshot};
 use std::collections::BTreeMap;
@@ -161,7 +161,7 @@
         let epoch = voter.version_state().epoch;
         let text = format!("text {ticket}");
         let command = match voter.version_state().phase {
-            maplehook_versions::version_state::Phase::Transition { .. } => Command::Advance { epoch },
+            maplehook_versions::Phase::Transition { .. } => Command::Advance { epoch },
             _ => Command::Propose {
                 epoch,
                 expected: None,
--- a/crates/failover-agent/src/run.rs
+++ b/crates/failover-agent/src/run.rs
@@ -11,7 +11,7 @@
 use crate::talk::{Agreed, Reply};
 use bytes::Bytes;
 use maplehook_cluster::Name;
-use maplehook_consensus::{PartProposal, SharedDocumentStatus};
+use maplehook_consensus::{PartProposal, ProposalError, SharedDocumentStatus};
 use maplehook_failover::Acting;
 use maplehook_history_checker::What;
 use maplehook_locality::Zone;
@@ -33,7 +33,7 @@
 
 /// A body on its way to the log.
 pub(crate) struct OnItsWay {
-    done: oneshot::Receiver<Result<u64, String>>,
+    done: oneshot::Receiver<Result<u64, ProposalError>>,
     until: Instant,
     /// Who is to hear of it.
     wisher: Option<Wisher>,
@@ -259,7 +259,7 @@
     fn note_agreed(&self, agreed: &Agreed) {
         let plan = &agreed.places.plan;
         if plan.epoch > 0 && self.board.writer.is_on() {
-            let digest = maplehook_versions::version_state::digest(&format!("{:?}", plan.rows));
+            let digest = maplehook_versions::digest(&format!("{:?}", plan.rows));
             self.board.writer.note(What::Agreed { epoch: plan.epoch, digest: digest[..16].to_owned() });
         }
     }
@@ -383,7 +383,10 @@
 
 async fn done(on_its_way: &mut Option<OnItsWay>) -> Result<u64, String> {
     match on_its_way {
-        Some(on) => (&mut on.done).await.unwrap_or_else(|_| Err("this voter leads no more".into())),
+        Some(on) => match (&mut on.done).await {
+            Ok(outcome) => outcome.map_err(|error| error.to_string()),
+            Err(_) => Err("this voter leads no more".into()),
+        },
         None => std::future::pending().await,
     }
 }
--- a/crates/proxy/src/nearness.rs
+++ b/crates/proxy/src/nearness.rs
@@ -9,7 +9,7 @@
 use maplehook_failover_agent::{Acted, Config, Link, Setup, TARGETS_MOST, Taking};
 use maplehook_locality::Zone;
 use maplehook_transport::Measured;
-use maplehook_versions::stable_ids::{ResolvedRules, StableIds};
+use maplehook_versions::{ResolvedRules, StableIds};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/crates/proxy/src/serve/parts.rs
+++ b/crates/proxy/src/serve/parts.rs
@@ -79,11 +79,11 @@
             .as_ref()
             .map(|tier| {
                 let join = if supervised.is_some() {
-                    maplehook_consensus::join_when_free
+                    maplehook_consensus::join_cluster_when_free
                 } else {
-                    maplehook_consensus::join
+                    maplehook_consensus::join_cluster
                 };
-                join(tier, env!("CARGO_PKG_VERSION"))
+                join(tier, env!("CARGO_PKG_VERSION")).map_err(|error| error.to_string())
             })
             .transpose()?;
         let mut board = Board { tier: member.as_ref().map(Member::asks), ..Board::default() };
@@ -93,7 +93,8 @@
         {
             let file =
                 plan.file.take().ok_or("[agreement] needs the file itself: maplehook run --config FILE")?;
-            let mut began = maplehook_consensus::agree(tier, agreement, file.clone(), member)?;
+            let mut began = maplehook_consensus::start_consensus(tier, agreement, file.clone(), member)
+                .map_err(|error| error.to_string())?;
             let secret = Secret::read(&tier.secret_file).map_err(|e| format!("tier.secret_file: {e}"))?;
             let sealed = Arc::new(Seal::new(&secret));
             staging = proxy.map(|proxy| stages(tier, proxy, file, &mut began)).transpose()?.flatten();
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -8,7 +8,7 @@
 use maplehook_config::Operator;
 use maplehook_consensus::messages::AdminRequest;
 use maplehook_transport::Secret;
-use maplehook_versions::version_state::Version;
+use maplehook_versions::Version;
 use std::error::Error;
 use std::fmt::Write;
 use std::net::SocketAddr;
--- a/crates/proxy/src/versions.rs
+++ b/crates/proxy/src/versions.rs
@@ -18,7 +18,7 @@
 use maplehook_consensus::{ActiveVersion, EnforcementMode};
 use maplehook_failover_agent::Config;
 use maplehook_rollout_agent::{Acked, Staged};
-use maplehook_versions::stable_ids::{ResolvedRules, StableIds};
+use maplehook_versions::{ResolvedRules, StableIds};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -117,7 +117,7 @@
                 .clone()
                 .filter(|stage| mode == EnforcementMode::Current && stage.rests_on == wanted.label);
             let key = (wanted.epoch, mode, stage.as_ref().map(|stage| (stage.number, stage.side)));
-            self.upstreams.lease(maplehook_config_follower::lease(&wanted, mode, now.into_std()));
+            self.upstreams.lease(maplehook_config_follower::engine_lease(&wanted, mode, now.into_std()));
             if present.replace(key) != Some(key) {
                 let before = *told.borrow_and_update();
                 if self.apply(&wanted, mode, stage.as_deref(), &driver, &counting) {
--- a/crates/proxy/src/wishes.rs
+++ b/crates/proxy/src/wishes.rs
@@ -5,7 +5,7 @@
 use maplehook_consensus::messages::{AdminReply, AdminRequest, ClusterStatus};
 use maplehook_consensus::{AdminClient, LocalStatus};
 use maplehook_rollout_agent::Board as Staging;
-use maplehook_versions::version_state::Phase;
+use maplehook_versions::Phase;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 use std::sync::Arc;
--- a/crates/proxy/tests/library.rs
+++ b/crates/proxy/tests/library.rs
@@ -28,7 +28,7 @@
 }
 
 fn follows(follower: &Follower, label: &str) -> bool {
-    follower.followed().label == label
+    follower.active_rules().label == label
 }
 
 /// Whether the leader has the library at this step.
@@ -54,7 +54,7 @@
     let uri: hyper::Uri = format!("http://rig/look/{id}").parse().unwrap();
     let headers: hyper::HeaderMap = [(hyper::header::HOST, "rig".parse().unwrap())].into_iter().collect();
     let fit =
-        follower.followed().rules.read(&hyper::Method::GET, &uri, &headers).unwrap_or_else(|_| panic!());
+        follower.active_rules().rules.read(&hyper::Method::GET, &uri, &headers).unwrap_or_else(|_| panic!());
     let call = Call {
         class: fit.class,
         tenant: fit.tenant,
@@ -98,7 +98,7 @@
     // Cut off it is careful, and serves; the others go on without it within what is promised.
     world.between(&[0, 1, 2], &[3], |trouble| trouble.silent = true);
     world.between(&[3], &[0, 1, 2], |trouble| trouble.silent = true);
-    until("it is careful", || follower.followed().mode == EnforcementMode::Conservative);
+    until("it is careful", || follower.active_rules().mode == EnforcementMode::Conservative);
     assert!(served(&call(&runtime, &engine, &follower, 40)));
     let (code, said) = propose(&world, "effect = \"idempotent\"", "effect = \"at_most_once\"");
     assert_eq!(code, Some(0), "{said}");
@@ -117,7 +117,7 @@
     let (world, engine, follower) = world("when_cut_off = \"refuse\"\n");
     assert!(served(&call(&runtime, &engine, &follower, 1)));
     world.between(&[0, 1, 2], &[3], |trouble| trouble.silent = true);
-    until("its lease has run out", || follower.followed().mode == EnforcementMode::RejectAll);
+    until("its lease has run out", || follower.active_rules().mode == EnforcementMode::RejectAll);
     let before: u64 = world.apps.iter().map(|app| app.requests() as u64).sum();
     assert!(!served(&call(&runtime, &engine, &follower, 2)));
     assert_eq!(world.apps.iter().map(|app| app.requests() as u64).sum::<u64>(), before);
--- a/crates/rollout-agent/src/put.rs
+++ b/crates/rollout-agent/src/put.rs
@@ -8,7 +8,7 @@
 use maplehook_consensus::messages::{AdminReply as Said, AdminRequest};
 use maplehook_consensus::{AdminClient, EnforcementMode, PartProposal, SharedDocumentStatus};
 use maplehook_transport::unix_ms;
-use maplehook_versions::version_state::digest;
+use maplehook_versions::digest;
 use std::sync::Arc;
 use std::time::Instant;
 use tokio::sync::oneshot;
--- a/crates/rollout-agent/src/run.rs
+++ b/crates/rollout-agent/src/run.rs
@@ -13,7 +13,7 @@
 use maplehook_canary::{Report, Side};
 use maplehook_cluster::Name;
 use maplehook_config::Proxy;
-use maplehook_consensus::SharedDocumentStatus;
+use maplehook_consensus::{ProposalError, SharedDocumentStatus};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -35,7 +35,7 @@
 
 /// A document on its way to the log.
 pub(crate) struct OnItsWay {
-    pub(crate) done: oneshot::Receiver<Result<u64, String>>,
+    pub(crate) done: oneshot::Receiver<Result<u64, ProposalError>>,
     pub(crate) until: Instant,
     /// Who is to hear of it, and of which change.
     pub(crate) wisher: Option<(Wisher, u64)>,
@@ -286,7 +286,10 @@
 
 async fn done(on_its_way: &mut Option<OnItsWay>) -> Result<u64, String> {
     match on_its_way {
-        Some(on) => (&mut on.done).await.unwrap_or_else(|_| Err("this voter leads no more".into())),
+        Some(on) => match (&mut on.done).await {
+            Ok(outcome) => outcome.map_err(|error| error.to_string()),
+            Err(_) => Err("this voter leads no more".into()),
+        },
         None => std::future::pending().await,
     }
 }
--- a/crates/versions/src/compatibility.rs
+++ b/crates/versions/src/compatibility.rs
@@ -1,27 +1,35 @@
-//! What contradicts what, and the strictest reading of two versions: whatever it allows, each of them does.
+//! Which differences between two versions conflict, and the strictest reading of both: it allows only what each of them does.
 //!
-//! | rule | contradict when | strictest reading |
+//! | rule | conflicts if | strictest reading |
 //! | --- | --- | --- |
 //! | a class's effect, key window, group | they differ | [`maplehook_core::Effect::stricter`]: fewer repeats, shorter windows, smaller groups |
-//! | attempts, second copies | they differ | fewer, none |
-//! | what proves that a request never ran | they differ | what both take for it |
+//! | attempts, hedging | they differ | fewer, none |
+//! | what proves that a request never ran | they differ | what both accept as proof |
 //! | paths and methods of classes | they differ, and the classes' effects do | every class has the strictest effect of all |
 //! | the header of the key | it differs | a keyed class must not run twice |
-//! | an upstream listed here, gone or drained there | always | it drains |
+//! | an upstream that one lists and the other does not, or drains | always | it drains |
 //! | an upstream at two addresses, or of two zones | always | it drains |
-//! | a tenant's guarantee | never for one tenant, since either keeps what is promised; the sum over the room does | the lesser |
+//! | a tenant's guarantee | never for one tenant, since either keeps what is promised; the sum over the capacity does | the lesser |
 //! | refused clients | the lists differ | whoever either refuses |
-//! | known clients | never: they say who goes first at a crowded door | the new one's |
-//! | rules of nearness (`never`, `beyond region at most`, `when lost`) | they differ | see [`crate::places`] |
-//! | deadlines, aims, weights, limits on bodies, other headers | never: they say how well, not what may happen | the lesser time, the new one's otherwise |
+//! | known clients | never: they say who is admitted first under load | the new one's |
+//! | locality rules (`never`, `beyond region at most`, `when lost`) | they differ | see [`crate::locality_rules`] |
+//! | deadlines, objectives, weights, limits on bodies, other headers | never: they say how well, not what may happen | the lesser time, otherwise the new one's |
 
 use maplehook_config::{Proxy, Upstream};
 use maplehook_core::{Class, Effect, Tenant};
 use maplehook_http_semantics::{Passage, Route};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// What of two versions may not be acted on at the same time, in words; empty: they may stand side by side.
+/// Describes what two versions have that must not be enforced at the same time. If there is nothing, both may be.
 pub fn conflicts(a: &Proxy, b: &Proxy) -> Vec<String> {
+    let mut found = class_conflicts(a, b);
+    found.extend(setting_conflicts(a, b));
+    found.extend(upstream_conflicts(a, b));
+    found.extend(crate::locality_rules::conflicts(a, b));
+    found
+}
+
+fn class_conflicts(a: &Proxy, b: &Proxy) -> Vec<String> {
     let mut found = Vec::new();
     for (name, class, passage) in classes(a) {
         let Some((_, other, other_passage)) = classes(b).find(|(other, ..)| *other == name) else { continue };
@@ -32,15 +40,20 @@
             found.push(format!("class {name}: what proves that a request never ran"));
         }
     }
+    found
+}
+
+fn setting_conflicts(a: &Proxy, b: &Proxy) -> Vec<String> {
+    let mut found = Vec::new();
     if a.settings.max_attempts != b.settings.max_attempts {
         found.push(format!("max_attempts {} and {}", a.settings.max_attempts, b.settings.max_attempts));
     }
     if a.settings.hedging != b.settings.hedging {
         found.push("hedging".into());
     }
-    let mut all = effects(a).into_iter().chain(effects(b));
-    let first = all.next();
-    if !same_routes(a, b) && all.any(|effect| Some(effect) != first) {
+    let mut effects = effects(a).into_iter().chain(effects(b));
+    let first_effect = effects.next();
+    if !have_same_routes(a, b) && effects.any(|effect| Some(effect) != first_effect) {
         found.push("paths and methods, of classes whose effects differ".into());
     }
     if a.headers.idempotency != b.headers.idempotency {
@@ -49,31 +62,37 @@
     if a.clients.refused != b.clients.refused {
         found.push("clients.refused".into());
     }
-    let (ours, theirs) = (upstreams(a), upstreams(b));
-    for name in ours.keys().chain(theirs.keys()).collect::<std::collections::BTreeSet<_>>() {
-        match (ours.get(name), theirs.get(name)) {
+    found
+}
+
+fn upstream_conflicts(a: &Proxy, b: &Proxy) -> Vec<String> {
+    let mut found = Vec::new();
+    let (in_a, in_b) = (upstreams(a), upstreams(b));
+    for name in in_a.keys().chain(in_b.keys()).collect::<BTreeSet<_>>() {
+        match (in_a.get(name), in_b.get(name)) {
             (Some(x), Some(y)) if x.address == y.address && x.zone == y.zone && x.drained == y.drained => {}
             (Some(x), None) | (None, Some(x)) if x.drained => {}
             _ => found.push(format!("upstream {name}: listed differently")),
         }
     }
-    found.extend(crate::locality_rules::conflicts(a, b));
     found
 }
 
+/// Returns the classes of a version by name, with how their messages are forwarded.
 fn classes(proxy: &Proxy) -> impl Iterator<Item = (&str, &Class, &Passage)> {
     let named = proxy.classes.iter().zip(&proxy.settings.classes).zip(&proxy.passages);
     named.map(|((name, class), passage)| (name.as_str(), class, passage))
 }
 
+/// Returns the statuses and the header by which an upstream proves that a request never ran.
 fn proofs(passage: &Passage) -> (&[http::StatusCode], Option<&(http::HeaderName, http::HeaderValue)>) {
     (&passage.meaning.turned_away, passage.meaning.marker.as_ref())
 }
 
-/// Which requests are of which class, by name.
+/// Returns the routes of a version with the names of their classes.
 fn routes(proxy: &Proxy) -> Vec<(&str, &Route)> {
-    let name = |route: &Route| proxy.classes.get(usize::from(route.class.0)).map_or("", String::as_str);
-    proxy.routes.iter().map(|route| (name(route), route)).collect()
+    let class_name = |route: &Route| proxy.classes.get(usize::from(route.class.0)).map_or("", String::as_str);
+    proxy.routes.iter().map(|route| (class_name(route), route)).collect()
 }
 
 fn effects(proxy: &Proxy) -> Vec<Effect> {
@@ -84,40 +103,43 @@
     proxy.upstreams.iter().map(|upstream| (upstream.name.as_str(), upstream)).collect()
 }
 
-/// Whether the same requests are of the same class.
-fn same_routes(a: &Proxy, b: &Proxy) -> bool {
-    let (ours, theirs) = (routes(a), routes(b));
-    ours.len() == theirs.len()
-        && ours.iter().zip(&theirs).all(|((name, route), (other, with))| {
-            name == other && route.pattern == with.pattern && route.methods == with.methods
+/// Returns whether both versions assign requests to classes alike.
+fn have_same_routes(a: &Proxy, b: &Proxy) -> bool {
+    let (in_a, in_b) = (routes(a), routes(b));
+    in_a.len() == in_b.len()
+        && in_a.iter().zip(&in_b).all(|((name, route), (other_name, other))| {
+            name == other_name && route.pattern == other.pattern && route.methods == other.methods
         })
 }
 
-/// The strictest reading of two versions. Classes, tenants and their numbers are the second one's.
+/// Returns the strictest reading of two versions. Classes and tenants, and their numbers, are those of the new one.
 pub fn strictest(old: &Proxy, new: &Proxy) -> Proxy {
     let mut strict = new.clone();
-    let same_routes = same_routes(old, new);
-    let of_all = effects(old).into_iter().chain(effects(new)).reduce(Effect::stricter);
-    let keys_differ = old.headers.idempotency != new.headers.idempotency;
-    for (k, name) in new.classes.iter().enumerate() {
-        let before = classes(old).find(|(other, ..)| other == name);
-        let class = &mut strict.settings.classes[k];
-        if let Some((_, before, passage)) = before {
-            class.effect = class.effect.stricter(before.effect);
-            class.deadline = class.deadline.min(before.deadline);
-            class.aim = class.aim.min(before.aim).min(class.deadline);
-            let meaning = &mut strict.passages[k].meaning;
-            if meaning.marker != passage.meaning.marker {
-                // Nothing is taken for a proof that only one of them takes for it.
-                meaning.turned_away.clear();
-            }
-            meaning.turned_away.retain(|status| passage.meaning.turned_away.contains(status));
+    restrict_classes(&mut strict, old, new);
+    strict.settings.max_attempts = new.settings.max_attempts.min(old.settings.max_attempts);
+    strict.settings.hedging = new.settings.hedging && old.settings.hedging;
+    strict.clients.refused = old.clients.refused.and(&new.clients.refused);
+    restrict_tenants(&mut strict, old);
+    restrict_upstreams(&mut strict, old, new);
+    strict.places = crate::locality_rules::strictest(old, new);
+    strict
+}
+
+fn restrict_classes(strict: &mut Proxy, old: &Proxy, new: &Proxy) {
+    let have_same_routes = have_same_routes(old, new);
+    let strictest_effect = effects(old).into_iter().chain(effects(new)).reduce(Effect::stricter);
+    let have_different_keys = old.headers.idempotency != new.headers.idempotency;
+    for (index, name) in new.classes.iter().enumerate() {
+        let class = &mut strict.settings.classes[index];
+        if let Some((_, old_class, old_passage)) = classes(old).find(|(other, ..)| other == name) {
+            restrict_class(class, old_class);
+            restrict_proofs(&mut strict.passages[index], old_passage);
         }
-        if !same_routes && let Some(effect) = of_all {
-            // Under the other version a request of this class may be of any.
+        if !have_same_routes && let Some(effect) = strictest_effect {
+            // In the other version, a request of this class may be of any class.
             class.effect = class.effect.stricter(effect);
         }
-        if keys_differ && matches!(class.effect, Effect::Deduplicated { .. }) {
+        if have_different_keys && matches!(class.effect, Effect::Deduplicated { .. }) {
             class.effect = Effect::AtMostOnce;
         }
     }
@@ -127,46 +149,60 @@
             route.deadline = class.deadline;
         }
     }
-    strict.settings.max_attempts = new.settings.max_attempts.min(old.settings.max_attempts);
-    strict.settings.hedging = new.settings.hedging && old.settings.hedging;
-    strict.clients.refused = old.clients.refused.and(&new.clients.refused);
-    let named = |proxy: &Proxy| -> BTreeMap<String, f64> {
-        let names = proxy.tenants.iter().cloned();
-        names.zip(proxy.settings.tenants.iter().map(|tenant| tenant.allowance_per_s)).collect()
-    };
-    let before = named(old);
-    for (tenant, name) in strict.settings.tenants.iter_mut().zip(&new.tenants) {
-        if let Some(allowance) = before.get(name) {
+}
+
+fn restrict_class(class: &mut Class, old: &Class) {
+    class.effect = class.effect.stricter(old.effect);
+    class.deadline = class.deadline.min(old.deadline);
+    class.aim = class.aim.min(old.aim).min(class.deadline);
+}
+
+/// Accepts as a proof that a request never ran only what both versions do.
+fn restrict_proofs(passage: &mut Passage, old: &Passage) {
+    let meaning = &mut passage.meaning;
+    if meaning.marker != old.meaning.marker {
+        meaning.turned_away.clear();
+    }
+    meaning.turned_away.retain(|status| old.meaning.turned_away.contains(status));
+}
+
+fn restrict_tenants(strict: &mut Proxy, old: &Proxy) {
+    let allowances = old.settings.tenants.iter().map(|tenant| tenant.allowance_per_s);
+    let old_allowances: BTreeMap<&String, f64> = old.tenants.iter().zip(allowances).collect();
+    for (tenant, name) in strict.settings.tenants.iter_mut().zip(&strict.tenants) {
+        if let Some(allowance) = old_allowances.get(name) {
             *tenant = Tenant { allowance_per_s: tenant.allowance_per_s.min(*allowance) };
         }
     }
-    let listed = upstreams(old);
+}
+
+/// Drains upstreams that the versions list differently.
+fn restrict_upstreams(strict: &mut Proxy, old: &Proxy, new: &Proxy) {
+    let in_old = upstreams(old);
     for upstream in &mut strict.upstreams {
-        let same = listed.get(upstream.name.as_str()).is_some_and(|before| {
-            before.address == upstream.address && before.zone == upstream.zone && !before.drained
+        let is_same = in_old.get(upstream.name.as_str()).is_some_and(|listed| {
+            listed.address == upstream.address && listed.zone == upstream.zone && !listed.drained
         });
-        upstream.drained |= !same;
+        upstream.drained |= !is_same;
     }
-    let new_names = upstreams(new);
-    let gone = old.upstreams.iter().filter(|upstream| !new_names.contains_key(upstream.name.as_str()));
-    strict.upstreams.extend(gone.cloned().map(|upstream| Upstream { drained: true, ..upstream }));
-    strict.places = crate::locality_rules::strictest(old, new);
-    strict
+    let in_new = upstreams(new);
+    let removed = old.upstreams.iter().filter(|upstream| !in_new.contains_key(upstream.name.as_str()));
+    strict.upstreams.extend(removed.cloned().map(|upstream| Upstream { drained: true, ..upstream }));
 }
 
-/// The strictest reading there is, of a version that may no longer be in force: nothing is sent twice.
+/// Returns the conservative reading of a version that may no longer be active: nothing is sent twice.
 pub fn conservative(proxy: &Proxy) -> Proxy {
-    let mut careful = proxy.clone();
-    for class in &mut careful.settings.classes {
+    let mut conservative = proxy.clone();
+    for class in &mut conservative.settings.classes {
         class.effect = Effect::AtMostOnce;
     }
-    for route in &mut careful.routes {
+    for route in &mut conservative.routes {
         route.effect = Effect::AtMostOnce;
     }
-    for passage in &mut careful.passages {
+    for passage in &mut conservative.passages {
         passage.meaning.turned_away.clear();
     }
-    careful.settings.max_attempts = 1;
-    careful.settings.hedging = false;
-    careful
+    conservative.settings.max_attempts = 1;
+    conservative.settings.hedging = false;
+    conservative
 }
--- a/crates/versions/src/lease_holder.rs
+++ b/crates/versions/src/lease_holder.rs
@@ -1,50 +1,47 @@
-//! A balancer's side: the step that it acts on, and for how long it may.
+//! A member's side of leases on versions: the phase that it acts on, and for how long it may.
 
-use crate::lease_manager::{LeaseExpiryPolicy, LeaseTimes, MAX_CLOCK_DRIFT};
+use crate::lease_times::{LeaseExpiryPolicy, LeaseTimes, MAX_PENDING_REQUESTS};
 use crate::version_state::{Phase, Version, VersionState};
 use std::time::Duration;
 
-/// The most requests for a lease that may be under way.
-const MAX_PENDING_REQUESTS: usize = 16;
-
-/// A step, with the texts that whoever acts on it needs.
+/// A phase with the versions that a member needs to act on it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PhaseUpdate {
-    /// Its epoch.
+    /// The epoch of the phase.
     pub epoch: u64,
-    /// The step.
+    /// The phase.
     pub phase: Phase,
     /// The versions that it names.
     pub versions: Vec<Version>,
 }
 
 impl PhaseUpdate {
-    /// What a leader tells.
-    pub fn from_state(steps: &VersionState) -> Self {
-        let versions = steps.required_versions().into_iter().cloned().collect();
-        Self { epoch: steps.epoch, phase: steps.phase, versions }
+    /// Returns the update that a leader sends.
+    pub fn from_state(state: &VersionState) -> Self {
+        let versions = state.required_versions().into_iter().cloned().collect();
+        Self { epoch: state.epoch, phase: state.phase, versions }
     }
 }
 
-/// By what a balancer acts.
+/// The rules that a member enforces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EffectiveRules {
-    /// By the step that it was told last.
+    /// Those of the latest phase.
     Phase(Phase),
-    /// Its lease has run out, or it never had one: by the strictest reading there is.
+    /// Conservative rules, because the lease has expired or there never was one.
     Conservative,
-    /// Its lease has run out: it refuses.
+    /// None: all requests are rejected, because the lease has expired or there never was one.
     RejectAll,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PendingRequest {
     request_id: u64,
-    /// When, before it was sent.
+    /// The time of the clock before the request was sent.
     requested_at: Duration,
 }
 
-/// What a balancer holds.
+/// The phase that a member has been told, and its lease on it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     times: LeaseTimes,
@@ -53,42 +50,42 @@
     lease_end: Option<Duration>,
     pending_requests: Vec<PendingRequest>,
     last_request_id: u64,
-    renew_at: Duration,
+    renewal_due: Duration,
 }
 
 impl LeaseHolder {
-    /// One that has been told nothing.
-    pub fn new(times: LeaseTimes, cut_off: LeaseExpiryPolicy) -> Self {
+    /// Creates the state of a member that has been told nothing.
+    pub fn new(times: LeaseTimes, expiry_policy: LeaseExpiryPolicy) -> Self {
         Self {
             times,
-            expiry_policy: cut_off,
+            expiry_policy,
             current: None,
             lease_end: None,
             pending_requests: Vec::new(),
             last_request_id: 0,
-            renew_at: Duration::ZERO,
+            renewal_due: Duration::ZERO,
         }
     }
 
-    /// What it was told last.
+    /// Returns the phase that this member has been told last.
     pub fn current(&self) -> Option<&PhaseUpdate> {
         self.current.as_ref()
     }
 
-    /// The epoch that it acts on, or would.
+    /// Returns the epoch of that phase; 0 if there is none.
     pub fn epoch(&self) -> u64 {
-        self.current.as_ref().map_or(0, |told| told.epoch)
+        self.current.as_ref().map_or(0, |current| current.epoch)
     }
 
-    /// When a lease is to be asked for.
+    /// Returns the time at which the next request for a lease is due.
     pub fn renewal_due(&self) -> Duration {
-        self.renew_at
+        self.renewal_due
     }
 
-    /// Asks for one now: the number of the request. The clock is read here, before anything is sent.
+    /// Begins a request for a lease and returns its number. `now` must be read before the request is sent.
     pub fn begin_request(&mut self, now: Duration) -> u64 {
         self.last_request_id += 1;
-        self.renew_at = now + self.times.renew_interval;
+        self.renewal_due = now + self.times.renew_interval;
         if self.pending_requests.len() == MAX_PENDING_REQUESTS {
             self.pending_requests.remove(0);
         }
@@ -96,43 +93,41 @@
         self.last_request_id
     }
 
-    /// A lease was granted, at this epoch, with the step where it is another one than was told before. `true`: it is.
-    pub fn accept_grant(&mut self, number: u64, epoch: u64, told: Option<PhaseUpdate>) -> bool {
-        let Some(asked) = self.pending_requests.iter().find(|asked| asked.request_id == number).copied()
-        else {
+    /// Accepts a lease in this epoch, with the phase if that is another one than this member was told last. Returns whether it is.
+    pub fn accept_grant(&mut self, request_id: u64, epoch: u64, update: Option<PhaseUpdate>) -> bool {
+        let mut pending = self.pending_requests.iter();
+        let Some(request) = pending.find(|request| request.request_id == request_id).copied() else {
             return false;
         };
-        self.pending_requests.retain(|other| other.request_id > number);
+        self.pending_requests.retain(|other| other.request_id > request_id);
         if epoch < self.epoch() {
-            // It was overtaken by a later step.
+            // The grant was overtaken by one of a later phase.
             return false;
         }
-        let told = told.filter(|told| told.epoch == epoch);
-        let news = self.current.as_ref().is_none_or(|before| before.epoch < epoch);
-        if news {
-            // A lease for a step that is not known is none.
-            let Some(told) = told else { return false };
-            self.current = Some(told);
+        let is_new = self.current.as_ref().is_none_or(|current| current.epoch < epoch);
+        if is_new {
+            // A lease on a phase that is not known does not count.
+            let Some(update) = update.filter(|update| update.epoch == epoch) else { return false };
+            self.current = Some(update);
         }
-        // A clock that goes slow must not make it longer.
-        let until = asked.requested_at + self.times.lease.mul_f64(1.0 - MAX_CLOCK_DRIFT);
-        self.lease_end = Some(self.lease_end.map_or(until, |before| before.max(until)));
-        news
+        let end = request.requested_at + self.times.min_lease();
+        self.lease_end = Some(self.lease_end.map_or(end, |previous| previous.max(end)));
+        is_new
     }
 
-    /// Until when it may act by the step.
+    /// Returns the end of the lease; `None` if there was none yet.
     pub fn lease_end(&self) -> Option<Duration> {
         self.lease_end
     }
 
-    /// By what it acts.
+    /// Returns the rules that this member enforces at this time.
     pub fn effective_rules(&self, now: Duration) -> EffectiveRules {
         match &self.current {
-            Some(told) if told.phase != Phase::Initial => {
-                let holds = self.lease_end.is_some_and(|until| now < until);
+            Some(current) if current.phase != Phase::Initial => {
+                let has_lease = self.lease_end.is_some_and(|end| now < end);
                 match self.expiry_policy {
-                    _ if holds => EffectiveRules::Phase(told.phase),
-                    LeaseExpiryPolicy::WaitForAll => EffectiveRules::Phase(told.phase),
+                    _ if has_lease => EffectiveRules::Phase(current.phase),
+                    LeaseExpiryPolicy::WaitForAll => EffectiveRules::Phase(current.phase),
                     LeaseExpiryPolicy::Conservative => EffectiveRules::Conservative,
                     LeaseExpiryPolicy::Reject => EffectiveRules::RejectAll,
                 }
@@ -144,44 +139,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn s(seconds: u64) -> Duration {
-        Duration::from_secs(seconds)
-    }
-
-    fn told(epoch: u64, number: u64) -> PhaseUpdate {
-        PhaseUpdate { epoch, phase: Phase::Stable(number), versions: Vec::new() }
-    }
-
-    #[test]
-    fn a_lease_lasts_from_before_its_request() {
-        let times = LeaseTimes::new(s(5)).unwrap();
-        let mut holder = LeaseHolder::new(times, LeaseExpiryPolicy::Conservative);
-        assert_eq!(holder.effective_rules(s(0)), EffectiveRules::Conservative);
-        let number = holder.begin_request(s(10));
-        // The answer comes 3 s later: what is left is what is left.
-        assert!(holder.accept_grant(number, 1, Some(told(1, 1))));
-        assert_eq!(holder.effective_rules(s(13)), EffectiveRules::Phase(Phase::Stable(1)));
-        assert_eq!(holder.effective_rules(s(14)), EffectiveRules::Conservative);
-        // One that comes after its time is no lease.
-        let late = holder.begin_request(s(20));
-        holder.accept_grant(late, 1, None);
-        assert_eq!(holder.effective_rules(s(24)), EffectiveRules::Conservative);
-        assert!(!holder.accept_grant(late, 1, None), "nor is one that was had before");
-        assert!(!holder.accept_grant(99, 9, Some(told(9, 9))), "nor one that was not asked for");
-    }
-
-    #[test]
-    fn an_overtaken_answer_does_not_bring_back_an_earlier_step() {
-        let mut holder = LeaseHolder::new(LeaseTimes::new(s(5)).unwrap(), LeaseExpiryPolicy::Reject);
-        let (first, second) = (holder.begin_request(s(1)), holder.begin_request(s(2)));
-        assert!(holder.accept_grant(second, 2, Some(told(2, 2))));
-        assert!(!holder.accept_grant(first, 1, Some(told(1, 1))));
-        assert_eq!(holder.effective_rules(s(3)), EffectiveRules::Phase(Phase::Stable(2)));
-        assert_eq!(holder.effective_rules(s(60)), EffectiveRules::RejectAll);
-        let waits = LeaseHolder::new(LeaseTimes::new(s(5)).unwrap(), LeaseExpiryPolicy::WaitForAll);
-        assert_eq!(waits.effective_rules(s(1)), EffectiveRules::Conservative, "it was told nothing");
-    }
-}
+mod tests;
