--- a/crates/versions/tests/common.rs
+++ b/crates/versions/tests/shared_document.rs
@@ -1,11 +1,10 @@
 //! The common document under any order of events: numbers rise by one, and nobody acts on an earlier body unknown to the leader.
 
 use maplehook_cluster::Name;
-use maplehook_versions::lease_manager::LeaseTimes;
-use maplehook_versions::shared_document::{
-    DocumentLeaseHolder, DocumentLeaseManager, MAX_BODY_BYTES, SharedDocument,
+use maplehook_versions::{
+    Command, CommandError, DocumentLeaseHolder, DocumentLeaseManager, LeaseTimes, MAX_BODY_BYTES,
+    SharedDocument, VersionState,
 };
-use maplehook_versions::version_state::{Command, CommandError, VersionState};
 use proptest::prelude::*;
 use std::sync::Arc;
 use std::time::Duration;
--- a/tools/simulator/src/agreed/mod.rs
+++ b/tools/simulator/src/agreed/mod.rs
@@ -8,9 +8,10 @@
 pub mod storm;
 
 use maplehook_cluster::Name;
-use maplehook_versions::lease_holder::{EffectiveRules, LeaseHolder, PhaseUpdate};
-use maplehook_versions::lease_manager::{LeaseExpiryPolicy, LeaseManager, LeaseTimes};
-use maplehook_versions::version_state::{Command, Phase, VersionState};
+use maplehook_versions::{
+    Command, EffectiveRules, LeaseExpiryPolicy, LeaseHolder, LeaseManager, LeaseTimes, Phase, PhaseUpdate,
+    VersionState,
+};
 use stateright::{Checker, Model, Property};
 use std::time::Duration;
 
@@ -120,7 +121,7 @@
 fn times() -> LeaseTimes {
     // A second is within what can be kept.
     LeaseTimes::new(Duration::from_secs(1)).unwrap_or(LeaseTimes {
-        max_contradiction: Duration::ZERO,
+        max_conflict: Duration::ZERO,
         lease: Duration::ZERO,
         renew_interval: Duration::ZERO,
     })
--- a/tools/simulator/src/agreed/storm.rs
+++ b/tools/simulator/src/agreed/storm.rs
@@ -4,9 +4,10 @@
 //! Who acts on what is looked at after every event; what two act on that contradicts is measured.
 
 use maplehook_cluster::Name;
-use maplehook_versions::lease_holder::{EffectiveRules, LeaseHolder, PhaseUpdate};
-use maplehook_versions::lease_manager::{LeaseExpiryPolicy, LeaseManager, LeaseTimes};
-use maplehook_versions::version_state::{Command, Phase, VersionState};
+use maplehook_versions::{
+    Command, EffectiveRules, LeaseExpiryPolicy, LeaseHolder, LeaseManager, LeaseTimes, Phase, PhaseUpdate,
+    VersionState,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -71,7 +72,7 @@
 
 fn times() -> LeaseTimes {
     let none =
-        LeaseTimes { max_contradiction: CONTRADICTION, lease: CONTRADICTION, renew_interval: CONTRADICTION };
+        LeaseTimes { max_conflict: CONTRADICTION, lease: CONTRADICTION, renew_interval: CONTRADICTION };
     // Five seconds are within what can be kept.
     LeaseTimes::new(CONTRADICTION).unwrap_or(none)
 }
--- a/tools/simulator/src/places/agreeing.rs
+++ b/tools/simulator/src/places/agreeing.rs
@@ -10,8 +10,7 @@
 use maplehook_failover_agent::lead::Leading;
 use maplehook_failover_agent::talk::Agreed;
 use maplehook_locality::{Region, Rules, Zone};
-use maplehook_versions::lease_manager::LeaseTimes;
-use maplehook_versions::shared_document::{DocumentLeaseHolder, DocumentLeaseManager};
+use maplehook_versions::{DocumentLeaseHolder, DocumentLeaseManager, LeaseTimes};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -93,7 +92,7 @@
 
 fn times() -> LeaseTimes {
     let none =
-        LeaseTimes { max_contradiction: CONTRADICTION, lease: CONTRADICTION, renew_interval: CONTRADICTION };
+        LeaseTimes { max_conflict: CONTRADICTION, lease: CONTRADICTION, renew_interval: CONTRADICTION };
     LeaseTimes::new(CONTRADICTION).unwrap_or(none)
 }
 
--- a/tools/simulator/src/places/explore/leads.rs
+++ b/tools/simulator/src/places/explore/leads.rs
@@ -6,7 +6,7 @@
 use maplehook_address_announcement::{Decider, SiteHealth};
 use maplehook_failover_agent::talk::Agreed;
 use maplehook_locality::Region;
-use maplehook_versions::shared_document::DocumentLeaseManager;
+use maplehook_versions::DocumentLeaseManager;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/tools/simulator/src/places/explore/world.rs
+++ b/tools/simulator/src/places/explore/world.rs
@@ -5,8 +5,7 @@
 use maplehook_failover::{Document, Row, Share, WHOLE};
 use maplehook_failover_agent::talk::Agreed;
 use maplehook_locality::{Region, Zone};
-use maplehook_versions::lease_manager::LeaseTimes;
-use maplehook_versions::shared_document::{DocumentLeaseHolder, DocumentLeaseManager, SharedDocument as Log};
+use maplehook_versions::{DocumentLeaseHolder, DocumentLeaseManager, LeaseTimes, SharedDocument as Log};
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::sync::Arc;
@@ -154,11 +153,8 @@
 }
 
 pub(super) fn times() -> LeaseTimes {
-    let none = LeaseTimes {
-        max_contradiction: Duration::ZERO,
-        lease: Duration::ZERO,
-        renew_interval: Duration::ZERO,
-    };
+    let none =
+        LeaseTimes { max_conflict: Duration::ZERO, lease: Duration::ZERO, renew_interval: Duration::ZERO };
     LeaseTimes::new(Duration::from_secs(6)).unwrap_or(none)
 }
 
@@ -339,7 +335,7 @@
             return Err(format!("two sites announce it at {now:?}"));
         }
         // Whoever acts on an earlier plan than the newest may not go on for longer than is stated.
-        if now > self.since + times().max_contradiction {
+        if now > self.since + times().max_conflict {
             let newest = self.stands.places.plan.epoch;
             let old = (0..SITES.len()).find(|n| {
                 let behind =
--- a/tools/testbed/src/fleet.rs
+++ b/tools/testbed/src/fleet.rs
@@ -6,8 +6,7 @@
 use maplehook_consensus::{AdminClient, ConsensusConfig, ConsensusService};
 use maplehook_transport::Talk;
 use maplehook_transport::frames::Message;
-use maplehook_versions::lease_manager::{LeaseExpiryPolicy, LeaseTimes};
-use maplehook_versions::version_state::Phase;
+use maplehook_versions::{LeaseExpiryPolicy, LeaseTimes, Phase};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::Path;
@@ -80,7 +79,8 @@
             directory,
             file: first.clone(),
         };
-        let agreeing = ConsensusService::start(setup, Talk { say, heard })?;
+        let agreeing =
+            ConsensusService::start(setup, Talk { say, heard }).map_err(|error| error.to_string())?;
         let (counted, messages) = (Arc::default(), Arc::default());
         mouths.push((name.clone(), said, Arc::clone(&counted), Arc::clone(&messages)));
         parts.push(Part { agreeing, said: counted, messages });
