--- a/crates/rollout-agent/src/parts.rs
+++ b/crates/rollout-agent/src/parts.rs
@@ -1,7 +1,7 @@
-//! What of new settings may differ between stages: what contradicts nothing by the agreement's table ([`strict`]). The rest holds in
+//! What of new settings may differ between stages: what contradicts nothing by the agreement's table ([`compatibility`]). The rest holds in
 //! its strictest reading on both sides until the last stage has been judged.
 //!
-//! [`strict`]: maplehook_versions::strict
+//! [`compatibility`]: maplehook_versions::compatibility
 
 use maplehook_config::Proxy;
 use maplehook_versions::compatibility::{conflicts, strictest};
--- a/tools/workspace-checks/tests/done_crates.rs
+++ b/tools/workspace-checks/tests/done_crates.rs
@@ -10,12 +10,15 @@
     "crates/admission",
     "crates/canary",
     "crates/cluster",
+    "crates/config-follower",
+    "crates/consensus",
     "crates/core",
     "crates/hot-restart",
     "crates/platform-settings",
     "crates/rollout",
     "crates/supervisor",
     "crates/transport",
+    "crates/versions",
 ];
 /// The lines that the root module of each of them has.
 const ATTRIBUTES: [&str; 2] = [
