--- a/tools/workspace-checks/src/lib.rs
+++ b/tools/workspace-checks/src/lib.rs
@@ -5,6 +5,12 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
+/// The attributes that the root module of each crate that is done has. What they deny is shown by planted breaches.
+pub const DONE_ATTRIBUTES: [&str; 2] = [
+    "#![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity, clippy::missing_errors_doc, clippy::result_large_err)]",
+    "#![cfg_attr(not(test), deny(clippy::unwrap_used))]",
+];
+
 /// The root of the workspace.
 pub fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
--- a/tools/workspace-checks/tests/done_crates.rs
+++ b/tools/workspace-checks/tests/done_crates.rs
@@ -1,7 +1,7 @@
 //! Crates whose names, shape and documentation have been gone through hold to what was reached: their files, errors, documentation
 //! and lints. A crate joins the list when it is done and never leaves it.
 
-use maplehook_workspace_checks::{root, rust_files};
+use maplehook_workspace_checks::{DONE_ATTRIBUTES, root, rust_files};
 use std::fs;
 use std::path::Path;
 
@@ -20,11 +20,6 @@
     "crates/transport",
     "crates/versions",
 ];
-/// The lines that the root module of each of them has.
-const ATTRIBUTES: [&str; 2] = [
-    "#![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity, clippy::missing_errors_doc, clippy::result_large_err)]",
-    "#![cfg_attr(not(test), deny(clippy::unwrap_used))]",
-];
 /// The longest file of a crate that is done.
 const MAX_LINES: usize = 400;
 
@@ -68,7 +63,7 @@
     // As one line, however the formatter has broken it.
     let words: Vec<&str> = text.split_whitespace().collect();
     let flat = words.join(" ").replace("( ", "(").replace(" )", ")").replace(",)", ")");
-    let missing = ATTRIBUTES.iter().filter(|attribute| !flat.contains(**attribute));
+    let missing = DONE_ATTRIBUTES.iter().filter(|attribute| !flat.contains(**attribute));
     missing.map(|attribute| format!("{} lacks {attribute}", path.display())).collect()
 }
 
@@ -101,7 +96,7 @@
     assert_eq!(count(source, &"\n".repeat(MAX_LINES + 1)), 1);
     assert_eq!(count(Path::new("crates/x/tests/x.rs"), "fn a() -> Result<(), String> {}\n"), 0);
     assert_eq!(count(Path::new("crates/x/src/tests.rs"), &"\n".repeat(MAX_LINES + 1)), 1);
-    let whole = ATTRIBUTES.join("\n");
+    let whole = DONE_ATTRIBUTES.join("\n");
     assert_eq!(breaches_of_root(source, &whole).len(), 0);
     assert_eq!(breaches_of_root(source, &whole.replace("missing_docs, ", "")).len(), 1);
     assert_eq!(breaches_of_root(source, "").len(), 2);
--- a/tools/workspace-checks/tests/lengths.rs
+++ b/tools/workspace-checks/tests/lengths.rs
@@ -1,6 +1,7 @@
 //! No file of Rust is longer than 400 lines, but for those that were when this was first counted: they may not grow, and
 //! whoever splits one takes it off the list.
 
+use maplehook_workspace_checks::rust_files;
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -17,22 +18,11 @@
 
 /// All files of Rust under a folder, by their names from there, and how many lines each has.
 fn lengths(root: &Path) -> Vec<(String, usize)> {
-    let (mut found, mut folders) = (Vec::new(), vec![root.to_owned()]);
-    while let Some(folder) = folders.pop() {
-        for entry in fs::read_dir(folder).unwrap() {
-            let path: PathBuf = entry.unwrap().path();
-            let name = path.file_name().unwrap().to_string_lossy().into_owned();
-            // What was built, and what is not ours.
-            if path.is_dir() && name != "target" && !name.starts_with('.') {
-                folders.push(path);
-            } else if name.ends_with(".rs") {
-                let lines = fs::read_to_string(&path).unwrap().lines().count();
-                found.push((path.strip_prefix(root).unwrap().to_string_lossy().into_owned(), lines));
-            }
-        }
-    }
-    found.sort();
-    found
+    let length = |path: PathBuf| {
+        let lines = fs::read_to_string(&path).unwrap().lines().count();
+        (path.strip_prefix(root).unwrap().to_string_lossy().into_owned(), lines)
+    };
+    rust_files(root).into_iter().map(length).collect()
 }
 
 /// What of these files goes over the limit, and what of the list is not true any more.
--- a/tools/workspace-checks/tests/lints.rs
+++ b/tools/workspace-checks/tests/lints.rs
@@ -1,19 +1,18 @@
 //! The lints that crates which are done deny: each finds a planted breach, and passes what is well.
 
+use maplehook_workspace_checks::DONE_ATTRIBUTES;
 use std::fs;
 use std::path::PathBuf;
 use std::process::Command;
 
-/// The attributes that stand in the root module of a crate that is done.
-const ATTRIBUTES: &str = "//! Docs.\n#![deny(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity, clippy::missing_errors_doc, clippy::result_large_err)]\n#![cfg_attr(not(test), deny(clippy::unwrap_used))]\n";
-
 /// What clippy says of a library with this text; nothing if it passes.
 fn clippy(name: &str, text: &str) -> Option<String> {
     let folder: PathBuf = std::env::temp_dir().join(format!("lints-{name}-{}", std::process::id()));
     fs::create_dir_all(folder.join("src")).unwrap();
     let manifest = "[package]\nname = \"planted\"\nversion = \"0.1.0\"\nedition = \"2024\"\n[workspace]\n";
     fs::write(folder.join("Cargo.toml"), manifest).unwrap();
-    fs::write(folder.join("src/lib.rs"), format!("{ATTRIBUTES}{text}")).unwrap();
+    fs::write(folder.join("src/lib.rs"), format!("//! Docs.\n{}\n{text}", DONE_ATTRIBUTES.join("\n")))
+        .unwrap();
     let mut command = Command::new("cargo");
     command.args(["clippy", "--offline", "--quiet"]).current_dir(&folder);
     command
