--- a/crates/address-announcement/tests/golden.rs
+++ b/crates/address-announcement/tests/golden.rs
@@ -15,3 +15,11 @@
     address_state: Postcard Standing;
     state: Postcard State;
 }
+
+/// Operators' calls and commands show these debug texts in lower case.
+#[test]
+fn the_debug_texts_of_phases_and_kinds_are_as_they_were() {
+    let phases = [Phase::Well, Phase::Worse, Phase::Away, Phase::Returning];
+    assert_eq!(format!("{phases:?}"), "[Well, Worse, Away, Returning]");
+    assert_eq!(format!("{:?}", [Announce::Many, Announce::One]), "[Many, One]");
+}
--- a/crates/canary/tests/golden.rs
+++ b/crates/canary/tests/golden.rs
@@ -12,3 +12,9 @@
     cell: Postcard RequestCounts;
     report: Postcard IntervalReport;
 }
+
+/// Operators search the log for these debug texts.
+#[test]
+fn the_debug_texts_of_sides_are_as_they_were() {
+    assert_eq!(format!("{:?}", [Side::Old, Side::New]), "[Old, New]");
+}
--- a/crates/failover/tests/golden.rs
+++ b/crates/failover/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
 
-use maplehook_failover::document::{Document, PlaceState};
+use maplehook_failover::document::{Document, PlaceState, Row};
 use maplehook_failover::trips::{Measured, Way};
 use maplehook_failover::{Report, digest};
 use maplehook_golden::{assert_text, golden_types, hex, samples};
@@ -27,3 +27,11 @@
     let rules = samples::<maplehook_locality::Rules>(maplehook_golden::TEXTS).remove(0);
     assert_text("digest.txt", &format!("{:016x}\n", digest(&topology, &rules)));
 }
+
+/// Histories hold a digest of this text, and the history checker compares the digests of different programs.
+#[test]
+fn the_debug_text_of_plan_rows_is_as_it_was() {
+    let rows: Vec<Row> = samples(maplehook_golden::TEXTS);
+    assert!(rows.iter().any(|row| !row.to.is_empty()));
+    assert_text("rows-debug.txt", &format!("{rows:?}\n"));
+}
