--- a/crates/core/tests/no_total_rejection.rs
+++ b/crates/core/tests/no_total_rejection.rs
@@ -3,9 +3,9 @@
 //! settings.
 
 mod common;
-#[path = "common/day.rs"]
+#[path = "common/scenario.rs"]
 mod day;
-#[path = "common/fleet.rs"]
+#[path = "common/simulation.rs"]
 mod fleet;
 
 use day::{Day, Outage, START};
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -3,9 +3,9 @@
 //! nothing or by a hand-over. Counted is what those send that had been told.
 
 mod common;
-#[path = "common/day.rs"]
+#[path = "common/scenario.rs"]
 mod day;
-#[path = "common/fleet.rs"]
+#[path = "common/simulation.rs"]
 mod fleet;
 
 use common::{Bench, class, listed, ms};
