--- a/crates/core/benches/decision.rs
+++ b/crates/core/benches/decision.rs
@@ -1,24 +1,24 @@
-//! What a decision costs by the number of upstreams: one request admitted, sent and answered, and one tick.
+//! Cost of a decision by number of upstreams: one request that is admitted, sent and answered, and one tick.
 //!
 //! `cargo bench --bench decision`
 
-#![allow(missing_docs, reason = "criterion makes functions of its own")]
+#![allow(missing_docs, reason = "the macros of criterion generate undocumented functions")]
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use maplehook_core::*;
 use std::time::Duration;
 
-const FLEETS: [u64; 4] = [10, 120, 4000, 10_000];
+const FLEET_SIZES: [u64; 4] = [10, 120, 4000, 10_000];
 
-/// A balancer of so many upstreams that has been busy for a second.
-fn busy(upstreams: u64) -> (Balancer, Duration, u32) {
+/// Returns a balancer after a second of traffic, with its current time and its last request id.
+fn busy_balancer(upstreams: u64) -> (Balancer, Duration, u32) {
     let settings = Settings {
         classes: vec![Class { late_value: 0.5, effect: Effect::Idempotent, ..Class::default() }],
         tenants: vec![Tenant { allowance_per_s: 1e6 }],
         ..Settings::default()
     };
-    let mut balancer = Balancer::new(settings, 7).expect("settings permit decisions");
-    let listed: Vec<Endpoint> = (0..upstreams)
+    let mut balancer = Balancer::new(settings, 7).expect("the settings are valid");
+    let endpoints: Vec<Endpoint> = (0..upstreams)
         .map(|n| Endpoint {
             id: UpstreamId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             zone: ZoneId(0),
@@ -32,21 +32,21 @@
     let mut actions = Vec::new();
     balancer.handle(
         Duration::ZERO,
-        Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &listed },
+        Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &endpoints },
         &mut actions,
     );
     let (mut now, mut id) = (Duration::ZERO, 0);
     for _ in 0..40 {
         for _ in 0..250 {
-            exchange(&mut balancer, now, &mut id, &mut actions);
+            run_request(&mut balancer, now, &mut id, &mut actions);
         }
         now += Duration::from_millis(25);
-        tick(&mut balancer, now, &mut actions);
+        run_tick(&mut balancer, now, &mut actions);
     }
     (balancer, now, id)
 }
 
-fn exchange(balancer: &mut Balancer, now: Duration, id: &mut u32, actions: &mut Vec<Action>) {
+fn run_request(balancer: &mut Balancer, now: Duration, id: &mut u32, actions: &mut Vec<Action>) {
     *id += 1;
     actions.clear();
     let request = Event::Request {
@@ -71,46 +71,46 @@
     balancer.handle(now, ended, actions);
 }
 
-fn tick(balancer: &mut Balancer, now: Duration, actions: &mut Vec<Action>) {
+fn run_tick(balancer: &mut Balancer, now: Duration, actions: &mut Vec<Action>) {
     actions.clear();
     balancer.handle(now, Event::Timer { timer: TimerId(0) }, actions);
 }
 
-fn decisions(criterion: &mut Criterion) {
+fn bench_decisions(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("request");
-    for upstreams in FLEETS {
-        let (mut balancer, mut now, mut id) = busy(upstreams);
+    for upstreams in FLEET_SIZES {
+        let (mut balancer, mut now, mut id) = busy_balancer(upstreams);
         let (mut actions, mut count) = (Vec::new(), 0);
         group.bench_function(BenchmarkId::from_parameter(upstreams), |bencher| {
             bencher.iter(|| {
-                exchange(&mut balancer, now, &mut id, &mut actions);
+                run_request(&mut balancer, now, &mut id, &mut actions);
                 count += 1;
                 if count % 1000 == 0 {
-                    // 40,000 a second, so that the bucket has tokens.
+                    // 40,000 requests a second, so that the bucket has tokens.
                     now += Duration::from_millis(25);
-                    tick(&mut balancer, now, &mut actions);
+                    run_tick(&mut balancer, now, &mut actions);
                 }
             });
         });
     }
     group.finish();
     let mut group = criterion.benchmark_group("tick");
-    for upstreams in FLEETS {
-        let (mut balancer, mut now, mut id) = busy(upstreams);
+    for upstreams in FLEET_SIZES {
+        let (mut balancer, mut now, mut id) = busy_balancer(upstreams);
         let mut actions = Vec::new();
         group.bench_function(BenchmarkId::from_parameter(upstreams), |bencher| {
             bencher.iter(|| {
-                // As after 10,000 requests a second.
+                // The requests of one tick at 10,000 a second.
                 for _ in 0..25 {
-                    exchange(&mut balancer, now, &mut id, &mut actions);
+                    run_request(&mut balancer, now, &mut id, &mut actions);
                 }
                 now += Duration::from_millis(25);
-                tick(&mut balancer, now, &mut actions);
+                run_tick(&mut balancer, now, &mut actions);
             });
         });
     }
     group.finish();
 }
 
-criterion_group!(benches, decisions);
+criterion_group!(benches, bench_decisions);
 criterion_main!(benches);
--- a/crates/core/tests/bounded_state.rs
+++ b/crates/core/tests/bounded_state.rs
@@ -1,4 +1,4 @@
-//! State stays bounded, and a balancer finds its way back from having admitted nothing.
+//! The state of a balancer stays bounded, and a balancer recovers after it has admitted nothing.
 
 mod common;
 use common::*;
@@ -14,105 +14,107 @@
     }
 }
 
-/// A fleet replaced again and again: those gone leave, and turns keep going to those that are there.
+/// Replaces the whole fleet again and again. State of removed upstreams must be dropped, and listed upstreams
+/// must keep receiving requests.
 #[test]
-fn churn_leaves_no_trace_in_the_turns() {
-    let mut bench = Bench::new(settings(), &(1..=4).map(listed).collect::<Vec<_>>());
+fn replaced_fleets_leave_no_state_behind() {
+    let mut harness = Harness::new(settings(), &(1..=4).map(endpoint).collect::<Vec<_>>());
     for round in 1..200u64 {
-        let fleet: Vec<_> = (4 * round..4 * round + 4).map(listed).collect();
-        bench.tell(Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &fleet });
-        bench.run(ms(200));
-        let id = bench.request(0, 0, ms(1000));
-        if let Some(upstream) = bench.at(id, 0) {
-            assert!(fleet.iter().any(|l| l.id == upstream), "{upstream:?} is gone");
-            bench.ended(id, 0, Outcome::Ok);
+        let fleet: Vec<_> = (4 * round..4 * round + 4).map(endpoint).collect();
+        harness.handle(Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &fleet });
+        harness.advance(ms(200));
+        let id = harness.send_request(0, 0, ms(1000));
+        if let Some(upstream) = harness.upstream_of(id, 0) {
+            assert!(fleet.iter().any(|l| l.id == upstream), "{upstream:?} was removed from the list");
+            harness.end_attempt(id, 0, Outcome::Ok);
         }
     }
-    let held = bench.balancer.state_entries();
-    assert!(held <= 40, "{held} entries after a hundred fleets of four");
+    let entries = harness.balancer.state_entries();
+    assert!(entries <= 40, "{entries} state entries remain after 199 fleets of four upstreams");
 }
 
 #[test]
-fn ended_requests_are_released() {
-    let mut bench = Bench::new(settings(), &(1..=4).map(listed).collect::<Vec<_>>());
-    bench.traffic(2000, ms(20), |_| Some(Outcome::Ok));
-    bench.run(ms(2000));
-    let held = bench.balancer.state_entries();
-    assert!(held <= 20, "{held} entries after two thousand requests");
+fn finished_requests_leave_no_state_behind() {
+    let mut harness = Harness::new(settings(), &(1..=4).map(endpoint).collect::<Vec<_>>());
+    harness.run_traffic(2000, ms(20), |_| Some(Outcome::Ok));
+    harness.advance(ms(2000));
+    let entries = harness.balancer.state_entries();
+    assert!(entries <= 20, "{entries} state entries remain after 2,000 finished requests");
 }
 
-/// Everything timed out for a while, so that nothing was admitted any more: it must not stay so.
+/// A period in which every attempt times out stops admission. The balancer must recover once upstreams answer
+/// again.
 #[test]
-fn a_balancer_that_refuses_all_comes_back() {
-    let mut s = settings();
-    s.balancers = 500;
-    s.tenants = vec![Tenant { allowance_per_s: 1000.0 }];
-    let mut bench = Bench::new(s, &(1..=40).map(listed).collect::<Vec<_>>());
-    let mut phase = |outcome: Outcome, latency: u64, rounds: usize| {
-        let (mut tried, mut served) = (0, 0);
+fn admits_again_after_a_period_of_timeouts() {
+    let mut settings = settings();
+    settings.balancers = 500;
+    settings.tenants = vec![Tenant { allowance_per_s: 1000.0 }];
+    let mut harness = Harness::new(settings, &(1..=40).map(endpoint).collect::<Vec<_>>());
+    let mut run_phase = |outcome: Outcome, latency: u64, rounds: usize| {
+        let (mut attempts, mut served) = (0, 0);
         for _ in 0..rounds {
-            let id = bench.request(0, 0, ms(1000));
-            bench.run(ms(latency));
+            let id = harness.send_request(0, 0, ms(1000));
+            harness.advance(ms(latency));
             let mut k = 0;
-            while bench.at(id, k).is_some() {
-                bench.ended(id, k, outcome);
-                tried += 1;
+            while harness.upstream_of(id, k).is_some() {
+                harness.end_attempt(id, k, outcome);
+                attempts += 1;
                 k += 1;
             }
-            served += usize::from(bench.answers.get(&id) == Some(&"served"));
-            bench.run(ms(200));
+            served += usize::from(harness.results.get(&id) == Some(&"served"));
+            harness.advance(ms(200));
         }
-        (tried, served)
+        (attempts, served)
     };
-    phase(Outcome::Ok, 50, 50);
-    phase(Outcome::TimedOut, 990, 60);
-    phase(Outcome::Ok, 50, 100);
-    let (_, served) = phase(Outcome::Ok, 50, 50);
-    assert!(served >= 40, "{served} of 50 served long after the jam");
+    run_phase(Outcome::Ok, 50, 50);
+    run_phase(Outcome::TimedOut, 990, 60);
+    run_phase(Outcome::Ok, 50, 100);
+    let (_, served) = run_phase(Outcome::Ok, 50, 50);
+    assert!(served >= 40, "{served} of 50 requests were served after the recovery");
 }
 
-/// Guards a large fleet, of which only a part is weighed at each tick, against other decisions than a small one's:
-/// the same traffic for each upstream, over what it can do, is refused to the same share; a newcomer gets its few
-/// turns and no more.
+/// A tick evaluates only a part of a large fleet, which must not change decisions: at the same overload for
+/// each upstream, a large fleet rejects the same share of requests as a small one, and a new upstream gets no
+/// more than a few requests at once.
 #[test]
-fn a_large_fleet_is_weighed_as_a_small_one() {
-    let share = |n: u64, gap_us: u64| {
+fn a_large_fleet_rejects_the_same_share_as_a_small_one() {
+    let rejected_share = |n: u64, gap_us: u64| {
         let tenants = vec![Tenant { allowance_per_s: 0.1 * 1e6 / gap_us as f64 }];
-        let fleet: Vec<_> = (1..=n).map(listed).collect();
-        let mut bench = Bench::new(Settings { tenants, ..settings() }, &fleet);
-        let (mut out, mut refused, mut asked) = (VecDeque::new(), 0, 0);
+        let fleet: Vec<_> = (1..=n).map(endpoint).collect();
+        let mut harness = Harness::new(Settings { tenants, ..settings() }, &fleet);
+        let (mut in_flight, mut rejected, mut requests) = (VecDeque::new(), 0, 0);
         let mut due = Duration::ZERO;
         let count = Duration::from_secs(4).as_micros() as u64 / gap_us;
         for k in 0..count {
-            // Quick at first, then at the end of the aim of 400 ms.
-            let id = bench.request(0, 0, ms(1000));
-            if bench.at(id, 0).is_some() {
-                out.push_back((bench.now + ms(if k > count / 2 { 390 } else { 20 }), id));
+            // Answers take 20 ms in the first half, and almost the latency objective of 400 ms in the second.
+            let id = harness.send_request(0, 0, ms(1000));
+            if harness.upstream_of(id, 0).is_some() {
+                in_flight.push_back((harness.now + ms(if k > count / 2 { 390 } else { 20 }), id));
             } else if k > count / 2 {
-                refused += 1;
+                rejected += 1;
             }
-            asked += u64::from(k > count / 2);
+            requests += u64::from(k > count / 2);
             due += Duration::from_micros(gap_us);
-            let late = due.saturating_sub(bench.now);
-            bench.run(late);
-            while out.front().is_some_and(|(at, _)| *at <= bench.now) {
-                let (_, id) = out.pop_front().unwrap();
-                bench.ended(id, 0, Outcome::Ok);
+            let remaining = due.saturating_sub(harness.now);
+            harness.advance(remaining);
+            while in_flight.front().is_some_and(|(at, _)| *at <= harness.now) {
+                let (_, id) = in_flight.pop_front().unwrap();
+                harness.end_attempt(id, 0, Outcome::Ok);
             }
         }
-        let newcomer = listed(1_000_000);
-        bench.tell(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[newcomer] });
-        let before = bench.attempts_at(UpstreamId(1_000_000));
-        bench.traffic(200, Duration::from_micros(gap_us), |_| Some(Outcome::Ok));
-        let first = bench.attempts_at(UpstreamId(1_000_000)) - before;
-        assert!(first <= 3, "{first} of 200 at once to a newcomer among {n}");
-        refused as f64 / asked as f64
+        let new_upstream = endpoint(1_000_000);
+        harness.handle(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[new_upstream] });
+        let before = harness.attempts_to(UpstreamId(1_000_000));
+        harness.run_traffic(200, Duration::from_micros(gap_us), |_| Some(Outcome::Ok));
+        let received = harness.attempts_to(UpstreamId(1_000_000)) - before;
+        assert!(received <= 3, "a new upstream among {n} received {received} of 200 requests");
+        rejected as f64 / requests as f64
     };
-    // The same for each upstream: 400 and 3,200 of them.
-    let (small, large) = (share(400, 400), share(3200, 50));
-    assert!(small > 0.02, "it is not too much for the small one: {small}");
+    // 400 and 3,200 upstreams with the same load for each upstream.
+    let (small, large) = (rejected_share(400, 400), rejected_share(3200, 50));
+    assert!(small > 0.02, "the small fleet is overloaded and rejects requests: {small}");
     assert!(
         (small - large).abs() < 0.1,
-        "{small} of the small fleet's and {large} of the large one's are refused"
+        "the small fleet rejects {small} of its requests, the large one {large}"
     );
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,19 +1,19 @@
-//! A small embedder for tests: it keeps what a balancer did for each request.
+//! A harness that drives one balancer in emulated time and records its actions for each request.
 #![allow(dead_code)]
 
 use maplehook_core::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub fn ms(t: u64) -> Duration {
-    Duration::from_millis(t)
+pub fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
-pub fn class(aim: u64, deadline: u64, effect: Effect) -> Class {
-    Class { latency_objective: ms(aim), deadline: ms(deadline), effect, ..Class::default() }
+pub fn class(objective_ms: u64, deadline_ms: u64, effect: Effect) -> Class {
+    Class { latency_objective: ms(objective_ms), deadline: ms(deadline_ms), effect, ..Class::default() }
 }
 
-pub fn listed(id: u64) -> Endpoint {
+pub fn endpoint(id: u64) -> Endpoint {
     Endpoint {
         id: UpstreamId(id),
         zone: ZoneId(0),
@@ -25,88 +25,89 @@
     }
 }
 
-/// Settings with a class for each effect, and one that streams.
+/// Returns settings with a class for each effect, and one class whose answers are streams.
 pub fn settings_with_all_effects(
     hedging: bool,
-    sparse: bool,
+    many_balancers: bool,
     cancelling: bool,
     max_attempts: u8,
 ) -> Settings {
-    let keyed = |group, ttl| Effect::Deduplicated { group, ttl: ms(ttl) };
+    let deduplicated = |group, ttl| Effect::Deduplicated { group, ttl: ms(ttl) };
     let streamed = Class { is_streamed: true, ..class(300, 900, Effect::Idempotent) };
     Settings {
-        balancers: if sparse { 500 } else { 1 },
+        balancers: if many_balancers { 500 } else { 1 },
         classes: vec![
             class(200, 600, Effect::Idempotent),
             class(300, 1200, Effect::AtMostOnce),
-            class(150, 1500, keyed(DedupGroup::Cell, 700)),
-            class(150, 1500, keyed(DedupGroup::Zone, 360)),
-            class(150, 1500, keyed(DedupGroup::All, 60)),
+            class(150, 1500, deduplicated(DedupGroup::Cell, 700)),
+            class(150, 1500, deduplicated(DedupGroup::Zone, 360)),
+            class(150, 1500, deduplicated(DedupGroup::All, 60)),
             streamed,
         ],
         tenants: [900.0, 2000.0, 0.0].map(|a| Tenant { allowance_per_s: a }).to_vec(),
-        has_endpoint_discovery: sparse,
+        has_endpoint_discovery: many_balancers,
         can_hedge: hedging,
         can_cancel: cancelling,
         max_attempts,
-        can_probe: sparse,
-        reports: if sparse { Reports::OnProbe } else { Reports::Inline },
+        can_probe: many_balancers,
+        reports: if many_balancers { Reports::OnProbe } else { Reports::Inline },
         report_fields: vec![LoadField::InFlight],
         ..Settings::default()
     }
 }
 
-/// A balancer with a clock, its pending timers and what it has sent.
-pub struct Bench {
+/// A balancer with an emulated clock, its pending timers, and the attempts and results it produced.
+pub struct Harness {
     pub balancer: Balancer,
     pub now: Duration,
     pub actions: Vec<Action>,
     pub timers: Vec<(Duration, TimerId)>,
-    pub sent: BTreeMap<RequestId, Vec<(Duration, UpstreamId)>>,
-    pub answers: BTreeMap<RequestId, &'static str>,
+    pub attempts: BTreeMap<RequestId, Vec<(Duration, UpstreamId)>>,
+    pub results: BTreeMap<RequestId, &'static str>,
     pub probes: Vec<UpstreamId>,
-    pub list_calls: Vec<Duration>,
-    next: u32,
+    pub discovery_calls: Vec<Duration>,
+    next_id: u32,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(settings: Settings, fleet: &[Endpoint]) -> Self {
-        let mut bench = Self {
-            balancer: Balancer::new(settings, 7).expect("settings permit decisions"),
+        let mut harness = Self {
+            balancer: Balancer::new(settings, 7).expect("the settings are valid"),
             now: Duration::ZERO,
             actions: Vec::new(),
             timers: Vec::new(),
-            sent: BTreeMap::new(),
-            answers: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            results: BTreeMap::new(),
             probes: Vec::new(),
-            list_calls: Vec::new(),
-            next: 0,
+            discovery_calls: Vec::new(),
+            next_id: 0,
         };
-        bench.tell(Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: fleet });
-        bench
+        harness.handle(Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: fleet });
+        harness
     }
 
-    /// Plays one event and notes what follows; the actions of this event alone are left in `actions`.
-    pub fn tell(&mut self, event: Event<'_>) {
+    /// Passes one event to the balancer and records the resulting actions. `actions` holds the actions of
+    /// this event only.
+    pub fn handle(&mut self, event: Event<'_>) {
         self.actions.clear();
         self.balancer.handle(self.now, event, &mut self.actions);
         for action in &self.actions {
             match action {
                 Action::Timer { after, timer } => self.timers.push((self.now + *after, *timer)),
                 Action::Attempt { id, upstream, .. } => {
-                    self.sent.entry(*id).or_default().push((self.now, *upstream));
+                    self.attempts.entry(*id).or_default().push((self.now, *upstream));
                 }
-                Action::Reject { id, .. } => assert_eq!(self.answers.insert(*id, "refused"), None),
-                Action::Fail { id } => assert_eq!(self.answers.insert(*id, "failed"), None),
+                Action::Reject { id, .. } => assert_eq!(self.results.insert(*id, "rejected"), None),
+                Action::Fail { id } => assert_eq!(self.results.insert(*id, "failed"), None),
                 Action::Probe { upstream } => self.probes.push(*upstream),
-                Action::WatchEndpoints | Action::FetchEndpoints => self.list_calls.push(self.now),
+                Action::WatchEndpoints | Action::FetchEndpoints => self.discovery_calls.push(self.now),
                 Action::Cancel { .. } | Action::CloseIdle { .. } | Action::Log { .. } => {}
             }
         }
     }
 
-    /// Lets time go on, firing timers as they fall due.
-    pub fn run(&mut self, span: Duration) {
+    /// Advances the clock by `span` and fires the timers that become due.
+    pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
             self.timers.sort_by_key(|(due, _)| *due);
@@ -114,7 +115,7 @@
                 Some((due, timer)) if due <= end => {
                     self.timers.remove(0);
                     self.now = due;
-                    self.tell(Event::Timer { timer });
+                    self.handle(Event::Timer { timer });
                 }
                 _ => break,
             }
@@ -122,52 +123,65 @@
         self.now = end;
     }
 
-    pub fn request(&mut self, class: u16, tenant: u32, left: Duration) -> RequestId {
-        self.next += 1;
-        let id = RequestId(self.next);
+    pub fn send_request(&mut self, class: u16, tenant: u32, remaining: Duration) -> RequestId {
+        self.next_id += 1;
+        let id = RequestId(self.next_id);
         let (class, tenant) = (ClassId(class), TenantId(tenant));
-        self.tell(Event::Request { id, class, tenant, time_left: left, work_ms: None, is_repeat: false });
+        self.handle(Event::Request {
+            id,
+            class,
+            tenant,
+            time_left: remaining,
+            work_ms: None,
+            is_repeat: false,
+        });
         id
     }
 
-    /// Where the attempt went.
-    pub fn at(&self, id: RequestId, attempt: usize) -> Option<UpstreamId> {
-        self.sent.get(&id).and_then(|s| s.get(attempt)).map(|s| s.1)
+    /// Returns the upstream that an attempt was sent to.
+    pub fn upstream_of(&self, id: RequestId, attempt: usize) -> Option<UpstreamId> {
+        self.attempts.get(&id).and_then(|s| s.get(attempt)).map(|s| s.1)
     }
 
-    pub fn ended(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
-        let (sent, upstream) = self.sent[&id][attempt];
-        let finished = outcome == Outcome::Ok || self.answers.contains_key(&id);
+    pub fn end_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
+        let (sent_at, upstream) = self.attempts[&id][attempt];
+        let finished = outcome == Outcome::Ok || self.results.contains_key(&id);
         if outcome == Outcome::Ok {
-            self.answers.entry(id).or_insert("served");
+            self.results.entry(id).or_insert("served");
         }
-        self.tell(Event::AttemptEnded {
+        self.handle(Event::AttemptEnded {
             id,
             attempt: AttemptNo(attempt as u8),
             upstream,
             outcome,
-            latency: self.now - sent,
+            latency: self.now - sent_at,
             is_finished: finished,
             report: &[],
         });
     }
 
-    /// One request after another, each answered after `latency` by those upstreams that `works` holds for.
-    pub fn traffic(&mut self, count: usize, gap: Duration, works: impl Fn(UpstreamId) -> Option<Outcome>) {
+    /// Sends `count` requests, one every `gap`. `outcome_of` returns the outcome of an attempt at an
+    /// upstream; an attempt without one stays in flight.
+    pub fn run_traffic(
+        &mut self,
+        count: usize,
+        gap: Duration,
+        outcome_of: impl Fn(UpstreamId) -> Option<Outcome>,
+    ) {
         for _ in 0..count {
-            let id = self.request(0, 0, ms(1000));
+            let id = self.send_request(0, 0, ms(1000));
             let mut attempt = 0;
-            while let Some(upstream) = self.at(id, attempt) {
-                if let Some(outcome) = works(upstream) {
-                    self.ended(id, attempt, outcome);
+            while let Some(upstream) = self.upstream_of(id, attempt) {
+                if let Some(outcome) = outcome_of(upstream) {
+                    self.end_attempt(id, attempt, outcome);
                 }
                 attempt += 1;
             }
-            self.run(gap);
+            self.advance(gap);
         }
     }
 
-    pub fn attempts_at(&self, upstream: UpstreamId) -> usize {
-        self.sent.values().flatten().filter(|s| s.1 == upstream).count()
+    pub fn attempts_to(&self, upstream: UpstreamId) -> usize {
+        self.attempts.values().flatten().filter(|s| s.1 == upstream).count()
     }
 }
--- a/crates/core/tests/common/scenario.rs
+++ b/crates/core/tests/common/scenario.rs
@@ -1,104 +1,107 @@
-//! A day for many balancers, drawn: settings, traffic, and what starts cold when.
+//! Random scenarios for many balancers: their settings, their traffic, and the upstreams that start.
 #![allow(dead_code)]
 
 use super::common::{class, ms};
 use maplehook_core::*;
 
-/// Seconds after which upstreams start cold.
-pub const START: f64 = 6.0;
-/// Most requests a second of a drawn day: those of more would tell nothing else.
-const RATE_MOST: f64 = 900.0;
-/// Fewest that one balancer gets on average.
-const RATE_LEAST: f64 = 0.2;
-/// Seconds that one takes at the most, alone.
-const SERVICE_MOST: f64 = 0.3;
-/// How many figures a day is drawn from.
-pub const FIGURES: usize = 31;
+/// Time at which the starting upstreams start, in seconds.
+pub const START_TIME_S: f64 = 6.0;
+/// Highest request rate of a scenario; higher rates take longer to simulate and test nothing else.
+const MAX_RATE_PER_S: f64 = 900.0;
+/// Lowest average request rate of one balancer.
+const MIN_BALANCER_RATE_PER_S: f64 = 0.2;
+/// Longest service time of a request that is served alone, in seconds.
+const MAX_SERVICE_TIME_S: f64 = 0.3;
+/// Number of values from 0 to 1 that determine a scenario.
+pub const PARAMETER_COUNT: usize = 31;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cold {
-    /// Upstreams that nobody knew.
+pub enum StartKind {
+    /// Upstreams that no balancer has seen before.
     New,
-    /// They were there before, and restart.
+    /// Upstreams that were listed before and restart.
     Restarted,
 }
 
-/// A time in which no upstream serves anything.
+/// A period in which no upstream serves any request.
 #[derive(Clone, Debug)]
 pub struct Outage {
-    pub from: f64,
-    pub lasts: f64,
-    /// How attempts end; timed out: they hang.
+    pub start_s: f64,
+    pub duration_s: f64,
+    /// Outcome of all attempts; with `TimedOut`, attempts get no answer.
     pub outcome: Outcome,
 }
 
 impl Outage {
-    pub fn until(&self) -> f64 {
-        self.from + self.lasts
+    pub fn end_s(&self) -> f64 {
+        self.start_s + self.duration_s
     }
 
-    pub fn holds(&self, now: f64) -> bool {
-        (self.from..self.until()).contains(&now)
+    pub fn is_active(&self, now: f64) -> bool {
+        (self.start_s..self.end_s()).contains(&now)
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct Scenario {
     pub seed: u64,
     pub balancers: usize,
     pub upstreams: usize,
-    pub set: Settings,
-    /// Requests a second that an upstream of size 1 can do when warm.
-    pub able: f64,
-    /// Seconds that one takes.
-    pub service: f64,
-    /// Whether one takes longer at a cold upstream, or the upstream only does fewer side by side.
-    pub slow_when_cold: bool,
-    /// Seconds of work that may wait at an upstream.
-    pub queue: f64,
-    /// Requests a second in all, before the burst.
-    pub rate: f64,
-    /// When half as many again come, for how long.
+    pub settings: Settings,
+    /// Requests a second that an upstream of size 1 serves at full capacity.
+    pub capacity_per_s: f64,
+    /// Seconds that an upstream takes to serve one request.
+    pub service_time_s: f64,
+    /// True if requests take longer during slow start; otherwise the upstream only serves fewer at a time.
+    pub has_longer_latency_in_slow_start: bool,
+    /// Seconds of work that an upstream queues before it rejects requests.
+    pub queue_limit_s: f64,
+    /// Requests a second over all balancers, outside the burst.
+    pub rate_per_s: f64,
+    /// Start and length, in seconds, of a burst with one and a half times the rate.
     pub burst: (f64, f64),
-    /// The first upstreams so many start cold.
-    pub cold: usize,
-    pub kind: Cold,
-    /// Seconds that those which restart are away.
-    pub down: f64,
-    /// The class that those which start cold never answer.
-    pub hangs_for: Option<usize>,
-    /// Seconds within which balancers are told.
-    pub late: f64,
-    /// Told by a whole list, and not by what has changed.
-    pub whole: bool,
-    /// Whether a list says when an upstream that nobody knew has started.
-    pub dated: bool,
-    /// Share of the balancers that restart in that moment, knowing nothing; by a hand-over.
-    pub fresh: f64,
-    pub handed: f64,
-    /// Of all upstreams; none is drawn.
+    /// Number of upstreams that start; they have the lowest indexes.
+    pub starting_count: usize,
+    pub start_kind: StartKind,
+    /// Seconds for which restarting upstreams are unreachable before they start.
+    pub downtime_s: f64,
+    /// Class whose requests the starting upstreams never answer.
+    pub unanswered_class: Option<usize>,
+    /// Longest delay, in seconds, until a balancer is notified of the start.
+    pub max_delay_s: f64,
+    /// True if balancers are notified by a full list rather than by the changed endpoints.
+    pub uses_full_updates: bool,
+    /// True if the list holds the start time of new upstreams.
+    pub has_start_times: bool,
+    /// Share of the balancers that restart at the same time without learned state.
+    pub restart_share: f64,
+    /// Share of the balancers that restart at the same time with the learned state of their predecessors.
+    pub handover_share: f64,
+    /// Outage of all upstreams; random scenarios have none.
     pub outage: Outage,
-    pub length: f64,
+    pub duration_s: f64,
     sizes: Vec<f64>,
     zones: usize,
-    shares: Vec<f64>,  // of the traffic, cumulated, by balancer
-    tenants: Vec<f64>, // the same by tenant
+    balancer_shares: Vec<f64>, // cumulative shares of the traffic, by balancer
+    tenant_shares: Vec<f64>,   // cumulative shares of the traffic, by tenant
 }
 
-/// One of two ends in proportion, or in proportion of the logarithm.
-fn between(x: f64, least: f64, most: f64) -> f64 {
-    least + x * (most - least)
+/// Interpolates linearly between two bounds, for `x` from 0 to 1.
+fn interpolate(x: f64, low: f64, high: f64) -> f64 {
+    low + x * (high - low)
 }
 
-fn scale(x: f64, least: f64, most: f64) -> f64 {
-    least * (most / least).powf(x)
+/// Interpolates between two bounds on a logarithmic scale, for `x` from 0 to 1.
+fn interpolate_log(x: f64, low: f64, high: f64) -> f64 {
+    low * (high / low).powf(x)
 }
 
-fn cumulated(parts: impl Iterator<Item = f64>) -> Vec<f64> {
+/// Returns the cumulative sums of the values, scaled to a total of 1.
+fn cumulative_shares(values: impl Iterator<Item = f64>) -> Vec<f64> {
     let mut sum = 0.0;
-    let mut sums: Vec<f64> = parts
-        .map(|part| {
-            sum += part;
+    let mut sums: Vec<f64> = values
+        .map(|value| {
+            sum += value;
             sum
         })
         .collect();
@@ -106,54 +109,59 @@
     sums
 }
 
-impl Day {
-    /// The day of that number.
-    pub fn numbered(balancers: usize, seed: u64) -> Self {
-        let mut chance = fastrand::Rng::with_seed(seed);
-        Self::drawn(balancers, seed, &std::array::from_fn(|_| chance.f64()))
+impl Scenario {
+    /// Returns the scenario of a seed.
+    pub fn from_seed(balancers: usize, seed: u64) -> Self {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        Self::from_parameters(balancers, seed, &std::array::from_fn(|_| rng.f64()))
     }
 
-    /// The day that figures from 0 to 1 stand for.
-    pub fn drawn(balancers: usize, seed: u64, x: &[f64; FIGURES]) -> Self {
-        let mut chance = fastrand::Rng::with_seed(seed);
-        let upstreams = scale(x[0], 3.0, 200.0) as usize;
-        let load = between(x[2], 0.2, 1.1);
+    /// Returns the scenario that the parameters `x`, each from 0 to 1, determine.
+    pub fn from_parameters(balancers: usize, seed: u64, x: &[f64; PARAMETER_COUNT]) -> Self {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let upstreams = interpolate_log(x[0], 3.0, 200.0) as usize;
+        let load = interpolate(x[2], 0.2, 1.1);
         let sizes: Vec<f64> =
-            (0..upstreams).map(|_| if x[3] < 0.5 { 1.0 } else { f64::from(1 << chance.u32(0..3)) }).collect();
-        // As many requests as are still quickly played, and as one balancer sees a few of.
-        let cores = scale(x[1], 1.0, 16.0);
-        let offered = load * sizes.iter().sum::<f64>();
-        let able = (cores / scale(x[5], 0.01, SERVICE_MOST)).min(RATE_MOST / offered);
-        let able = able.max(RATE_LEAST * balancers as f64 / offered);
-        let service = (cores / able).min(f64::max(SERVICE_MOST, 1.0 / able));
-        let rate = able * offered;
+            (0..upstreams).map(|_| if x[3] < 0.5 { 1.0 } else { f64::from(1 << rng.u32(0..3)) }).collect();
+        // The rate is low enough for a fast simulation, and high enough for each balancer to get requests.
+        let cores = interpolate_log(x[1], 1.0, 16.0);
+        let offered_load = load * sizes.iter().sum::<f64>();
+        let capacity_per_s =
+            (cores / interpolate_log(x[5], 0.01, MAX_SERVICE_TIME_S)).min(MAX_RATE_PER_S / offered_load);
+        let capacity_per_s = capacity_per_s.max(MIN_BALANCER_RATE_PER_S * balancers as f64 / offered_load);
+        let service_time_s = (cores / capacity_per_s).min(f64::max(MAX_SERVICE_TIME_S, 1.0 / capacity_per_s));
+        let rate_per_s = capacity_per_s * offered_load;
         let classes = 1 + (x[4] * 3.0) as usize;
         let effects = [
             Effect::Idempotent,
             Effect::AtMostOnce,
             Effect::Deduplicated { group: DedupGroup::All, ttl: ms(2000) },
         ];
-        let longest = between(x[6], 3.0, 20.0) * service * 1e3;
+        let max_objective_ms = interpolate(x[6], 3.0, 20.0) * service_time_s * 1e3;
         let classes = (0..classes).map(|k| {
-            let aim = (longest * (1.0 - 0.3 * k as f64)).max(60.0);
-            class(aim as u64, (aim * between(x[7], 1.2, 4.0)) as u64, effects[(k + seed as usize) % 3])
+            let objective_ms = (max_objective_ms * (1.0 - 0.3 * k as f64)).max(60.0);
+            class(
+                objective_ms as u64,
+                (objective_ms * interpolate(x[7], 1.2, 4.0)) as u64,
+                effects[(k + seed as usize) % 3],
+            )
         });
         let classes: Vec<Class> = classes.collect();
-        // What a few tenants are granted together, and what they send, are drawn one by one.
+        // The allowances and the traffic of tenants are drawn independently.
         let tenants = if x[8] < 0.1 { 0 } else { 1 + (x[8] * 5.0) as usize };
-        let granted = between(x[9], 0.45, 1.1) * rate / load;
-        let parts: Vec<f64> = (0..tenants).map(|_| 0.1 + chance.f64()).collect();
-        let sum: f64 = parts.iter().sum();
-        let allowance = |part: &f64| Tenant { allowance_per_s: granted * part / sum };
-        let cold_share = [0.0, 0.1, 0.3, 0.6][(x[10] * 3.999) as usize];
-        let set = Settings {
+        let total_allowance_per_s = interpolate(x[9], 0.45, 1.1) * rate_per_s / load;
+        let tenant_weights: Vec<f64> = (0..tenants).map(|_| 0.1 + rng.f64()).collect();
+        let sum: f64 = tenant_weights.iter().sum();
+        let allowance = |weight: &f64| Tenant { allowance_per_s: total_allowance_per_s * weight / sum };
+        let starting_share = [0.0, 0.1, 0.3, 0.6][(x[10] * 3.999) as usize];
+        let settings = Settings {
             balancers: balancers as u32,
             classes: classes.clone(),
-            tenants: parts.iter().map(allowance).collect(),
-            slow_start_min_share: between(x[11], 0.05, 0.9),
-            slow_start_window: ms(scale(x[12], 1e3, 60e3) as u64),
-            overload_multiple: between(x[13], 1.2, 5.0),
-            overload_window: ms(scale(x[14], 300.0, 5e3) as u64),
+            tenants: tenant_weights.iter().map(allowance).collect(),
+            slow_start_min_share: interpolate(x[11], 0.05, 0.9),
+            slow_start_window: ms(interpolate_log(x[12], 1e3, 60e3) as u64),
+            overload_multiple: interpolate(x[13], 1.2, 5.0),
+            overload_window: ms(interpolate_log(x[14], 300.0, 5e3) as u64),
             can_hedge: x[15] < 0.6,
             can_cancel: x[16] < 0.7,
             weights: if x[3] < 0.3 { Weights::Off } else { Weights::Size },
@@ -162,43 +170,46 @@
             prices: Prices { cross_zone: if x[18] < 0.5 { 0.0 } else { 0.02 }, ..Prices::default() },
             ..Settings::default()
         };
-        let length = START + (set.slow_start_window.as_secs_f64() + 1.0).min(9.0);
-        let skew = between(x[19], 0.0, 1.2);
+        let duration_s = START_TIME_S + (settings.slow_start_window.as_secs_f64() + 1.0).min(9.0);
+        let skew = interpolate(x[19], 0.0, 1.2);
         Self {
             seed,
             balancers,
             upstreams,
-            able,
-            service,
-            slow_when_cold: x[20] < 0.5,
-            queue: between(x[21], 0.2, 1.0),
-            rate,
-            burst: (START + between(x[22], -2.0, 4.0), between(x[23], 0.5, 5.0)),
-            cold: ((cold_share * upstreams as f64) as usize).max(1),
-            kind: if x[24] < 0.5 { Cold::New } else { Cold::Restarted },
-            down: between(x[25], 0.05, 1.5),
-            hangs_for: (x[26] > 0.8).then_some(0),
-            late: between(x[27], 0.0, 2.0),
-            whole: x[28] < 0.5,
-            // Nobody who comes anew can tell a start from a list that does not date it.
-            dated: x[28] * 4.0 % 1.0 < 0.5 || x[29] >= 0.5,
-            fresh: if x[29] < 0.5 { 0.0 } else { between(x[29], -0.5, 0.9) },
-            handed: if x[30] < 0.5 { 0.0 } else { between(x[30], -0.1, 0.1) },
-            outage: Outage { from: 0.0, lasts: 0.0, outcome: Outcome::ConnectFailed },
-            length,
-            zones: 1 + (chance.usize(0..4) % upstreams),
-            shares: cumulated((0..balancers).map(|_| (skew * 2.0 * (chance.f64() - 0.5) * 2.0).exp())),
-            tenants: cumulated((0..tenants.max(1)).map(|_| 0.1 + chance.f64())),
-            set,
+            capacity_per_s,
+            service_time_s,
+            has_longer_latency_in_slow_start: x[20] < 0.5,
+            queue_limit_s: interpolate(x[21], 0.2, 1.0),
+            rate_per_s,
+            burst: (START_TIME_S + interpolate(x[22], -2.0, 4.0), interpolate(x[23], 0.5, 5.0)),
+            starting_count: ((starting_share * upstreams as f64) as usize).max(1),
+            start_kind: if x[24] < 0.5 { StartKind::New } else { StartKind::Restarted },
+            downtime_s: interpolate(x[25], 0.05, 1.5),
+            unanswered_class: (x[26] > 0.8).then_some(0),
+            max_delay_s: interpolate(x[27], 0.0, 2.0),
+            uses_full_updates: x[28] < 0.5,
+            // A balancer that starts without learned state recognizes new upstreams only by a listed start
+            // time.
+            has_start_times: x[28] * 4.0 % 1.0 < 0.5 || x[29] >= 0.5,
+            restart_share: if x[29] < 0.5 { 0.0 } else { interpolate(x[29], -0.5, 0.9) },
+            handover_share: if x[30] < 0.5 { 0.0 } else { interpolate(x[30], -0.1, 0.1) },
+            outage: Outage { start_s: 0.0, duration_s: 0.0, outcome: Outcome::ConnectFailed },
+            duration_s,
+            zones: 1 + (rng.usize(0..4) % upstreams),
+            balancer_shares: cumulative_shares(
+                (0..balancers).map(|_| (skew * 2.0 * (rng.f64() - 0.5) * 2.0).exp()),
+            ),
+            tenant_shares: cumulative_shares((0..tenants.max(1)).map(|_| 0.1 + rng.f64())),
+            settings,
             sizes,
         }
     }
 
-    pub fn settings(&self, index: usize) -> Settings {
-        Settings { index: index as u32, zone: ZoneId((index % self.zones) as u8), ..self.set.clone() }
+    pub fn balancer_settings(&self, index: usize) -> Settings {
+        Settings { index: index as u32, zone: ZoneId((index % self.zones) as u8), ..self.settings.clone() }
     }
 
-    pub fn size(&self, j: usize) -> f64 {
+    pub fn upstream_size(&self, j: usize) -> f64 {
         self.sizes[j]
     }
 
@@ -206,14 +217,14 @@
         UpstreamId((j as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15))
     }
 
-    pub fn place(&self, id: UpstreamId) -> usize {
-        (0..self.upstreams).find(|j| self.id(*j) == id).expect("an upstream that was listed")
+    pub fn index_of(&self, id: UpstreamId) -> usize {
+        (0..self.upstreams).find(|j| self.id(*j) == id).expect("the upstream is listed")
     }
 
-    pub fn listed(&self, j: usize, told: bool) -> Endpoint {
-        let starts_cold = told && j < self.cold;
-        let started = (starts_cold && (self.dated || self.kind == Cold::Restarted))
-            .then(|| std::time::Duration::from_secs_f64(START));
+    pub fn endpoint(&self, j: usize, knows_start: bool) -> Endpoint {
+        let is_starting = knows_start && j < self.starting_count;
+        let started = (is_starting && (self.has_start_times || self.start_kind == StartKind::Restarted))
+            .then(|| std::time::Duration::from_secs_f64(START_TIME_S));
         Endpoint {
             id: self.id(j),
             zone: ZoneId((j % self.zones) as u8),
@@ -226,38 +237,47 @@
     }
 
     pub fn rate_at(&self, now: f64) -> f64 {
-        let more = (self.burst.0..self.burst.0 + self.burst.1).contains(&now);
-        self.rate * if more { 1.5 } else { 1.0 }
+        let is_in_burst = (self.burst.0..self.burst.0 + self.burst.1).contains(&now);
+        self.rate_per_s * if is_in_burst { 1.5 } else { 1.0 }
     }
 
-    pub fn balancer_of(&self, x: f64) -> usize {
-        self.shares.partition_point(|s| *s < x).min(self.balancers - 1)
+    pub fn pick_balancer(&self, x: f64) -> usize {
+        self.balancer_shares.partition_point(|s| *s < x).min(self.balancers - 1)
     }
 
-    pub fn tenant_of(&self, x: f64) -> usize {
-        self.tenants.partition_point(|s| *s < x).min(self.tenants.len() - 1)
+    pub fn pick_tenant(&self, x: f64) -> usize {
+        self.tenant_shares.partition_point(|s| *s < x).min(self.tenant_shares.len() - 1)
     }
 
-    /// The share of its work that an upstream can do so long after its start.
-    pub fn climb(&self, age: f64) -> f64 {
-        let from = self.set.slow_start_min_share;
-        from + (1.0 - from) * (age / self.set.slow_start_window.as_secs_f64()).clamp(0.0, 1.0)
+    /// Returns the share of its full capacity that an upstream has at a time since its start.
+    pub fn capacity_share(&self, age: f64) -> f64 {
+        let min_share = self.settings.slow_start_min_share;
+        min_share + (1.0 - min_share) * (age / self.settings.slow_start_window.as_secs_f64()).clamp(0.0, 1.0)
     }
 
-    /// What all together would send an upstream while it is cold if it got its part of the traffic for what it can do.
-    pub fn fair(&self, j: usize) -> f64 {
-        let cold_for = self.set.slow_start_window.as_secs_f64().min(self.length - START);
-        let each = self.rate * self.size(j) / self.sizes.iter().sum::<f64>();
-        each * cold_for * 0.5 * (self.climb(0.0) + self.climb(cold_for))
+    /// Returns the requests that an upstream would receive during slow start if traffic were proportional to
+    /// capacity.
+    pub fn fair_request_count(&self, j: usize) -> f64 {
+        let slow_start_s = self.settings.slow_start_window.as_secs_f64().min(self.duration_s - START_TIME_S);
+        let requests_per_s = self.rate_per_s * self.upstream_size(j) / self.sizes.iter().sum::<f64>();
+        requests_per_s * slow_start_s * 0.5 * (self.capacity_share(0.0) + self.capacity_share(slow_start_s))
     }
 
-    /// What pushes an upstream over that gets more of it in one fall time from that age on.
-    pub fn bound(&self, j: usize, age: f64) -> f64 {
-        let (over, warm) = (self.set.overload_window.as_secs_f64(), self.set.slow_start_window.as_secs_f64());
-        // The mean of a line that turns level once warm.
-        let rises = (warm - age).clamp(0.0, over);
-        let mean = (rises * 0.5 * (self.climb(age) + self.climb(age + rises)) + (over - rises)) / over;
-        let n = self.set.overload_multiple * self.able * self.size(j) * mean * over;
-        n + 2.0 * n.sqrt() + 2.0
+    /// Returns the requests within one overload window that overload an upstream, from an age in seconds.
+    pub fn overload_bound(&self, j: usize, age: f64) -> f64 {
+        let (window_s, slow_start_s) =
+            (self.settings.overload_window.as_secs_f64(), self.settings.slow_start_window.as_secs_f64());
+        // The mean of the capacity share, which rises linearly until slow start ends and is constant
+        // afterwards.
+        let rise_s = (slow_start_s - age).clamp(0.0, window_s);
+        let mean_share = (rise_s * 0.5 * (self.capacity_share(age) + self.capacity_share(age + rise_s))
+            + (window_s - rise_s))
+            / window_s;
+        let requests = self.settings.overload_multiple
+            * self.capacity_per_s
+            * self.upstream_size(j)
+            * mean_share
+            * window_s;
+        requests + 2.0 * requests.sqrt() + 2.0
     }
 }
--- a/crates/core/tests/common/simulation.rs
+++ b/crates/core/tests/common/simulation.rs
@@ -1,283 +1,307 @@
-//! Many balancers side by side in emulated time, before upstreams that are queues: what one after another sends to
-//! those that have just started is added up.
+//! Simulates balancers and queueing upstreams, and measures the load on upstreams that have just started.
 #![allow(dead_code)]
 
-use super::day::{Cold, Day, START};
+use super::scenario::{START_TIME_S, Scenario, StartKind};
 use maplehook_core::*;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Time for the news that an upstream refuses, or that a cancelled attempt is gone.
-const AT_ONCE: f64 = 0.001;
-/// Requests that have to be turned away, and seconds on end, for a balancer that serves nothing.
-const DARK_ASKED: u32 = 15;
-const DARK_OVER: f64 = 4.0;
+/// Seconds until a balancer receives a rejection, a connection failure or the end of a cancelled attempt.
+const NOTIFICATION_DELAY_S: f64 = 0.001;
+/// Requests received without progress after which a balancer counts as stalled.
+/// Seconds without progress after which a balancer counts as stalled.
+const MIN_STALL_REQUESTS: u32 = 15;
+const MIN_STALL_S: f64 = 4.0;
 
-enum Happening {
+enum Scheduled {
     Arrival,
-    /// The upstreams that start cold have gone.
-    Crash,
-    /// They are back, or new ones come.
+    /// The upstreams that are going to restart stop.
+    Stop,
+    /// The upstreams of the scenario start.
     Start,
-    /// A balancer is told of the start.
-    Told(usize),
+    /// A balancer is notified of the start.
+    StartNotification(usize),
     Timer(usize, TimerId),
-    Ended(usize, RequestId, usize, Outcome),
+    AttemptEnd(usize, RequestId, usize, Outcome),
 }
 
-/// What became of one request.
-struct Open {
+/// A request that a balancer has in flight.
+struct RequestState {
     deadline: f64,
     class: usize,
-    answered: bool,
-    attempts: Vec<(usize, f64, bool)>, // upstream, since when, ended
+    is_answered: bool,
+    attempts: Vec<(usize, f64, bool)>, // upstream, time of the attempt, whether the attempt has ended
 }
 
-/// How long requests have come to a balancer with nothing in between that it did for one.
+/// Counts the requests that a balancer has received since its last progress.
 #[derive(Default)]
-struct Dark {
-    asked: u32,
+struct StallDetector {
+    requests: u32,
     since: f64,
 }
 
-impl Dark {
-    /// One more has come. Whether that makes it too long, counted from some time on; it is counted anew then.
-    fn is_too_long(&mut self, now: f64, from: f64) -> bool {
-        if self.asked == 0 || self.since < from {
-            (self.asked, self.since) = (0, now);
+impl StallDetector {
+    /// Counts a request. Returns true, and restarts the count, if the balancer has stalled since `from`.
+    fn record_request(&mut self, now: f64, from: f64) -> bool {
+        if self.requests == 0 || self.since < from {
+            (self.requests, self.since) = (0, now);
         }
-        self.asked += 1;
-        let too_long = self.asked >= DARK_ASKED && now - self.since >= DARK_OVER;
-        if too_long {
-            self.asked = 0;
+        self.requests += 1;
+        let is_stalled = self.requests >= MIN_STALL_REQUESTS && now - self.since >= MIN_STALL_S;
+        if is_stalled {
+            self.requests = 0;
         }
-        too_long
+        is_stalled
     }
 }
 
-/// One balancer and what it is seen to do.
-struct Player {
+/// A balancer with its requests in flight.
+struct SimulatedBalancer {
     balancer: Balancer,
-    life: u32,
-    told: bool,
-    open: HashMap<RequestId, Open>,
-    unsent: Dark,
-    unserved: Dark,
+    generation: u32,
+    is_notified: bool,
+    requests: HashMap<RequestId, RequestState>,
+    attempt_stall: StallDetector,
+    service_stall: StallDetector,
 }
 
-/// An upstream: a queue that takes one request after another.
-struct Server {
+/// An upstream, which serves requests one after another.
+struct SimulatedUpstream {
     free_at: f64,
-    busy: f64, // share of its time in use, fading
-    busy_at: f64,
+    utilization: f64, // share of time in use, decaying exponentially
+    utilization_at: f64,
 }
 
-/// What was seen of the upstreams that started cold.
+/// Attempts at starting upstreams, and stalls of balancers, in one simulation.
 #[derive(Default)]
-pub struct Seen {
-    /// By upstream: when something was sent there by a balancer that had been told, in order.
-    pub told: Vec<Vec<f64>>,
-    /// Sent there by others.
-    pub untold: usize,
-    /// Requests that came and that were answered, from the start on.
-    pub asked: usize,
+pub struct Measurements {
+    /// Times, in order, of attempts at each starting upstream by balancers that were notified of the start.
+    pub notified_attempts: Vec<Vec<f64>>,
+    /// Attempts at starting upstreams by balancers that were not yet notified.
+    pub unnotified_attempts: usize,
+    /// Requests received and requests served since the start of the upstreams.
+    pub requests: usize,
     pub served: usize,
-    /// How often a balancer sent nothing for too long, and served nothing while all upstreams were well.
-    pub unsent: usize,
-    pub unserved: usize,
+    /// Stalls without any attempt, and stalls without any served request, outside of outages.
+    pub attempt_stalls: usize,
+    pub service_stalls: usize,
 }
 
-pub struct World<'a> {
-    day: &'a Day,
+pub struct Simulation<'a> {
+    scenario: &'a Scenario,
     now: f64,
-    next: u64,
-    events: BTreeMap<(u64, u64), (u32, Happening)>,
-    players: Vec<Player>,
-    servers: Vec<Server>,
-    chance: fastrand::Rng,
-    seen: Seen,
+    next_id: u64,
+    events: BTreeMap<(u64, u64), (u32, Scheduled)>,
+    balancers: Vec<SimulatedBalancer>,
+    upstreams: Vec<SimulatedUpstream>,
+    rng: fastrand::Rng,
+    measurements: Measurements,
     actions: Vec<Action>,
 }
 
-/// Plays a day.
-pub fn play(day: &Day) -> Seen {
-    let mut world = World::new(day);
-    world.run();
-    world.seen
+/// Simulates a scenario.
+pub fn simulate(scenario: &Scenario) -> Measurements {
+    let mut simulation = Simulation::new(scenario);
+    simulation.run();
+    simulation.measurements
 }
 
-impl<'a> World<'a> {
-    fn new(day: &'a Day) -> Self {
-        let server = |_| Server { free_at: 0.0, busy: 0.0, busy_at: 0.0 };
-        let mut world = Self {
-            day,
+impl<'a> Simulation<'a> {
+    fn new(scenario: &'a Scenario) -> Self {
+        let upstream = |_| SimulatedUpstream { free_at: 0.0, utilization: 0.0, utilization_at: 0.0 };
+        let mut simulation = Self {
+            scenario,
             now: 0.0,
-            next: 0,
+            next_id: 0,
             events: BTreeMap::new(),
-            players: Vec::new(),
-            servers: (0..day.upstreams).map(server).collect(),
-            chance: fastrand::Rng::with_seed(day.seed),
-            seen: Seen { told: vec![Vec::new(); day.cold], ..Seen::default() },
+            balancers: Vec::new(),
+            upstreams: (0..scenario.upstreams).map(upstream).collect(),
+            rng: fastrand::Rng::with_seed(scenario.seed),
+            measurements: Measurements {
+                notified_attempts: vec![Vec::new(); scenario.starting_count],
+                ..Measurements::default()
+            },
             actions: Vec::new(),
         };
-        for index in 0..day.balancers {
-            let balancer = world.balancer(index);
-            let open = HashMap::new();
-            let (unsent, unserved) = (Dark::default(), Dark::default());
-            world.players.push(Player { balancer, life: 0, told: false, open, unsent, unserved });
-            let listed = world.list(index);
-            world.tell(index, Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &listed });
+        for index in 0..scenario.balancers {
+            let balancer = simulation.new_balancer(index);
+            let requests = HashMap::new();
+            let (attempt_stall, service_stall) = (StallDetector::default(), StallDetector::default());
+            simulation.balancers.push(SimulatedBalancer {
+                balancer,
+                generation: 0,
+                is_notified: false,
+                requests,
+                attempt_stall,
+                service_stall,
+            });
+            let known = simulation.known_endpoints(index);
+            simulation.handle(index, Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &known });
         }
-        world.at(0.0, 0, Happening::Arrival);
-        if day.kind == Cold::Restarted {
-            world.at(START - day.down, 0, Happening::Crash);
+        simulation.schedule(0.0, 0, Scheduled::Arrival);
+        if scenario.start_kind == StartKind::Restarted {
+            simulation.schedule(START_TIME_S - scenario.downtime_s, 0, Scheduled::Stop);
         }
-        world.at(START, 0, Happening::Start);
-        world
+        simulation.schedule(START_TIME_S, 0, Scheduled::Start);
+        simulation
     }
 
-    fn balancer(&mut self, index: usize) -> Balancer {
-        let set = self.day.settings(index);
-        Balancer::new(set, self.chance.u64(..)).expect("settings permit decisions")
+    fn new_balancer(&mut self, index: usize) -> Balancer {
+        let settings = self.scenario.balancer_settings(index);
+        Balancer::new(settings, self.rng.u64(..)).expect("the settings are valid")
     }
 
-    fn at(&mut self, when: f64, life: u32, happening: Happening) {
-        self.next += 1;
-        self.events.insert(((when.max(self.now) * 1e9) as u64, self.next), (life, happening));
+    fn schedule(&mut self, when: f64, generation: u32, event: Scheduled) {
+        self.next_id += 1;
+        self.events.insert(((when.max(self.now) * 1e9) as u64, self.next_id), (generation, event));
     }
 
     fn run(&mut self) {
-        while let Some(((when, _), (life, happening))) = self.events.pop_first() {
+        while let Some(((when, _), (generation, event))) = self.events.pop_first() {
             self.now = when as f64 / 1e9;
-            if self.now > self.day.length {
+            if self.now > self.scenario.duration_s {
                 return;
             }
-            match happening {
-                Happening::Arrival => self.arrival(),
-                Happening::Crash => self.crash(),
-                Happening::Start => self.start(),
-                Happening::Told(b) => self.told(b, life),
-                Happening::Timer(b, timer) if self.players[b].life == life => {
-                    self.tell(b, Event::Timer { timer });
+            match event {
+                Scheduled::Arrival => self.receive_request(),
+                Scheduled::Stop => self.stop_upstreams(),
+                Scheduled::Start => self.start_upstreams(),
+                Scheduled::StartNotification(b) => self.notify_balancer(b, generation),
+                Scheduled::Timer(b, timer) if self.balancers[b].generation == generation => {
+                    self.handle(b, Event::Timer { timer });
                 }
-                Happening::Ended(b, id, k, outcome) if self.players[b].life == life => {
-                    self.ended(b, id, k, outcome);
+                Scheduled::AttemptEnd(b, id, k, outcome) if self.balancers[b].generation == generation => {
+                    self.end_attempt(b, id, k, outcome);
                 }
                 _ => {}
             }
         }
     }
 
-    /// The list as a balancer has it from now on.
-    fn list(&self, index: usize) -> Vec<Endpoint> {
-        let told = self.players[index].told;
-        let present = |j: &usize| told || self.day.kind == Cold::Restarted || *j >= self.day.cold;
-        (0..self.day.upstreams).filter(present).map(|j| self.day.listed(j, told)).collect()
+    /// Returns the endpoints that a balancer knows at this time.
+    fn known_endpoints(&self, index: usize) -> Vec<Endpoint> {
+        let is_notified = self.balancers[index].is_notified;
+        let known = |j: &usize| {
+            is_notified
+                || self.scenario.start_kind == StartKind::Restarted
+                || *j >= self.scenario.starting_count
+        };
+        (0..self.scenario.upstreams).filter(known).map(|j| self.scenario.endpoint(j, is_notified)).collect()
     }
 
-    fn arrival(&mut self) {
-        let rate = self.day.rate_at(self.now);
-        let gap = -self.chance.f64().max(1e-12).ln() / rate;
-        self.at(self.now + gap, 0, Happening::Arrival);
-        let b = self.day.balancer_of(self.chance.f64());
-        let tenant = self.day.tenant_of(self.chance.f64());
-        let class = self.chance.usize(..self.day.set.classes.len());
-        let time_left = self.day.set.classes[class].deadline;
-        self.next += 1;
-        let id = RequestId(self.next as u32);
-        let open = Open {
+    fn receive_request(&mut self) {
+        let rate_per_s = self.scenario.rate_at(self.now);
+        let gap = -self.rng.f64().max(1e-12).ln() / rate_per_s;
+        self.schedule(self.now + gap, 0, Scheduled::Arrival);
+        let b = self.scenario.pick_balancer(self.rng.f64());
+        let tenant = self.scenario.pick_tenant(self.rng.f64());
+        let class = self.rng.usize(..self.scenario.settings.classes.len());
+        let time_left = self.scenario.settings.classes[class].deadline;
+        self.next_id += 1;
+        let id = RequestId(self.next_id as u32);
+        let request = RequestState {
             deadline: self.now + time_left.as_secs_f64(),
             class,
-            answered: false,
+            is_answered: false,
             attempts: Vec::new(),
         };
-        let player = &mut self.players[b];
-        player.open.insert(id, open);
-        let from = START.max(self.day.outage.until());
-        self.seen.unsent += usize::from(player.unsent.is_too_long(self.now, from));
-        self.seen.unserved += usize::from(player.unserved.is_too_long(self.now, from));
-        self.seen.asked += usize::from(self.now >= START);
+        let state = &mut self.balancers[b];
+        state.requests.insert(id, request);
+        let from = START_TIME_S.max(self.scenario.outage.end_s());
+        self.measurements.attempt_stalls += usize::from(state.attempt_stall.record_request(self.now, from));
+        self.measurements.service_stalls += usize::from(state.service_stall.record_request(self.now, from));
+        self.measurements.requests += usize::from(self.now >= START_TIME_S);
         let (class, tenant) = (ClassId(class as u16), TenantId(tenant as u32));
-        self.tell(b, Event::Request { id, class, tenant, time_left, work_ms: None, is_repeat: false });
+        self.handle(b, Event::Request { id, class, tenant, time_left, work_ms: None, is_repeat: false });
     }
 
-    fn crash(&mut self) {
-        for b in 0..self.players.len() {
-            let mut broken = Vec::new();
-            for (id, open) in &self.players[b].open {
-                let there = open.attempts.iter().enumerate().filter(|(_, a)| a.0 < self.day.cold && !a.2);
-                broken.extend(there.map(|(k, _)| (*id, k)));
+    fn stop_upstreams(&mut self) {
+        for b in 0..self.balancers.len() {
+            let mut interrupted = Vec::new();
+            for (id, request) in &self.balancers[b].requests {
+                let open_attempts = request
+                    .attempts
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, a)| a.0 < self.scenario.starting_count && !a.2);
+                interrupted.extend(open_attempts.map(|(k, _)| (*id, k)));
             }
-            broken.sort();
-            for (id, k) in broken {
-                self.at(self.now, self.players[b].life, Happening::Ended(b, id, k, Outcome::Reset));
+            interrupted.sort();
+            for (id, k) in interrupted {
+                self.schedule(
+                    self.now,
+                    self.balancers[b].generation,
+                    Scheduled::AttemptEnd(b, id, k, Outcome::Reset),
+                );
             }
         }
     }
 
-    /// Some balancers end in the same moment, and others follow them.
-    fn start(&mut self) {
-        self.servers[..self.day.cold].iter_mut().for_each(|s| s.free_at = self.now);
-        for b in 0..self.players.len() {
-            let fate = self.chance.f64();
-            if fate < self.day.fresh + self.day.handed {
-                let heritage = (fate >= self.day.fresh).then(|| self.players[b].balancer.learned_state());
-                let listed_before = self.list(b);
-                let balancer = self.balancer(b);
-                let player = &mut self.players[b];
-                player.balancer = balancer;
-                player.life += 1;
-                player.open.clear();
-                if let Some(heritage) = &heritage {
-                    self.tell(
+    /// Starts the upstreams. Some balancers restart too, without state or with that of their predecessor.
+    fn start_upstreams(&mut self) {
+        self.upstreams[..self.scenario.starting_count].iter_mut().for_each(|s| s.free_at = self.now);
+        for b in 0..self.balancers.len() {
+            let draw = self.rng.f64();
+            if draw < self.scenario.restart_share + self.scenario.handover_share {
+                let learned_state =
+                    (draw >= self.scenario.restart_share).then(|| self.balancers[b].balancer.learned_state());
+                let previous = self.known_endpoints(b);
+                let balancer = self.new_balancer(b);
+                let state = &mut self.balancers[b];
+                state.balancer = balancer;
+                state.generation += 1;
+                state.requests.clear();
+                if let Some(learned_state) = &learned_state {
+                    self.handle(
                         b,
-                        Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &listed_before },
+                        Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &previous },
                     );
-                    self.tell(b, Event::LearnedStateRestored { learned: heritage });
+                    self.handle(b, Event::LearnedStateRestored { learned: learned_state });
                 } else {
-                    self.players[b].told = true;
-                    let listed = self.list(b);
-                    self.tell(b, Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &listed });
+                    self.balancers[b].is_notified = true;
+                    let known = self.known_endpoints(b);
+                    self.handle(b, Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &known });
                 }
             }
-            let (life, late) = (self.players[b].life, self.day.late * self.chance.f64());
-            self.at(self.now + late, life, Happening::Told(b));
+            let (generation, delay_s) =
+                (self.balancers[b].generation, self.scenario.max_delay_s * self.rng.f64());
+            self.schedule(self.now + delay_s, generation, Scheduled::StartNotification(b));
         }
     }
 
-    fn told(&mut self, b: usize, life: u32) {
-        if self.players[b].life != life || self.players[b].told {
+    fn notify_balancer(&mut self, b: usize, generation: u32) {
+        if self.balancers[b].generation != generation || self.balancers[b].is_notified {
             return;
         }
-        self.players[b].told = true;
-        let listed = self.list(b);
-        if self.day.whole {
-            self.tell(b, Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &listed });
+        self.balancers[b].is_notified = true;
+        let known = self.known_endpoints(b);
+        if self.scenario.uses_full_updates {
+            self.handle(b, Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &known });
         } else {
-            let new = &listed[..self.day.cold];
-            self.tell(b, Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: new });
+            let changed = &known[..self.scenario.starting_count];
+            self.handle(b, Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: changed });
         }
     }
 
-    fn tell(&mut self, b: usize, event: Event<'_>) {
+    fn handle(&mut self, b: usize, event: Event<'_>) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.players[b].balancer.handle(Duration::from_secs_f64(self.now), event, &mut actions);
-        let life = self.players[b].life;
+        self.balancers[b].balancer.handle(Duration::from_secs_f64(self.now), event, &mut actions);
+        let generation = self.balancers[b].generation;
         for action in actions.drain(..) {
             match action {
                 Action::Timer { after, timer } => {
-                    self.at(self.now + after.as_secs_f64(), life, Happening::Timer(b, timer));
+                    self.schedule(self.now + after.as_secs_f64(), generation, Scheduled::Timer(b, timer));
                 }
-                Action::Attempt { id, upstream, timeout } => self.sent(b, id, upstream, timeout),
+                Action::Attempt { id, upstream, timeout } => self.record_attempt(b, id, upstream, timeout),
                 Action::Cancel { id, attempt } => {
-                    let ended = Happening::Ended(b, id, usize::from(attempt.0), Outcome::Cancelled);
-                    self.at(self.now + AT_ONCE, life, ended);
+                    let ended = Scheduled::AttemptEnd(b, id, usize::from(attempt.0), Outcome::Cancelled);
+                    self.schedule(self.now + NOTIFICATION_DELAY_S, generation, ended);
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
-                    if let Some(open) = self.players[b].open.get_mut(&id) {
-                        open.answered = true;
+                    if let Some(request) = self.balancers[b].requests.get_mut(&id) {
+                        request.is_answered = true;
                     }
-                    self.forget(b, id);
+                    self.remove_finished(b, id);
                 }
                 _ => {}
             }
@@ -285,89 +309,92 @@
         self.actions = actions;
     }
 
-    fn sent(&mut self, b: usize, id: RequestId, upstream: UpstreamId, timeout: Option<Duration>) {
-        let j = self.day.place(upstream);
-        let player = &mut self.players[b];
-        player.unsent.asked = 0;
-        let (life, told) = (player.life, player.told);
-        let Some(open) = player.open.get_mut(&id) else { return };
-        open.attempts.push((j, self.now, false));
-        let (k, class) = (open.attempts.len() - 1, open.class);
-        let until = timeout.map_or(f64::INFINITY, |t| self.now + t.as_secs_f64()).min(open.deadline);
-        let starts_cold = j < self.day.cold;
-        if starts_cold && self.now >= START {
-            if told {
-                self.seen.told[j].push(self.now);
+    fn record_attempt(&mut self, b: usize, id: RequestId, upstream: UpstreamId, timeout: Option<Duration>) {
+        let j = self.scenario.index_of(upstream);
+        let state = &mut self.balancers[b];
+        state.attempt_stall.requests = 0;
+        let (generation, is_notified) = (state.generation, state.is_notified);
+        let Some(request) = state.requests.get_mut(&id) else { return };
+        request.attempts.push((j, self.now, false));
+        let (k, class) = (request.attempts.len() - 1, request.class);
+        let end = timeout.map_or(f64::INFINITY, |t| self.now + t.as_secs_f64()).min(request.deadline);
+        let is_starting = j < self.scenario.starting_count;
+        if is_starting && self.now >= START_TIME_S {
+            if is_notified {
+                self.measurements.notified_attempts[j].push(self.now);
             } else {
-                self.seen.untold += 1;
+                self.measurements.unnotified_attempts += 1;
             }
         }
-        let (when, outcome) = self.serve(j, class, starts_cold);
-        let (when, outcome) = if when > until { (until, Outcome::TimedOut) } else { (when, outcome) };
-        self.at(when, life, Happening::Ended(b, id, k, outcome));
+        let (when, outcome) = self.serve(j, class, is_starting);
+        let (when, outcome) = if when > end { (end, Outcome::TimedOut) } else { (when, outcome) };
+        self.schedule(when, generation, Scheduled::AttemptEnd(b, id, k, outcome));
     }
 
-    /// When an upstream answers, and what.
-    fn serve(&mut self, j: usize, class: usize, starts_cold: bool) -> (f64, Outcome) {
-        let day = self.day;
-        let down = day.kind == Cold::Restarted && (START - day.down..START).contains(&self.now);
-        if starts_cold && down {
-            return (self.now + AT_ONCE, Outcome::ConnectFailed);
+    /// Returns the time and the outcome of an attempt at an upstream.
+    fn serve(&mut self, j: usize, class: usize, is_starting: bool) -> (f64, Outcome) {
+        let scenario = self.scenario;
+        let is_down = scenario.start_kind == StartKind::Restarted
+            && (START_TIME_S - scenario.downtime_s..START_TIME_S).contains(&self.now);
+        if is_starting && is_down {
+            return (self.now + NOTIFICATION_DELAY_S, Outcome::ConnectFailed);
         }
-        if starts_cold && self.now >= START && day.hangs_for == Some(class) {
+        if is_starting && self.now >= START_TIME_S && scenario.unanswered_class == Some(class) {
             return (f64::INFINITY, Outcome::TimedOut);
         }
-        if day.outage.holds(self.now) {
-            return match day.outage.outcome {
+        if scenario.outage.is_active(self.now) {
+            return match scenario.outage.outcome {
                 Outcome::TimedOut => (f64::INFINITY, Outcome::TimedOut),
-                outcome => (self.now + AT_ONCE, outcome),
+                outcome => (self.now + NOTIFICATION_DELAY_S, outcome),
             };
         }
-        let climb = if starts_cold { day.climb(self.now - START) } else { 1.0 };
-        let rate = day.size(j) * day.able * climb;
-        let server = &mut self.servers[j];
-        server.busy *= (server.busy_at - self.now).exp();
-        server.busy_at = self.now;
-        if server.free_at - self.now > day.queue {
-            return (self.now + AT_ONCE, Outcome::Rejected);
+        let capacity_share = if is_starting { scenario.capacity_share(self.now - START_TIME_S) } else { 1.0 };
+        let rate_per_s = scenario.upstream_size(j) * scenario.capacity_per_s * capacity_share;
+        let upstream = &mut self.upstreams[j];
+        upstream.utilization *= (upstream.utilization_at - self.now).exp();
+        upstream.utilization_at = self.now;
+        if upstream.free_at - self.now > scenario.queue_limit_s {
+            return (self.now + NOTIFICATION_DELAY_S, Outcome::Rejected);
         }
-        server.busy += 1.0 / rate;
-        server.free_at = server.free_at.max(self.now) + 1.0 / rate;
-        let work = day.service * (0.5 + self.chance.f64()) / if day.slow_when_cold { climb } else { 1.0 };
-        ((self.now + work).max(server.free_at), Outcome::Ok)
+        upstream.utilization += 1.0 / rate_per_s;
+        upstream.free_at = upstream.free_at.max(self.now) + 1.0 / rate_per_s;
+        let service_time_s = scenario.service_time_s * (0.5 + self.rng.f64())
+            / if scenario.has_longer_latency_in_slow_start { capacity_share } else { 1.0 };
+        ((self.now + service_time_s).max(upstream.free_at), Outcome::Ok)
     }
 
-    fn ended(&mut self, b: usize, id: RequestId, k: usize, outcome: Outcome) {
-        let player = &mut self.players[b];
-        let Some(open) = player.open.get_mut(&id).filter(|o| !o.attempts[k].2) else { return };
-        let (j, since, _) = open.attempts[k];
-        open.attempts[k].2 = true;
-        let served = outcome == Outcome::Ok && !open.answered;
-        open.answered |= served;
+    fn end_attempt(&mut self, b: usize, id: RequestId, k: usize, outcome: Outcome) {
+        let state = &mut self.balancers[b];
+        let Some(request) = state.requests.get_mut(&id).filter(|o| !o.attempts[k].2) else { return };
+        let (j, sent_at, _) = request.attempts[k];
+        request.attempts[k].2 = true;
+        let served = outcome == Outcome::Ok && !request.is_answered;
+        request.is_answered |= served;
         if outcome == Outcome::Ok {
-            player.unserved.asked = 0;
+            state.service_stall.requests = 0;
         }
-        self.seen.served += usize::from(served && self.now >= START);
-        let report = [self.servers[j].busy.min(1.0) as f32];
-        let report = if outcome == Outcome::Ok { &report[..self.day.set.report_fields.len()] } else { &[] };
-        let finished = open.answered;
+        self.measurements.served += usize::from(served && self.now >= START_TIME_S);
+        let report = [self.upstreams[j].utilization.min(1.0) as f32];
+        let report =
+            if outcome == Outcome::Ok { &report[..self.scenario.settings.report_fields.len()] } else { &[] };
+        let finished = request.is_answered;
         let ended = Event::AttemptEnded {
             id,
             attempt: AttemptNo(k as u8),
-            upstream: self.day.id(j),
+            upstream: self.scenario.id(j),
             outcome,
-            latency: Duration::from_secs_f64(self.now - since),
+            latency: Duration::from_secs_f64(self.now - sent_at),
             is_finished: finished,
             report,
         };
-        self.tell(b, ended);
-        self.forget(b, id);
+        self.handle(b, ended);
+        self.remove_finished(b, id);
     }
 
-    fn forget(&mut self, b: usize, id: RequestId) {
-        let open = &mut self.players[b].open;
-        if open.get(&id).is_some_and(|o| o.answered && o.attempts.iter().all(|a| a.2)) {
-            open.remove(&id);
+    fn remove_finished(&mut self, b: usize, id: RequestId) {
+        let requests = &mut self.balancers[b].requests;
+        if requests.get(&id).is_some_and(|o| o.is_answered && o.attempts.iter().all(|a| a.2)) {
+            requests.remove(&id);
         }
     }
 }
--- a/crates/core/tests/discovery_calls.rs
+++ b/crates/core/tests/discovery_calls.rs
@@ -1,4 +1,5 @@
-//! How the list is asked for: in time, whatever hangs, is refused or falls silent, and seldom enough for one service.
+//! Timing of discovery calls. Calls have to be early enough even if the discovery service hangs, rejects
+//! calls or goes silent, and spread out enough for a single service.
 
 mod common;
 use common::*;
@@ -9,161 +10,173 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// The step of these worlds' clocks.
+/// Step of the simulated clock.
 const STEP: Duration = Duration::from_millis(5);
-/// The module's tick and a step: how late a call may be made after its time.
-const LATE: Duration = Duration::from_millis(30);
-/// Part of the settings' time for asking within which an answer is heard for sure: after that a call may be made again.
-const HEARD: f64 = 0.7;
+/// Longest delay of a call after it is due: one tick of the balancer and one step of the clock.
+const MAX_CALL_DELAY: Duration = Duration::from_millis(30);
+/// Share of the poll interval within which each answer arrives; a call may be repeated after that.
+const ANSWERED_SHARE: f64 = 0.7;
 
-/// What the list service does for some time.
+/// Behavior of the discovery service for some time.
 #[derive(Clone, Copy, Debug)]
 enum Service {
-    /// Answers each call after this long.
+    /// Answers each call after this time.
     Up(Duration),
-    /// The same, but for the first call, which it refuses.
-    UpAfterRefusal(Duration),
-    /// Refuses each call at once; watches end.
-    Refuses,
-    /// Says nothing, and never answers what was asked meanwhile; watches fall silent.
+    /// Rejects the first call, then answers each call after this time.
+    RejectsOnce(Duration),
+    /// Rejects each call at once and ends open watches.
+    Rejects,
+    /// Answers neither new nor pending calls, and sends nothing on open watches.
     Hangs,
-    /// Watches that are open end; else it is up.
-    Resets(Duration),
-    /// Watches that are open fall silent for good; else it is up.
-    Silences(Duration),
+    /// Ends open watches, and answers new calls after this time.
+    EndsWatches(Duration),
+    /// Sends nothing more on open watches, and answers new calls after this time.
+    SilencesWatches(Duration),
 }
 
 impl Service {
-    fn answers_in(self) -> Option<Duration> {
+    fn answer_delay(self) -> Option<Duration> {
         match self {
-            Self::Up(d) | Self::UpAfterRefusal(d) | Self::Resets(d) | Self::Silences(d) => Some(d),
-            Self::Refuses | Self::Hangs => None,
+            Self::Up(d) | Self::RejectsOnce(d) | Self::EndsWatches(d) | Self::SilencesWatches(d) => Some(d),
+            Self::Rejects | Self::Hangs => None,
         }
     }
 }
 
-/// A call, or the watch that it has become.
+/// State of the current call, or of the watch that it has opened.
 #[derive(Clone, Copy, Debug)]
 enum Call {
     None,
-    /// Made; it is answered then, if at all.
-    Out(Duration, Option<Duration>),
-    /// Open.
+    /// Time of the call, and time of its answer if it gets one.
+    Pending(Duration, Option<Duration>),
+    /// The watch is open and works.
     Watch,
-    /// Broken, and found to be so then.
-    Silent(Duration),
+    /// The watch is silent; the balancer detects it at this time.
+    SilentWatch(Duration),
 }
 
-struct World {
-    bench: Bench,
+struct Simulation {
+    harness: Harness,
     call: Call,
-    ask_every: Duration,
-    made: usize,
-    /// The service can be reached, and no watch on it works, since then.
-    blind_since: Option<Duration>,
-    longest_blind: Duration,
+    poll_interval: Duration,
+    call_count: usize,
+    /// Time since which the service is reachable but no watch works.
+    no_watch_since: Option<Duration>,
+    max_time_without_watch: Duration,
 }
 
-impl World {
+impl Simulation {
     fn new(settings: Settings, seed: u64) -> Self {
-        let ask_every = settings.endpoint_poll_interval;
-        let mut bench = Bench::new(settings.clone(), &[]);
-        bench.balancer = Balancer::new(settings, seed).unwrap();
-        bench.timers.clear();
-        bench.tell(Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &[listed(1)] });
-        Self { bench, call: Call::None, ask_every, made: 0, blind_since: None, longest_blind: Duration::ZERO }
+        let poll_interval = settings.endpoint_poll_interval;
+        let mut harness = Harness::new(settings.clone(), &[]);
+        harness.balancer = Balancer::new(settings, seed).unwrap();
+        harness.timers.clear();
+        harness.handle(Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &[endpoint(1)] });
+        Self {
+            harness,
+            call: Call::None,
+            poll_interval,
+            call_count: 0,
+            no_watch_since: None,
+            max_time_without_watch: Duration::ZERO,
+        }
     }
 
-    fn failed(&mut self) {
+    fn fail_call(&mut self) {
         self.call = Call::None;
-        self.bench.tell(Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] });
+        self.harness.handle(Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] });
     }
 
-    /// The service changes.
-    fn turns(&mut self, service: Service) {
-        let now = self.bench.now;
+    /// Switches to another behavior of the service.
+    fn switch_service(&mut self, service: Service) {
+        let now = self.harness.now;
         match (service, self.call) {
-            (Service::Refuses | Service::Resets(_), Call::Watch) => {
-                self.failed();
-                self.blind_since = Some(now);
+            (Service::Rejects | Service::EndsWatches(_), Call::Watch) => {
+                self.fail_call();
+                self.no_watch_since = Some(now);
             }
-            (Service::Refuses, Call::Out(..)) => self.failed(),
-            (Service::Hangs | Service::Silences(_), Call::Watch) => {
-                self.call = Call::Silent(now + WATCH_IDLE_TIMEOUT);
-                self.blind_since = Some(now);
+            (Service::Rejects, Call::Pending(..)) => self.fail_call(),
+            (Service::Hangs | Service::SilencesWatches(_), Call::Watch) => {
+                self.call = Call::SilentWatch(now + WATCH_IDLE_TIMEOUT);
+                self.no_watch_since = Some(now);
             }
-            (Service::Hangs, Call::Out(made, _)) => self.call = Call::Out(made, None),
+            (Service::Hangs, Call::Pending(called_at, _)) => self.call = Call::Pending(called_at, None),
             _ => {}
         }
-        if service.answers_in().is_none() {
-            self.blind_since = None;
+        if service.answer_delay().is_none() {
+            self.no_watch_since = None;
         } else if !matches!(self.call, Call::Watch) {
-            self.blind_since = self.blind_since.or(Some(now));
+            self.no_watch_since = self.no_watch_since.or(Some(now));
         }
     }
 
-    /// Lives for so long with this service; `refused`: it has yet to refuse a call.
-    fn live(&mut self, service: Service, span: Duration) {
-        self.turns(service);
-        // A call that hangs from before is trouble enough for one return.
-        let hung = matches!(self.call, Call::Out(..) | Call::Silent(_));
-        let mut refuses_one = matches!(service, Service::UpAfterRefusal(_)) && !hung;
-        let end = self.bench.now + span;
-        while self.bench.now < end {
-            self.bench.run(STEP);
-            let now = self.bench.now;
-            if self.bench.list_calls.len() > self.made {
+    /// Simulates a behavior of the service for `span`.
+    fn run_service(&mut self, service: Service, span: Duration) {
+        self.switch_service(service);
+        // A recovery includes at most one failed call: a call that still hangs, or else a rejected one.
+        let is_call_hanging = matches!(self.call, Call::Pending(..) | Call::SilentWatch(_));
+        let mut rejects_next_call = matches!(service, Service::RejectsOnce(_)) && !is_call_hanging;
+        let end = self.harness.now + span;
+        while self.harness.now < end {
+            self.harness.advance(STEP);
+            let now = self.harness.now;
+            if self.harness.discovery_calls.len() > self.call_count {
                 match self.call {
                     Call::None => {}
-                    // The first is given up for it.
-                    Call::Out(made, _) => assert!(now - made >= call_interval(self.ask_every).mul_f64(0.9)),
-                    _ => panic!("a call beside a watch: {:?}", self.call),
+                    // The balancer gives up the pending call.
+                    Call::Pending(t, _) => assert!(now - t >= call_interval(self.poll_interval).mul_f64(0.9)),
+                    _ => panic!("a call while a watch is open: {:?}", self.call),
                 }
-                self.made = self.bench.list_calls.len();
-                let answers_in = service.answers_in().map(|d| d.min(self.ask_every.mul_f64(HEARD)));
-                self.call = Call::Out(now, answers_in.map(|d| now + d));
-                if matches!(service, Service::Refuses) || std::mem::take(&mut refuses_one) {
-                    self.failed();
+                self.call_count = self.harness.discovery_calls.len();
+                let answer_delay =
+                    service.answer_delay().map(|d| d.min(self.poll_interval.mul_f64(ANSWERED_SHARE)));
+                self.call = Call::Pending(now, answer_delay.map(|d| now + d));
+                if matches!(service, Service::Rejects) || std::mem::take(&mut rejects_next_call) {
+                    self.fail_call();
                 }
             }
             match self.call {
-                Call::Out(_, Some(answer)) if now >= answer => {
+                Call::Pending(_, Some(answered_at)) if now >= answered_at => {
                     self.call = Call::Watch;
-                    self.blind_since = None;
-                    self.bench.tell(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[] });
+                    self.no_watch_since = None;
+                    self.harness
+                        .handle(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[] });
                 }
-                Call::Out(made, None) if now >= made + CALL_TIMEOUT => self.failed(),
-                Call::Silent(found) if now >= found => self.failed(),
+                Call::Pending(called_at, None) if now >= called_at + CALL_TIMEOUT => self.fail_call(),
+                Call::SilentWatch(detected_at) if now >= detected_at => self.fail_call(),
                 _ => {}
             }
-            if let Call::Out(made, _) = self.call {
-                assert!(now - made < self.ask_every.max(2 * LATE), "the list in hand is too old");
+            if let Call::Pending(called_at, _) = self.call {
+                assert!(
+                    now - called_at < self.poll_interval.max(2 * MAX_CALL_DELAY),
+                    "the cached list is older than the poll interval"
+                );
             }
-            let blind = self.blind_since.map_or(Duration::ZERO, |since| now - since);
-            self.longest_blind = self.longest_blind.max(blind);
+            let time_without_watch = self.no_watch_since.map_or(Duration::ZERO, |since| now - since);
+            self.max_time_without_watch = self.max_time_without_watch.max(time_without_watch);
         }
     }
 }
 
-fn settings(ask_every: Duration) -> Settings {
+fn settings(poll_interval: Duration) -> Settings {
     let classes = vec![class(400, 1000, Effect::Idempotent)];
     Settings {
         classes,
         has_endpoint_discovery: true,
-        endpoint_poll_interval: ask_every,
+        endpoint_poll_interval: poll_interval,
         ..Settings::default()
     }
 }
 
-fn service() -> impl Strategy<Value = (Service, Duration)> {
-    let slow = (0u64..=2500).prop_map(ms);
+fn any_service() -> impl Strategy<Value = (Service, Duration)> {
+    let answer_delay = (0u64..=2500).prop_map(ms);
     let kind = prop_oneof![
-        slow.clone().prop_map(Service::Up),
-        slow.clone().prop_map(Service::UpAfterRefusal),
-        Just(Service::Refuses),
+        answer_delay.clone().prop_map(Service::Up),
+        answer_delay.clone().prop_map(Service::RejectsOnce),
+        Just(Service::Rejects),
         Just(Service::Hangs),
-        slow.clone().prop_map(Service::Resets),
-        slow.prop_map(Service::Silences),
+        answer_delay.clone().prop_map(Service::EndsWatches),
+        answer_delay.prop_map(Service::SilencesWatches),
     ];
     (kind, (0u64..12_000).prop_map(ms))
 }
@@ -171,111 +184,123 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(39), ..ProptestConfig::default() })]
 
-    /// The term on a change that counts as told: from the moment in which the service can be reached, over any sequence
-    /// of refusing, hanging, falling silent and answering slowly, and under any settings, a balancer is without the list
-    /// for less than the protocol's time.
+    /// A change counts as known to all balancers after `PROPAGATION_LIMIT`. Once the service is reachable, a
+    /// balancer must therefore get a working watch within this limit minus the reserve, after any sequence of
+    /// rejected calls, hanging calls, silent watches and slow answers, and for any poll interval.
     #[test]
-    fn the_list_is_known_in_time_whatever_came_before(
-        services in prop::collection::vec(service(), 1..12),
-        ask_every in 100u64..120_000,
+    fn gets_a_working_watch_in_time_after_any_failures(
+        services in prop::collection::vec(any_service(), 1..12),
+        poll_interval in 100u64..120_000,
         seed in any::<u64>(),
     ) {
-        let mut world = World::new(settings(ms(ask_every)), seed);
+        let mut simulation = Simulation::new(settings(ms(poll_interval)), seed);
         for (service, span) in &services {
-            world.live(*service, *span);
+            simulation.run_service(*service, *span);
         }
-        world.live(Service::Up(ms(2500)), PROPAGATION_LIMIT + ms(500));
-        prop_assert!(matches!(world.call, Call::Watch), "{:?}", world.call);
-        let most = PROPAGATION_LIMIT - PROPAGATION_RESERVE + 3 * LATE;
-        prop_assert!(world.longest_blind <= most, "{:?} without the list", world.longest_blind);
+        simulation.run_service(Service::Up(ms(2500)), PROPAGATION_LIMIT + ms(500));
+        prop_assert!(matches!(simulation.call, Call::Watch), "{:?}", simulation.call);
+        let max_time = PROPAGATION_LIMIT - PROPAGATION_RESERVE + 3 * MAX_CALL_DELAY;
+        prop_assert!(
+            simulation.max_time_without_watch <= max_time,
+            "no working watch for {:?}",
+            simulation.max_time_without_watch
+        );
     }
 }
 
-/// Guards one slow service against its callers: 300 balancers whose watches ended together, when it went down for 8 s,
-/// have each called it a few times, come back spread over the longest wait, and each within it.
+/// Calls must not overload a service that comes back after 8 s. The watches of 300 balancers ended together;
+/// while the service is down, each balancer calls it only a few times, and afterwards their calls are spread
+/// over the longest backoff, each of them within it.
 #[test]
-fn balancers_come_back_to_a_service_that_was_down_in_time_and_spread() {
+fn calls_are_spread_over_the_backoff_after_an_outage() {
     const BALANCERS: u64 = 300;
-    let (down, back) = (ms(8000), ms(1500));
-    let mut returns: Vec<Duration> = Vec::new();
+    let (downtime, max_return_delay) = (ms(8000), ms(1500));
+    let mut return_delays: Vec<Duration> = Vec::new();
     for seed in 0..BALANCERS {
-        let mut world = World::new(settings(ms(10_000)), seed);
-        world.live(Service::Up(ms(50)), ms(5000));
-        let before = world.made;
-        world.live(Service::Refuses, down);
-        let calls = world.made - before;
-        assert!((6..=11).contains(&calls), "{calls} calls while it was down");
-        world.live(Service::Up(ms(50)), back + LATE);
-        let called = world.bench.list_calls[world.made - 1];
-        returns.push(called - (ms(5000) + down));
-        assert!(returns.last() <= Some(&(back + LATE)), "{returns:?}");
+        let mut simulation = Simulation::new(settings(ms(10_000)), seed);
+        simulation.run_service(Service::Up(ms(50)), ms(5000));
+        let calls_before = simulation.call_count;
+        simulation.run_service(Service::Rejects, downtime);
+        let calls = simulation.call_count - calls_before;
+        assert!((6..=11).contains(&calls), "{calls} calls while the service was down");
+        simulation.run_service(Service::Up(ms(50)), max_return_delay + MAX_CALL_DELAY);
+        let returned_at = simulation.harness.discovery_calls[simulation.call_count - 1];
+        return_delays.push(returned_at - (ms(5000) + downtime));
+        assert!(
+            return_delays.last() <= Some(&(max_return_delay + MAX_CALL_DELAY)),
+            "calls after the service was up: {return_delays:?}"
+        );
     }
     for window in 0..5 {
         let (from, to) = (ms(window * 300), ms((window + 1) * 300));
-        let calls = returns.iter().filter(|at| (from..to).contains(at)).count();
-        assert!(calls <= BALANCERS as usize / 2, "{calls} of {BALANCERS} from {from:?} to {to:?}");
+        let calls = return_delays.iter().filter(|at| (from..to).contains(at)).count();
+        assert!(calls <= BALANCERS as usize / 2, "{calls} of {BALANCERS} calls from {from:?} to {to:?}");
     }
 }
 
-/// Guards a call whose answer is slow: it is not made again while it may be answered, where the settings leave that time;
-/// and the list in hand: where they leave less, the call is made again before that counts as too old.
+/// A slow call must not be repeated while its answer may still arrive, if the poll interval is long enough.
+/// If the poll interval is shorter, the call must be repeated before the cached list is too old.
 #[test]
-fn a_call_is_repeated_in_time_and_not_while_its_answer_may_come() {
-    let mut bench = Bench::new(settings(ms(2050)), &[listed(1)]);
-    bench.run(ms(400));
-    let made = bench.list_calls[0];
-    bench.run(made + ms(1400) - bench.now);
-    assert_eq!(bench.list_calls.len(), 1);
-    bench.run(made + ms(2050) - bench.now);
-    assert_eq!(bench.list_calls.len(), 2, "before the list in hand is too old");
+fn repeats_a_slow_call_only_when_the_poll_interval_requires_it() {
+    let mut harness = Harness::new(settings(ms(2050)), &[endpoint(1)]);
+    harness.advance(ms(400));
+    let called_at = harness.discovery_calls[0];
+    harness.advance(called_at + ms(1400) - harness.now);
+    assert_eq!(harness.discovery_calls.len(), 1);
+    harness.advance(called_at + ms(2050) - harness.now);
+    assert_eq!(harness.discovery_calls.len(), 2, "the call is repeated before the cached list is too old");
 
-    let mut bench = Bench::new(settings(ms(10_000)), &[listed(1)]);
-    bench.run(ms(1000) + LATE);
-    assert_eq!(bench.list_calls.len(), 1);
-    let made = bench.list_calls[0];
-    bench.run(made + CALL_TIMEOUT - bench.now);
-    assert_eq!(bench.list_calls.len(), 1);
-    bench.run(ms(1000));
-    assert_eq!(bench.list_calls.len(), 2, "an embedder that never tells is asked again");
+    let mut harness = Harness::new(settings(ms(10_000)), &[endpoint(1)]);
+    harness.advance(ms(1000) + MAX_CALL_DELAY);
+    assert_eq!(harness.discovery_calls.len(), 1);
+    let called_at = harness.discovery_calls[0];
+    harness.advance(called_at + CALL_TIMEOUT - harness.now);
+    assert_eq!(harness.discovery_calls.len(), 1);
+    harness.advance(ms(1000));
+    assert_eq!(harness.discovery_calls.len(), 2, "the call is repeated if the embedder reports no result");
 }
 
-/// Guards the first call of a new balancer, and the call at a new place, against settings that ask seldom: whether it
-/// waits after a failure, waits for an answer, or watches.
+/// A long poll interval must delay neither the first call of a new balancer nor the call to a service with a
+/// new address, whether the balancer waits to retry, waits for an answer or has an open watch.
 #[test]
-fn a_new_balancer_and_a_moved_service_are_asked_soon() {
-    let mut bench = Bench::new(settings(ms(120_000)), &[listed(1)]);
-    bench.run(ms(1000) + LATE);
-    assert_eq!(bench.list_calls.len(), 1, "the first call");
-    let moved = |bench: &mut Bench, when: &str| {
-        let calls = bench.list_calls.len();
-        bench.tell(Event::DiscoveryMoved);
-        bench.run(LATE);
-        assert_eq!(bench.list_calls.len(), calls + 1, "moved {when}");
+fn calls_at_once_after_a_start_and_after_an_address_change() {
+    let mut harness = Harness::new(settings(ms(120_000)), &[endpoint(1)]);
+    harness.advance(ms(1000) + MAX_CALL_DELAY);
+    assert_eq!(harness.discovery_calls.len(), 1, "the first call is made within a second");
+    let assert_called_after_move = |harness: &mut Harness, when: &str| {
+        let calls = harness.discovery_calls.len();
+        harness.handle(Event::DiscoveryMoved);
+        harness.advance(MAX_CALL_DELAY);
+        assert_eq!(
+            harness.discovery_calls.len(),
+            calls + 1,
+            "the service is called after its address changed {when}"
+        );
     };
-    moved(&mut bench, "while a call is out");
+    assert_called_after_move(&mut harness, "while a call is pending");
     for _ in 0..6 {
-        bench.tell(Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] });
+        harness.handle(Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] });
     }
-    moved(&mut bench, "while it waits to call again");
-    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[] });
-    bench.run(ms(10_000));
-    moved(&mut bench, "while a watch is open");
+    assert_called_after_move(&mut harness, "while the balancer waits to retry");
+    harness.handle(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[] });
+    harness.advance(ms(10_000));
+    assert_called_after_move(&mut harness, "while a watch is open");
 }
 
-/// Guards the first call after a watch that has ended in place of telling, soon after an outage in which many calls had
-/// failed: the answer that came in between begins the waits anew.
+/// An answer resets the backoff. A watch that ends soon after an outage with many failed calls must be
+/// followed by a call after the first backoff, not after the longest.
 #[test]
-fn an_answer_begins_the_waits_anew() {
-    let mut bench = Bench::new(settings(ms(2050)), &[listed(1)]);
-    bench.run(ms(400));
+fn an_answer_resets_the_backoff() {
+    let mut harness = Harness::new(settings(ms(2050)), &[endpoint(1)]);
+    harness.advance(ms(400));
     for _ in 0..8 {
-        bench.tell(Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] });
-        bench.run(ms(1600));
+        harness.handle(Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] });
+        harness.advance(ms(1600));
     }
-    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[] });
-    bench.run(ms(100));
-    let calls = bench.list_calls.len();
-    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] });
-    bench.run(ms(2050) / 20 + LATE);
-    assert_eq!(bench.list_calls.len(), calls + 1, "a first wait, not the longest");
+    harness.handle(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[] });
+    harness.advance(ms(100));
+    let calls = harness.discovery_calls.len();
+    harness.handle(Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] });
+    harness.advance(ms(2050) / 20 + MAX_CALL_DELAY);
+    assert_eq!(harness.discovery_calls.len(), calls + 1, "the first backoff applies, not the longest");
 }
--- a/crates/core/tests/failures.rs
+++ b/crates/core/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Failures listed or not: what users would want of a balancer alone.
+//! Failures of upstreams, connections, the discovery service and load reports, as one balancer handles them.
 
 mod common;
 use common::*;
@@ -11,253 +11,258 @@
 }
 
 fn fleet(n: u64) -> Vec<Endpoint> {
-    (1..=n).map(listed).collect()
+    (1..=n).map(endpoint).collect()
 }
 
 #[test]
-fn a_second_copy_goes_out_when_the_first_is_overdue() {
-    let mut bench = Bench::new(settings(Effect::Idempotent), &fleet(3));
-    let id = bench.request(0, 0, ms(1000));
-    bench.run(ms(300));
-    let (first, second) = (bench.at(id, 0).unwrap(), bench.at(id, 1).expect("a second copy"));
+fn sends_a_hedge_when_the_first_attempt_is_overdue() {
+    let mut harness = Harness::new(settings(Effect::Idempotent), &fleet(3));
+    let id = harness.send_request(0, 0, ms(1000));
+    harness.advance(ms(300));
+    let (first, second) = (harness.upstream_of(id, 0).unwrap(), harness.upstream_of(id, 1).expect("a hedge"));
     assert_ne!(first, second);
-    bench.ended(id, 1, Outcome::Ok);
-    assert!(bench.actions.contains(&Action::Cancel { id, attempt: AttemptNo(0) }));
+    harness.end_attempt(id, 1, Outcome::Ok);
+    assert!(harness.actions.contains(&Action::Cancel { id, attempt: AttemptNo(0) }));
 }
 
-/// Lets time go on, and ends the first attempt of whatever is called back; tells which those were.
-fn called_back(bench: &mut Bench, span: Duration) -> Vec<RequestId> {
-    let mut all = Vec::new();
-    let end = bench.now + span;
-    while bench.now < end {
-        bench.actions.clear();
-        bench.run(ms(5));
-        let cancelled = bench.actions.iter().filter_map(|a| match a {
+/// Advances the clock in steps and ends each first attempt that the balancer cancels. Returns the cancelled
+/// requests.
+fn end_cancelled_attempts(harness: &mut Harness, span: Duration) -> Vec<RequestId> {
+    let mut all_cancelled = Vec::new();
+    let end = harness.now + span;
+    while harness.now < end {
+        harness.actions.clear();
+        harness.advance(ms(5));
+        let cancelled = harness.actions.iter().filter_map(|a| match a {
             Action::Cancel { id, attempt: AttemptNo(0) } => Some(*id),
             _ => None,
         });
         let cancelled: Vec<RequestId> = cancelled.collect();
         for id in &cancelled {
-            assert!(bench.at(*id, 1).is_none(), "none is sent beside one that is out");
-            bench.ended(*id, 0, Outcome::Cancelled);
+            assert!(harness.upstream_of(*id, 1).is_none(), "no attempt while the first is in flight");
+            harness.end_attempt(*id, 0, Outcome::Cancelled);
         }
-        all.extend(cancelled);
+        all_cancelled.extend(cancelled);
     }
-    all
+    all_cancelled
 }
 
-/// Guards a repeatable request against being given up for nothing: where second copies are not allowed it is called
-/// back when it is overdue, and only if another attempt can follow, which is paid for then. As many go as the budget
-/// of ten has room for, though all are overdue at one tick; the others wait for their answer.
+/// Without hedging, an overdue attempt of a repeatable request is cancelled only if a retry can follow, which
+/// takes a token of the retry budget. All 30 requests become overdue in the same tick: about as many are
+/// cancelled as the budget of ten allows, and the others keep waiting for their answer.
 #[test]
-fn what_is_overdue_is_called_back_only_if_another_can_follow() {
+fn cancels_an_overdue_attempt_only_if_a_retry_can_follow() {
     let group = DedupGroup::All;
     for effect in [Effect::Idempotent, Effect::Deduplicated { group, ttl: ms(5000) }] {
         let tenants = vec![Tenant { allowance_per_s: 1000.0 }];
         let settings = Settings { can_hedge: false, tenants, ..settings(effect) };
-        let mut bench = Bench::new(settings.clone(), &fleet(40));
-        let ids: Vec<RequestId> = (0..30).map(|_| bench.request(0, 0, ms(5000))).collect();
-        let held: Vec<RequestId> = ids.into_iter().filter(|id| bench.at(*id, 0).is_some()).collect();
-        assert!(held.len() >= 20, "{}", held.len());
-        let back = called_back(&mut bench, ms(400));
-        assert!((8..=13).contains(&back.len()), "{effect:?}: {}", back.len());
-        for id in &back {
+        let mut harness = Harness::new(settings.clone(), &fleet(40));
+        let ids: Vec<RequestId> = (0..30).map(|_| harness.send_request(0, 0, ms(5000))).collect();
+        let admitted: Vec<RequestId> =
+            ids.into_iter().filter(|id| harness.upstream_of(*id, 0).is_some()).collect();
+        assert!(admitted.len() >= 20, "{}", admitted.len());
+        let cancelled = end_cancelled_attempts(&mut harness, ms(400));
+        assert!((8..=13).contains(&cancelled.len()), "{effect:?}: {} cancelled", cancelled.len());
+        for id in &cancelled {
             assert!(
-                bench.at(*id, 1).is_some_and(|at| Some(at) != bench.at(*id, 0)),
-                "{effect:?}: it goes on"
+                harness.upstream_of(*id, 1).is_some_and(|retry| Some(retry) != harness.upstream_of(*id, 0)),
+                "{effect:?}: a retry goes to another upstream"
             );
         }
-        assert!(bench.answers.is_empty(), "{:?}", bench.answers);
+        assert!(harness.results.is_empty(), "{:?}", harness.results);
 
-        // With nowhere to go nothing is called back, nor what must not run twice.
+        // Nothing is cancelled without another upstream, or if the request must not run twice.
         for (effect, count) in [(effect, 1), (Effect::AtMostOnce, 10)] {
             let class = Class { effect, ..settings.classes[0].clone() };
-            let mut alone = Bench::new(Settings { classes: vec![class], ..settings.clone() }, &fleet(count));
-            let id = alone.request(0, 0, ms(5000));
-            assert_eq!(called_back(&mut alone, ms(800)), [], "{effect:?} of {count}");
-            alone.ended(id, 0, Outcome::Ok);
-            assert_eq!(alone.answers[&id], "served");
+            let mut other =
+                Harness::new(Settings { classes: vec![class], ..settings.clone() }, &fleet(count));
+            let id = other.send_request(0, 0, ms(5000));
+            assert_eq!(end_cancelled_attempts(&mut other, ms(800)), [], "{effect:?} with {count} upstreams");
+            other.end_attempt(id, 0, Outcome::Ok);
+            assert_eq!(other.results[&id], "served");
         }
     }
 }
 
 #[test]
-fn an_effect_that_must_not_run_twice_gets_no_second_try_once_it_may_have_run() {
-    let mut bench = Bench::new(settings(Effect::AtMostOnce), &fleet(3));
-    let id = bench.request(0, 0, ms(1000));
-    bench.run(ms(600));
-    assert_eq!(bench.at(id, 1), None, "no second copy");
-    bench.ended(id, 0, Outcome::Reset);
-    assert_eq!(bench.at(id, 1), None);
+fn does_not_retry_an_at_most_once_request_that_may_have_run() {
+    let mut harness = Harness::new(settings(Effect::AtMostOnce), &fleet(3));
+    let id = harness.send_request(0, 0, ms(1000));
+    harness.advance(ms(600));
+    assert_eq!(harness.upstream_of(id, 1), None, "no hedge is sent");
+    harness.end_attempt(id, 0, Outcome::Reset);
+    assert_eq!(harness.upstream_of(id, 1), None);
     assert_eq!(
-        bench.answers.get(&id),
+        harness.results.get(&id),
         Some(&"failed"),
-        "a refusal would promise that it is harmless to retry"
+        "a rejection would promise that a retry is harmless"
     );
-    let id = bench.request(0, 0, ms(1000));
-    bench.ended(id, 0, Outcome::ConnectFailed);
-    assert!(bench.at(id, 1).is_some(), "what never ran may go elsewhere");
+    let id = harness.send_request(0, 0, ms(1000));
+    harness.end_attempt(id, 0, Outcome::ConnectFailed);
+    assert!(harness.upstream_of(id, 1).is_some(), "an attempt that never ran is retried at another upstream");
 }
 
-/// An upstream that fails at once holds nothing and so looks the least loaded: it must be ejected, for a while.
+/// An upstream that fails at once has nothing in flight and looks the least loaded. It must be ejected, and
+/// must get requests again after it recovers.
 #[test]
-fn one_that_fails_at_once_is_ejected_and_comes_back() {
-    let mut bench = Bench::new(settings(Effect::Idempotent), &fleet(4));
-    let bad = UpstreamId(2);
-    bench.traffic(100, ms(10), |u| Some(if u == bad { Outcome::Reset } else { Outcome::Ok }));
-    let early = bench.attempts_at(bad);
-    assert!(early <= 4, "{early} attempts at one that breaks every connection");
-    bench.traffic(3000, ms(10), |_| Some(Outcome::Ok));
-    assert!(bench.attempts_at(bad) > early + 50, "it serves again after it has recovered");
+fn ejects_an_upstream_that_fails_at_once_until_it_recovers() {
+    let mut harness = Harness::new(settings(Effect::Idempotent), &fleet(4));
+    let failing = UpstreamId(2);
+    harness.run_traffic(100, ms(10), |u| Some(if u == failing { Outcome::Reset } else { Outcome::Ok }));
+    let attempts_before = harness.attempts_to(failing);
+    assert!(attempts_before <= 4, "{attempts_before} attempts at an upstream that breaks every connection");
+    harness.run_traffic(3000, ms(10), |_| Some(Outcome::Ok));
+    assert!(harness.attempts_to(failing) > attempts_before + 50, "requests resume after recovery");
 }
 
-/// Takes connections and never answers.
-/// Guards against a fleet emptied by single broken connections, which any network has: as many attempts reach
-/// each upstream as without them, while one that breaks them all is left alone, as above.
+/// Single broken connections, which any network has, must not empty the fleet: each upstream gets about as
+/// many attempts as without them. An upstream that breaks every connection is ejected, see above.
 #[test]
-fn a_connection_broken_now_and_then_ejects_nobody() {
-    let attempts = |broken: Outcome| {
-        let mut bench = Bench::new(settings(Effect::AtMostOnce), &fleet(4));
+fn occasional_broken_connections_eject_no_upstream() {
+    let attempts = |failure_outcome: Outcome| {
+        let mut harness = Harness::new(settings(Effect::AtMostOnce), &fleet(4));
         let count = std::cell::Cell::new(0);
-        bench.traffic(2000, ms(5), |_| {
+        harness.run_traffic(2000, ms(5), |_| {
             count.set(count.get() + 1);
-            Some(if count.get() % 10 < 3 { broken } else { Outcome::Ok })
+            Some(if count.get() % 10 < 3 { failure_outcome } else { Outcome::Ok })
         });
-        (1..=4).map(|u| bench.attempts_at(UpstreamId(u))).min()
+        (1..=4).map(|u| harness.attempts_to(UpstreamId(u))).min()
     };
     let (with, without) = (attempts(Outcome::Reset).unwrap(), attempts(Outcome::Ok).unwrap());
-    assert!(with * 10 >= without * 9, "{with} attempts at the least used, {without} where nothing breaks");
+    assert!(with * 10 >= without * 9, "least used upstream: {with} attempts, {without} without failures");
 }
 
-/// Guards against a fleet held for dead, one after another, where a third of the connections come late: two of them in
-/// a row mean nothing there. One that takes none at all is still found out among them.
+/// If a third of the connections time out, two timeouts in a row mean nothing and must not eject one upstream
+/// after another. An upstream that accepts no connection at all must still be detected.
 #[test]
-fn late_connections_eject_nobody_where_they_are_common() {
-    for dead in [None, Some(UpstreamId(4))] {
-        let mut bench = Bench::new(settings(Effect::AtMostOnce), &fleet(12));
-        let (draws, mut avoided) = (std::cell::Cell::new(1u64), 0);
+fn frequent_connect_failures_eject_only_an_unreachable_upstream() {
+    for unreachable in [None, Some(UpstreamId(4))] {
+        let mut harness = Harness::new(settings(Effect::AtMostOnce), &fleet(12));
+        let (random, mut avoided) = (std::cell::Cell::new(1u64), 0);
         for k in 0..4000 {
-            bench.traffic(1, ms(50), |u| {
-                draws.set(draws.get().wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1));
-                let late = (draws.get() >> 33).is_multiple_of(3) || Some(u) == dead && k >= 2000;
-                Some(if late { Outcome::ConnectFailed } else { Outcome::Ok })
+            harness.run_traffic(1, ms(50), |u| {
+                random.set(random.get().wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1));
+                let fails = (random.get() >> 33).is_multiple_of(3) || Some(u) == unreachable && k >= 2000;
+                Some(if fails { Outcome::ConnectFailed } else { Outcome::Ok })
             });
-            avoided += if k < 2000 { 0 } else { bench.balancer.upstream_counts().avoided };
+            avoided += if k < 2000 { 0 } else { harness.balancer.upstream_counts().avoided };
         }
-        match dead {
-            None => assert!(avoided <= 2400, "{avoided} of 24000 times one that is well was left out"),
-            Some(_) => assert!(avoided >= 2400, "{avoided} times one that is dead was left out"),
+        match unreachable {
+            None => assert!(avoided <= 2400, "healthy upstreams were avoided {avoided} times of 24,000"),
+            Some(_) => assert!(avoided >= 2400, "the unreachable upstream was avoided only {avoided} times"),
         }
     }
 }
 
 #[test]
-fn one_that_never_answers_is_passed_over() {
-    let mut bench = Bench::new(settings(Effect::Idempotent), &fleet(4));
-    let silent = UpstreamId(3);
-    bench.traffic(400, ms(10), |u| (u != silent).then_some(Outcome::Ok));
-    let got = bench.attempts_at(silent);
-    assert!(got * 8 < 400, "{got} of 400 went to it");
+fn avoids_an_upstream_that_never_answers() {
+    let mut harness = Harness::new(settings(Effect::Idempotent), &fleet(4));
+    let silent_upstream = UpstreamId(3);
+    harness.run_traffic(400, ms(10), |u| (u != silent_upstream).then_some(Outcome::Ok));
+    let attempts = harness.attempts_to(silent_upstream);
+    assert!(attempts * 8 < 400, "{attempts} of 400 requests went to the silent upstream");
 }
 
-/// When all seem ill, the fault is not theirs: with nothing better at hand requests still go out.
+/// If all upstreams are ejected, the fault is probably not theirs, and requests still have to be sent.
 #[test]
-fn all_ejected_is_no_empty_choice() {
-    let mut bench = Bench::new(settings(Effect::Idempotent), &fleet(4));
-    bench.traffic(40, ms(10), |_| Some(Outcome::Reset));
-    bench.run(ms(1500));
-    let before = bench.sent.len();
-    bench.traffic(20, ms(50), |_| Some(Outcome::Ok));
-    assert!(bench.sent.len() > before, "something was tried");
+fn sends_requests_although_all_upstreams_are_ejected() {
+    let mut harness = Harness::new(settings(Effect::Idempotent), &fleet(4));
+    harness.run_traffic(40, ms(10), |_| Some(Outcome::Reset));
+    harness.advance(ms(1500));
+    let before = harness.attempts.len();
+    harness.run_traffic(20, ms(50), |_| Some(Outcome::Ok));
+    assert!(harness.attempts.len() > before, "requests are sent although all upstreams are ejected");
 }
 
-/// Failures everywhere must not multiply the load: further attempts stay within the retry budget.
+/// Errors of all upstreams must not multiply the load: retries stay within the retry budget.
 #[test]
-fn no_retry_storm() {
-    let mut bench = Bench::new(settings(Effect::Idempotent), &fleet(20));
-    bench.traffic(500, ms(10), |_| Some(Outcome::Error));
-    let (requests, attempts) = (bench.sent.len(), bench.sent.values().map(Vec::len).sum::<usize>());
-    let most = requests + requests / 10 + 11;
-    assert!(attempts <= most, "{attempts} attempts for {requests} requests");
+fn retries_stay_within_the_budget_when_all_upstreams_fail() {
+    let mut harness = Harness::new(settings(Effect::Idempotent), &fleet(20));
+    harness.run_traffic(500, ms(10), |_| Some(Outcome::Error));
+    let (requests, attempts) =
+        (harness.attempts.len(), harness.attempts.values().map(Vec::len).sum::<usize>());
+    let max_attempts = requests + requests / 10 + 11;
+    assert!(attempts <= max_attempts, "{attempts} attempts for {requests} requests");
 }
 
 #[test]
-fn nothing_new_goes_to_one_that_drains_or_is_gone() {
-    let mut bench = Bench::new(settings(Effect::Idempotent), &fleet(3));
-    bench.traffic(20, ms(5), |_| Some(Outcome::Ok));
-    let (mut drains, before) =
-        (listed(1), [bench.attempts_at(UpstreamId(1)), bench.attempts_at(UpstreamId(2))]);
-    drains.availability = Availability::Draining;
-    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[drains] });
-    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &[listed(1), listed(3)] });
-    let mut drains = listed(1);
-    drains.availability = Availability::Draining;
-    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[drains] });
-    bench.traffic(60, ms(30), |_| Some(Outcome::Ok));
-    assert_eq!(before, [bench.attempts_at(UpstreamId(1)), bench.attempts_at(UpstreamId(2))]);
-    assert!(bench.attempts_at(UpstreamId(3)) > 20);
+fn sends_nothing_to_draining_or_removed_upstreams() {
+    let mut harness = Harness::new(settings(Effect::Idempotent), &fleet(3));
+    harness.run_traffic(20, ms(5), |_| Some(Outcome::Ok));
+    let (mut draining, before) =
+        (endpoint(1), [harness.attempts_to(UpstreamId(1)), harness.attempts_to(UpstreamId(2))]);
+    draining.availability = Availability::Draining;
+    harness.handle(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[draining] });
+    harness
+        .handle(Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &[endpoint(1), endpoint(3)] });
+    let mut draining = endpoint(1);
+    draining.availability = Availability::Draining;
+    harness.handle(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[draining] });
+    harness.run_traffic(60, ms(30), |_| Some(Outcome::Ok));
+    assert_eq!(before, [harness.attempts_to(UpstreamId(1)), harness.attempts_to(UpstreamId(2))]);
+    assert!(harness.attempts_to(UpstreamId(3)) > 20);
 }
 
-/// An empty fleet: a refusal, at once, and service again as soon as there is one.
+/// An empty fleet rejects requests at once, and serves them as soon as an upstream is listed.
 #[test]
-fn none_ready_is_refused_and_a_newcomer_serves() {
-    let mut bench = Bench::new(settings(Effect::AtMostOnce), &[]);
-    let id = bench.request(0, 0, ms(1000));
-    assert_eq!(bench.answers.get(&id), Some(&"refused"));
-    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &fleet(1) });
-    bench.run(ms(3000));
-    bench.traffic(100, ms(100), |_| Some(Outcome::Ok));
-    assert!(bench.attempts_at(UpstreamId(1)) > 0);
+fn rejects_requests_of_an_empty_fleet_until_an_upstream_is_listed() {
+    let mut harness = Harness::new(settings(Effect::AtMostOnce), &[]);
+    let id = harness.send_request(0, 0, ms(1000));
+    assert_eq!(harness.results.get(&id), Some(&"rejected"));
+    harness.handle(Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &fleet(1) });
+    harness.advance(ms(3000));
+    harness.run_traffic(100, ms(100), |_| Some(Outcome::Ok));
+    assert!(harness.attempts_to(UpstreamId(1)) > 0);
 }
 
-/// The list service is down: calls repeat with waits that double up to the longest one, each drawn from its upper half;
-/// the list held stays in use.
+/// When the discovery service is down, the backoff doubles up to its maximum, each wait is drawn from the
+/// upper half of the backoff, and the cached list stays in use.
 #[test]
-fn a_failing_list_service_is_asked_ever_more_seldom_and_the_old_list_stays() {
+fn backs_off_from_a_failing_discovery_service_and_keeps_the_list() {
     let settings = Settings { has_endpoint_discovery: true, ..settings(Effect::Idempotent) };
-    let mut bench = Bench::new(settings, &fleet(2));
+    let mut harness = Harness::new(settings, &fleet(2));
     for _ in 0..6000 {
-        let calls = bench.list_calls.len();
-        bench.run(ms(10));
-        if bench.list_calls.len() > calls {
-            bench.tell(Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] });
+        let calls = harness.discovery_calls.len();
+        harness.advance(ms(10));
+        if harness.discovery_calls.len() > calls {
+            harness.handle(Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] });
         }
     }
-    let waits: Vec<Duration> = bench.list_calls.windows(2).map(|w| w[1] - w[0]).collect();
+    let waits: Vec<Duration> = harness.discovery_calls.windows(2).map(|w| w[1] - w[0]).collect();
     assert!((40..=60).contains(&waits.len()), "{} calls in a minute", waits.len());
     for (n, wait) in waits.into_iter().enumerate() {
-        let most = ms(500 << n.min(4)).min(maplehook_core::discovery_timing::MAX_BACKOFF);
-        assert!((most / 2..=most + ms(40)).contains(&wait), "wait {n}: {wait:?} of {most:?}");
+        let backoff = ms(500 << n.min(4)).min(maplehook_core::discovery_timing::MAX_BACKOFF);
+        assert!((backoff / 2..=backoff + ms(40)).contains(&wait), "wait {n}: {wait:?}, backoff {backoff:?}");
     }
-    let id = bench.request(0, 0, ms(1000));
-    assert!(bench.at(id, 0).is_some());
+    let id = harness.send_request(0, 0, ms(1000));
+    assert!(harness.upstream_of(id, 0).is_some());
 }
 
-/// Reports full of nonsense neither panic nor poison what is known.
+/// Load reports and weights that are not valid numbers must cause neither a panic nor wrong state.
 #[test]
-fn bad_reports_are_passed_over() {
-    let mut s = settings(Effect::Idempotent);
-    s.reports = Reports::Inline;
-    s.report_fields = vec![LoadField::Utilization, LoadField::Queue];
-    let mut bench = Bench::new(s, &fleet(2));
-    for bad in [f32::NAN, f32::INFINITY, f32::NEG_INFINITY, -3.0, 1e30] {
-        let (upstream, outcome, latency, report) = (UpstreamId(1), Outcome::Ok, ms(1), &[bad, bad][..]);
-        bench.tell(Event::ProbeEnded { upstream, outcome, latency, report });
+fn ignores_invalid_reports_and_weights() {
+    let mut settings = settings(Effect::Idempotent);
+    settings.reports = Reports::Inline;
+    settings.report_fields = vec![LoadField::Utilization, LoadField::Queue];
+    let mut harness = Harness::new(settings, &fleet(2));
+    for value in [f32::NAN, f32::INFINITY, f32::NEG_INFINITY, -3.0, 1e30] {
+        let (upstream, outcome, latency, report) = (UpstreamId(1), Outcome::Ok, ms(1), &[value, value][..]);
+        harness.handle(Event::ProbeEnded { upstream, outcome, latency, report });
     }
-    let mut odd = [listed(1), listed(2)];
-    (odd[0].weight, odd[1].weight) = (f64::NAN, f64::INFINITY);
-    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &odd });
-    bench.run(ms(10_000));
-    bench.traffic(200, ms(30), |_| Some(Outcome::Ok));
-    let served = bench.answers.values().filter(|a| **a == "served").count();
-    assert!(served > 180, "{served} of 200 served");
-    assert!(bench.attempts_at(UpstreamId(1)) > 20 && bench.attempts_at(UpstreamId(2)) > 20);
+    let mut invalid_endpoints = [endpoint(1), endpoint(2)];
+    (invalid_endpoints[0].weight, invalid_endpoints[1].weight) = (f64::NAN, f64::INFINITY);
+    harness.handle(Event::EndpointUpdate { scope: UpdateScope::Full, endpoints: &invalid_endpoints });
+    harness.advance(ms(10_000));
+    harness.run_traffic(200, ms(30), |_| Some(Outcome::Ok));
+    let served = harness.results.values().filter(|a| **a == "served").count();
+    assert!(served > 180, "{served} of 200 requests were served");
+    assert!(harness.attempts_to(UpstreamId(1)) > 20 && harness.attempts_to(UpstreamId(2)) > 20);
 }
 
-/// Events for what is not known are passed over.
+/// Events for unknown requests, upstreams and timers cause no action.
 #[test]
-fn strangers_are_passed_over() {
-    let mut bench = Bench::new(settings(Effect::Idempotent), &fleet(2));
+fn ignores_events_for_unknown_ids() {
+    let mut harness = Harness::new(settings(Effect::Idempotent), &fleet(2));
     let (id, attempt, upstream, latency) = (RequestId(99), AttemptNo(3), UpstreamId(42), ms(1));
     let (outcome, report) = (Outcome::Ok, &[][..]);
     for event in [
@@ -267,115 +272,120 @@
         Event::RequestCancelled { id },
         Event::Timer { timer: TimerId(12345) },
     ] {
-        bench.tell(event);
-        assert!(bench.actions.is_empty(), "{:?}", bench.actions);
+        harness.handle(event);
+        assert!(harness.actions.is_empty(), "{:?}", harness.actions);
     }
 }
 
-/// Silent for one class, well for the other: the class goes elsewhere, the other stays, and in time it is tried again.
+/// An upstream that answers one class but not another must lose only the class without answers, and must be
+/// tried for that class again later.
 #[test]
-fn silence_for_one_class_moves_that_class_alone() {
-    let mut set = settings(Effect::AtMostOnce);
-    set.classes.push(class(400, 1000, Effect::AtMostOnce));
-    let mut bench = Bench::new(set, &fleet(4));
-    let silent = UpstreamId(3);
+fn avoids_an_upstream_only_for_the_class_it_does_not_answer() {
+    let mut settings = settings(Effect::AtMostOnce);
+    settings.classes.push(class(400, 1000, Effect::AtMostOnce));
+    let mut harness = Harness::new(settings, &fleet(4));
+    let silent_upstream = UpstreamId(3);
     let mut sent = [0; 2];
-    let mut round = |bench: &mut Bench, rounds: u64, ill: bool| {
+    let mut run_round = |harness: &mut Harness, rounds: u64, is_silent: bool| {
         let before = sent;
         for k in 0..2 * rounds {
             let class = (k / 3 % 2) as u16;
-            let id = bench.request(class, 0, ms(450));
-            let Some(upstream) = bench.at(id, 0) else { continue };
-            sent[usize::from(class)] += usize::from(upstream == silent);
-            bench.run(ms(10));
-            if upstream == silent && class == 0 && ill {
-                bench.run(ms(440));
-                bench.ended(id, 0, Outcome::TimedOut);
+            let id = harness.send_request(class, 0, ms(450));
+            let Some(upstream) = harness.upstream_of(id, 0) else { continue };
+            sent[usize::from(class)] += usize::from(upstream == silent_upstream);
+            harness.advance(ms(10));
+            if upstream == silent_upstream && class == 0 && is_silent {
+                harness.advance(ms(440));
+                harness.end_attempt(id, 0, Outcome::TimedOut);
             } else {
-                bench.ended(id, 0, Outcome::Ok);
+                harness.end_attempt(id, 0, Outcome::Ok);
             }
-            bench.run(ms(40));
+            harness.advance(ms(40));
         }
         [sent[0] - before[0], sent[1] - before[1]]
     };
-    round(&mut bench, 50, false);
-    let [ill, well] = round(&mut bench, 400, true);
-    assert!(ill <= 20, "{ill} of 400 went where they get no answer");
-    assert!(well >= 100, "{well} of 400 of the class that is served there");
-    let [back, _] = round(&mut bench, 600, false);
-    assert!(back >= 60, "{back} of 600 after it has recovered");
+    run_round(&mut harness, 50, false);
+    let [silent_class, healthy_class] = run_round(&mut harness, 400, true);
+    assert!(silent_class <= 20, "{silent_class} of 400 requests went to the silent upstream");
+    assert!(healthy_class >= 100, "{healthy_class} of 400 requests of the other class went to the upstream");
+    let [recovered, _] = run_round(&mut harness, 600, false);
+    assert!(recovered >= 60, "{recovered} of 600 requests went to the upstream after it recovered");
 }
 
-/// Something drops idle connections unseen: silence meets sends after a pause only. Before the next such send the
-/// connections are closed; sends soon after another need no new one.
+/// Some middleboxes drop idle connections silently, so only requests after a pause get no answer. The
+/// balancer must close idle connections before it uses them after a pause, and keep connections that are in
+/// use.
 #[test]
-fn idle_connections_that_go_silent_are_closed_before_use() {
-    let mut bench = Bench::new(settings(Effect::AtMostOnce), &fleet(2));
-    let mut closed: BTreeMap<UpstreamId, Duration> = BTreeMap::new();
-    let mut used: BTreeMap<UpstreamId, Duration> = BTreeMap::new();
-    let (mut lost, mut late_lost) = (0, 0);
+fn closes_idle_connections_that_were_dropped_silently() {
+    let mut harness = Harness::new(settings(Effect::AtMostOnce), &fleet(2));
+    let mut closed_at: BTreeMap<UpstreamId, Duration> = BTreeMap::new();
+    let mut last_used: BTreeMap<UpstreamId, Duration> = BTreeMap::new();
+    let (mut timeouts, mut late_timeouts) = (0, 0);
     for k in 0..300u64 {
-        let id = bench.request(0, 0, ms(600));
-        let Some(upstream) = bench.at(id, 0) else { continue };
-        if bench.actions.contains(&Action::CloseIdle { upstream }) {
-            closed.insert(upstream, bench.now);
+        let id = harness.send_request(0, 0, ms(600));
+        let Some(upstream) = harness.upstream_of(id, 0) else { continue };
+        if harness.actions.contains(&Action::CloseIdle { upstream }) {
+            closed_at.insert(upstream, harness.now);
         }
-        let idle = used.get(&upstream).map_or(ms(0), |at| bench.now - *at);
-        let dead = idle > ms(900) && closed.get(&upstream) != Some(&bench.now);
-        bench.run(ms(if dead { 600 } else { 20 }));
-        bench.ended(id, 0, if dead { Outcome::TimedOut } else { Outcome::Ok });
-        used.insert(upstream, bench.now);
-        (lost, late_lost) = (lost + u32::from(dead), late_lost + u32::from(dead && k > 150));
-        bench.run(ms(if k % 6 == 0 { 2500 } else { 60 }));
+        let idle = last_used.get(&upstream).map_or(ms(0), |at| harness.now - *at);
+        let is_dropped = idle > ms(900) && closed_at.get(&upstream) != Some(&harness.now);
+        harness.advance(ms(if is_dropped { 600 } else { 20 }));
+        harness.end_attempt(id, 0, if is_dropped { Outcome::TimedOut } else { Outcome::Ok });
+        last_used.insert(upstream, harness.now);
+        (timeouts, late_timeouts) =
+            (timeouts + u32::from(is_dropped), late_timeouts + u32::from(is_dropped && k > 150));
+        harness.advance(ms(if k % 6 == 0 { 2500 } else { 60 }));
     }
-    assert!(lost > 0 && !closed.is_empty(), "the trouble was met and answered");
-    assert!(late_lost <= 12, "{late_lost} of the last 50 after a pause still lost, {lost} in all");
+    assert!(timeouts > 0 && !closed_at.is_empty(), "connections were dropped, then closed");
+    assert!(late_timeouts <= 12, "{late_timeouts} of the last 50 after a pause timed out, {timeouts} in all");
 }
 
-/// One that turns a class away at once holds nothing and so looks the emptiest: it must not draw the class.
+/// An upstream that rejects a class at once has nothing in flight and looks the least loaded. It must not
+/// attract more requests of this class.
 #[test]
-fn one_that_turns_a_class_away_at_once_does_not_draw_it() {
-    let mut set = settings(Effect::AtMostOnce);
-    set.classes.push(class(400, 1000, Effect::AtMostOnce));
-    let mut bench = Bench::new(set, &fleet(4));
-    let (closed, mut turned, mut served) = (UpstreamId(2), 0, 0);
+fn an_upstream_that_rejects_a_class_does_not_attract_it() {
+    let mut settings = settings(Effect::AtMostOnce);
+    settings.classes.push(class(400, 1000, Effect::AtMostOnce));
+    let mut harness = Harness::new(settings, &fleet(4));
+    let (rejecting_upstream, mut rejected, mut served) = (UpstreamId(2), 0, 0);
     for k in 0..600u64 {
         let class = (k / 3 % 2) as u16;
-        let id = bench.request(class, 0, ms(900));
+        let id = harness.send_request(class, 0, ms(900));
         let mut attempt = 0;
-        while let Some(upstream) = bench.at(id, attempt) {
-            if upstream == closed && class == 0 {
-                turned += 1;
-                bench.ended(id, attempt, Outcome::Rejected);
+        while let Some(upstream) = harness.upstream_of(id, attempt) {
+            if upstream == rejecting_upstream && class == 0 {
+                rejected += 1;
+                harness.end_attempt(id, attempt, Outcome::Rejected);
             } else {
-                served += usize::from(upstream == closed);
-                bench.run(ms(60));
-                bench.ended(id, attempt, Outcome::Ok);
+                served += usize::from(upstream == rejecting_upstream);
+                harness.advance(ms(60));
+                harness.end_attempt(id, attempt, Outcome::Ok);
             }
             attempt += 1;
         }
-        bench.run(ms(10));
+        harness.advance(ms(10));
     }
-    assert!(turned <= 12, "turned away {turned} times by one that takes none of the class");
-    assert!(served >= 60, "{served} of the other class served there");
+    assert!(rejected <= 12, "{rejected} requests went to an upstream that rejects their class");
+    assert!(served >= 60, "{served} requests of the other class were served by the upstream");
 }
 
-/// One balancer alone: an old report says nothing of others, as there are none. A stale crowd must not turn it away.
+/// A single balancer knows all load itself. Load reports that are out of date must not keep its requests away
+/// from an upstream.
 #[test]
-fn alone_it_goes_by_its_own_requests_not_by_old_reports() {
-    let mut set = settings(Effect::Idempotent);
-    (set.reports, set.report_fields) = (Reports::Inline, vec![LoadField::InFlight]);
-    set.tenants = vec![Tenant { allowance_per_s: 1000.0 }];
-    let mut bench = Bench::new(set, &fleet(3));
+fn a_single_balancer_ignores_outdated_load_reports() {
+    let mut settings = settings(Effect::Idempotent);
+    (settings.reports, settings.report_fields) = (Reports::Inline, vec![LoadField::InFlight]);
+    settings.tenants = vec![Tenant { allowance_per_s: 1000.0 }];
+    let mut harness = Harness::new(settings, &fleet(3));
     for k in 0..300 {
-        let id = bench.request(0, 0, ms(1000));
-        assert!(bench.at(id, 0).is_some(), "room for one");
-        bench.run(ms(5));
-        bench.ended(id, 0, Outcome::Ok);
+        let id = harness.send_request(0, 0, ms(1000));
+        assert!(harness.upstream_of(id, 0).is_some(), "one request does not exceed the capacity");
+        harness.advance(ms(5));
+        harness.end_attempt(id, 0, Outcome::Ok);
         let (upstream, outcome, latency) = (UpstreamId(1), Outcome::Ok, ms(1));
         let report = [if k % 2 == 0 { 9.0 } else { 0.0 }];
-        bench.tell(Event::ProbeEnded { upstream, outcome, latency, report: &report });
+        harness.handle(Event::ProbeEnded { upstream, outcome, latency, report: &report });
     }
-    let got = bench.attempts_at(UpstreamId(1));
-    assert!((85..=115).contains(&got), "{got} of 300 at the one with old reports");
+    let attempts = harness.attempts_to(UpstreamId(1));
+    assert!((85..=115).contains(&attempts), "{attempts} of 300 at the upstream with old reports");
 }
--- a/crates/core/tests/new_upstream.rs
+++ b/crates/core/tests/new_upstream.rs
@@ -1,78 +1,93 @@
-//! What many balancers together send to an upstream that has just started.
+//! Load that many balancers together put on a new upstream.
 
 mod common;
-use common::{listed, ms, settings_with_all_effects};
+use common::{endpoint, ms, settings_with_all_effects};
 use maplehook_core::*;
 use std::time::Duration;
 
-/// Many balancers at once must not send a newcomer more than the stated multiple of what it can do in any window,
-/// though it is empty and the others are not.
+/// A new upstream has no requests in flight and looks like the best choice to all balancers at once. Together
+/// they must not send it more, in any overload window, than the configured multiple of its present capacity.
 #[test]
-fn a_newcomer_is_not_pushed_over_by_all_balancers_together() {
-    for (sparse, balancers) in [(false, 20), (true, 400)] {
-        let mut set = settings_with_all_effects(true, sparse, true, 4);
-        set.balancers = balancers;
-        set.has_endpoint_discovery = false;
-        (set.slow_start_min_share, set.slow_start_window) = (0.1, ms(20_000));
-        (set.overload_multiple, set.overload_window) = (3.0, ms(2000));
-        set.tenants = vec![Tenant { allowance_per_s: 700.0 }];
-        let mut all: Vec<_> = (0..balancers).map(|_| common::Bench::new(set.clone(), &old_fleet())).collect();
-        for (k, b) in all.iter_mut().enumerate() {
-            let set = Settings { index: k as u32, ..set.clone() };
-            b.balancer = Balancer::new(set, k as u64).unwrap();
-            b.timers.clear();
-            b.tell(Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &old_fleet() });
+fn a_new_upstream_is_not_overloaded_by_all_balancers_together() {
+    for (many_balancers, balancers) in [(false, 20), (true, 400)] {
+        let mut settings = settings_with_all_effects(true, many_balancers, true, 4);
+        settings.balancers = balancers;
+        settings.has_endpoint_discovery = false;
+        (settings.slow_start_min_share, settings.slow_start_window) = (0.1, ms(20_000));
+        (settings.overload_multiple, settings.overload_window) = (3.0, ms(2000));
+        settings.tenants = vec![Tenant { allowance_per_s: 700.0 }];
+        let mut harnesses: Vec<_> =
+            (0..balancers).map(|_| common::Harness::new(settings.clone(), &initial_fleet())).collect();
+        for (k, harness) in harnesses.iter_mut().enumerate() {
+            let settings = Settings { index: k as u32, ..settings.clone() };
+            harness.balancer = Balancer::new(settings, k as u64).unwrap();
+            harness.timers.clear();
+            harness.handle(Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &initial_fleet() });
         }
-        // Ten warm upstreams that can each do 100 a second, loaded to seven tenths; every answer takes 20 ms.
-        let (rate, new) = (700u64, UpstreamId(99));
-        let mut cold: Vec<Duration> = Vec::new();
-        let mut open: Vec<(usize, RequestId, usize, Duration)> = Vec::new();
-        for step in 0..(12_000 * rate / 1000) {
-            let now = Duration::from_micros(step * 1_000_000 / rate);
-            let k = (step as usize * 7919) % all.len();
-            for b in &mut all {
-                b.run(now.saturating_sub(b.now));
-                if step == 3 * rate {
-                    let mut newcomer = listed(99);
-                    newcomer.started = Some(now);
-                    b.tell(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[newcomer] });
+        // Ten upstreams at full capacity, each able to serve 100 requests a second, at 70 % load; every
+        // answer takes 20 ms.
+        let (rate_per_s, new_upstream) = (700u64, UpstreamId(99));
+        let mut attempts_to_new_upstream: Vec<Duration> = Vec::new();
+        let mut requests: Vec<(usize, RequestId, usize, Duration)> = Vec::new();
+        for step in 0..(12_000 * rate_per_s / 1000) {
+            let now = Duration::from_micros(step * 1_000_000 / rate_per_s);
+            let k = (step as usize * 7919) % harnesses.len();
+            for harness in &mut harnesses {
+                harness.advance(now.saturating_sub(harness.now));
+                if step == 3 * rate_per_s {
+                    let mut new_endpoint = endpoint(99);
+                    new_endpoint.started = Some(now);
+                    harness.handle(Event::EndpointUpdate {
+                        scope: UpdateScope::Changes,
+                        endpoints: &[new_endpoint],
+                    });
                 }
-                for upstream in std::mem::take(&mut b.probes) {
-                    let held = if upstream == new { 0.0 } else { 2.0 };
-                    let (outcome, latency, report) = (Outcome::Ok, ms(1), &[held][..]);
-                    b.tell(Event::ProbeEnded { upstream, outcome, latency, report });
+                for upstream in std::mem::take(&mut harness.probes) {
+                    let in_flight = if upstream == new_upstream { 0.0 } else { 2.0 };
+                    let (outcome, latency, report) = (Outcome::Ok, ms(1), &[in_flight][..]);
+                    harness.handle(Event::ProbeEnded { upstream, outcome, latency, report });
                 }
             }
-            let b = &mut all[k];
-            let id = b.request(0, 0, ms(600));
-            open.push((k, id, 0, now));
-            open.retain_mut(|(k, id, seen, since)| {
-                let b = &mut all[*k];
-                while let Some((at, upstream)) = b.sent.get(id).and_then(|s| s.get(*seen)).copied() {
+            let harness = &mut harnesses[k];
+            let id = harness.send_request(0, 0, ms(600));
+            requests.push((k, id, 0, now));
+            requests.retain_mut(|(k, id, attempt, sent_at)| {
+                let harness = &mut harnesses[*k];
+                while let Some((at, upstream)) =
+                    harness.attempts.get(id).and_then(|s| s.get(*attempt)).copied()
+                {
                     if now < at + ms(20) {
                         return true;
                     }
-                    if upstream == new {
-                        cold.push(at);
+                    if upstream == new_upstream {
+                        attempts_to_new_upstream.push(at);
                     }
-                    b.ended(*id, *seen, Outcome::Ok);
-                    *seen += 1;
+                    harness.end_attempt(*id, *attempt, Outcome::Ok);
+                    *attempt += 1;
                 }
-                now < *since + ms(100) && !b.answers.contains_key(id)
+                now < *sent_at + ms(100) && !harness.results.contains_key(id)
             });
         }
-        cold.sort();
-        assert!(cold.len() > 10, "the newcomer is warmed up by work: {}", cold.len());
-        for (k, from) in cold.iter().enumerate() {
-            let window = cold[k..].iter().take_while(|at| **at < *from + ms(2000)).count() as f64;
-            let age = from.saturating_sub(Duration::from_secs(3)).as_secs_f64();
-            let can = 100.0 * (0.1 + 0.9 * ((age + 1.0) / 20.0).min(1.0));
-            let budget = 3.0 * can * 2.0;
-            assert!(window <= budget, "{window} in two seconds from {from:?}, {budget} push it over");
+        attempts_to_new_upstream.sort();
+        assert!(
+            attempts_to_new_upstream.len() > 10,
+            "the new upstream receives requests during slow start: {}",
+            attempts_to_new_upstream.len()
+        );
+        for (k, from) in attempts_to_new_upstream.iter().enumerate() {
+            let count =
+                attempts_to_new_upstream[k..].iter().take_while(|at| **at < *from + ms(2000)).count() as f64;
+            let age_s = from.saturating_sub(Duration::from_secs(3)).as_secs_f64();
+            let capacity_per_s = 100.0 * (0.1 + 0.9 * ((age_s + 1.0) / 20.0).min(1.0));
+            let limit = 3.0 * capacity_per_s * 2.0;
+            assert!(
+                count <= limit,
+                "{count} requests in two seconds from {from:?}; {limit} overload the upstream"
+            );
         }
     }
 }
 
-fn old_fleet() -> Vec<Endpoint> {
-    (1..=10).map(listed).collect()
+fn initial_fleet() -> Vec<Endpoint> {
+    (1..=10).map(endpoint).collect()
 }
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -1,183 +1,211 @@
-//! The four rules under random legal event sequences.
+//! Checks the rules for determinism, attempts, effects and answers under random sequences of valid events.
 
 mod common;
-use common::{listed, ms, settings_with_all_effects as settings};
+use common::{endpoint, ms, settings_with_all_effects as settings};
 use maplehook_core::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
-enum Op {
-    Request { class: u16, tenant: u32, left: u64, work: Option<f64> },
-    End { pick: usize, outcome: u8, report: f32 },
-    Probed { pick: usize, ok: bool, held: f32 },
-    Stream { pick: usize },
-    Gone { pick: usize },
-    List { scope: u8, entries: Vec<(u64, u8, bool)> },
-    Wait { ms: u64 },
+enum Operation {
+    Request { class: u16, tenant: u32, time_left_ms: u64, work_ms: Option<f64> },
+    EndAttempt { choice: usize, outcome: u8, report: f32 },
+    EndProbe { choice: usize, is_ok: bool, in_flight: f32 },
+    StartStream { choice: usize },
+    CancelRequest { choice: usize },
+    UpdateEndpoints { scope: u8, entries: Vec<(u64, u8, bool)> },
+    Advance { duration_ms: u64 },
 }
 
-fn op() -> impl Strategy<Value = Op> {
+fn operation() -> impl Strategy<Value = Operation> {
     let entries = prop::collection::vec((1u64..12, 0u8..4, any::<bool>()), 0..8);
     let hint = prop::option::of(prop_oneof![1.0..500.0f64, Just(f64::NAN)]);
     prop_oneof![
         6 => (0u16..6, 0u32..5, 0u64..1500, hint)
-            .prop_map(|(class, tenant, left, work)| Op::Request { class, tenant, left, work }),
+            .prop_map(|(class, tenant, time_left_ms, work_ms)| Operation::Request {
+                class, tenant, time_left_ms, work_ms,
+            }),
         6 => (any::<usize>(), 0u8..7, prop_oneof![0.0..9.0f32, Just(f32::NAN)])
-            .prop_map(|(pick, outcome, report)| Op::End { pick, outcome, report }),
+            .prop_map(|(choice, outcome, report)| Operation::EndAttempt { choice, outcome, report }),
         3 => (any::<usize>(), any::<bool>(), 0.0..4.0f32)
-            .prop_map(|(pick, ok, held)| Op::Probed { pick, ok, held }),
-        1 => any::<usize>().prop_map(|pick| Op::Stream { pick }),
-        1 => any::<usize>().prop_map(|pick| Op::Gone { pick }),
-        2 => (0u8..4, entries).prop_map(|(scope, entries)| Op::List { scope, entries }),
-        6 => prop_oneof![0u64..30, 0u64..400].prop_map(|ms| Op::Wait { ms }),
+            .prop_map(|(choice, is_ok, in_flight)| Operation::EndProbe { choice, is_ok, in_flight }),
+        1 => any::<usize>().prop_map(|choice| Operation::StartStream { choice }),
+        1 => any::<usize>().prop_map(|choice| Operation::CancelRequest { choice }),
+        2 => (0u8..4, entries).prop_map(|(scope, entries)| Operation::UpdateEndpoints { scope, entries }),
+        6 => prop_oneof![0u64..30, 0u64..400].prop_map(|duration_ms| Operation::Advance { duration_ms }),
     ]
 }
 
 #[derive(Debug)]
-struct Sent {
+struct AttemptState {
     upstream: UpstreamId,
-    at: Duration,
-    until: Duration,
-    out: bool,
+    sent_at: Duration,
+    ends_at: Duration,
+    is_in_flight: bool,
     may_have_run: bool,
 }
 
 #[derive(Debug)]
-struct Held {
+struct RequestState {
     class: usize,
     deadline: Duration,
-    attempts: Vec<Sent>,
-    answered: Option<Duration>,
-    gone: bool,
-    streaming: bool,
+    attempts: Vec<AttemptState>,
+    answered_at: Option<Duration>,
+    is_cancelled: bool,
+    is_streaming: bool,
 }
 
-struct World {
-    set: Settings,
-    pair: [Balancer; 2],
+struct Simulation {
+    settings: Settings,
+    balancers: [Balancer; 2],
     now: Duration,
-    requests: BTreeMap<RequestId, Held>,
+    requests: BTreeMap<RequestId, RequestState>,
     timers: Vec<(Duration, TimerId)>,
     probes: Vec<UpstreamId>,
-    fleet: BTreeMap<UpstreamId, Availability>,
-    named: BTreeSet<UpstreamId>,
+    availabilities: BTreeMap<UpstreamId, Availability>,
+    listed_ids: BTreeSet<UpstreamId>,
 }
 
-/// Zones and cells by id, so that a test can tell which upstreams share a memory of keys.
-fn entry(id: u64, availability: Availability, started: Option<Duration>) -> Endpoint {
+/// Returns an endpoint whose zone and cell follow from its id, so that tests can tell which upstreams share
+/// idempotency keys.
+fn endpoint_with_location(id: u64, availability: Availability, started: Option<Duration>) -> Endpoint {
     let (zone, cell) = (ZoneId((id % 2) as u8), CellId((id % 4) as u16));
-    Endpoint { zone, cell, availability, started, ..listed(id) }
+    Endpoint { zone, cell, availability, started, ..endpoint(id) }
 }
 
-impl World {
-    fn new(set: Settings, seed: u64) -> Self {
-        let balancer = || Balancer::new(set.clone(), seed).expect("settings permit decisions");
+impl Simulation {
+    fn new(settings: Settings, seed: u64) -> Self {
+        let balancer = || Balancer::new(settings.clone(), seed).expect("the settings are valid");
         Self {
-            pair: [balancer(), balancer()],
-            set,
+            balancers: [balancer(), balancer()],
+            settings,
             now: ms(5000),
             requests: BTreeMap::new(),
             timers: Vec::new(),
             probes: Vec::new(),
-            fleet: BTreeMap::new(),
-            named: BTreeSet::new(),
+            availabilities: BTreeMap::new(),
+            listed_ids: BTreeSet::new(),
         }
     }
 
-    fn tell(&mut self, event: Event<'_>) {
+    fn handle(&mut self, event: Event<'_>) {
         let mut actions = Vec::new();
-        self.pair[0].handle(self.now, event.clone(), &mut actions);
-        let mut again = Vec::new();
-        self.pair[1].handle(self.now, event, &mut again);
-        assert_eq!(actions, again, "same events, same actions");
+        self.balancers[0].handle(self.now, event.clone(), &mut actions);
+        let mut repeated_actions = Vec::new();
+        self.balancers[1].handle(self.now, event, &mut repeated_actions);
+        assert_eq!(actions, repeated_actions, "both balancers take the same actions for the same events");
         for action in actions {
-            self.check(action);
+            self.check_action(action);
         }
     }
 
-    fn check(&mut self, action: Action) {
+    fn check_action(&mut self, action: Action) {
         let now = self.now;
         match action {
             Action::Timer { after, timer } => self.timers.push((now + after, timer)),
             Action::Probe { upstream } => {
-                assert!(self.set.can_probe, "probes are not allowed");
-                assert!(self.named.contains(&upstream));
+                assert!(self.settings.can_probe, "probes are enabled");
+                assert!(self.listed_ids.contains(&upstream));
                 self.probes.push(upstream);
             }
-            Action::WatchEndpoints | Action::FetchEndpoints => assert!(self.set.has_endpoint_discovery),
+            Action::WatchEndpoints | Action::FetchEndpoints => assert!(self.settings.has_endpoint_discovery),
             Action::Log { .. } | Action::CloseIdle { .. } => {}
             Action::Cancel { id, attempt } => {
-                assert!(self.set.can_cancel);
-                assert!(usize::from(attempt.0) < self.requests[&id].attempts.len(), "a cancel of nothing");
+                assert!(self.settings.can_cancel);
+                assert!(
+                    usize::from(attempt.0) < self.requests[&id].attempts.len(),
+                    "only attempts that were sent are cancelled"
+                );
             }
             Action::Attempt { id, upstream, timeout } => {
-                let r = self.requests.get_mut(&id).expect("a request that was given");
-                assert!(r.answered.is_none() && !r.gone, "an attempt after the end");
-                assert!(!r.streaming, "an attempt beside a stream");
-                assert!(r.attempts.len() < usize::from(self.set.max_attempts), "too many attempts");
-                let listed = self.fleet.get(&upstream).copied();
-                assert_eq!(listed, Some(Availability::Ready), "to {upstream:?}, drained, gone or unknown");
-                if !self.set.can_hedge {
-                    assert!(r.attempts.iter().all(|a| !a.out), "two attempts out together");
+                let r = self.requests.get_mut(&id).expect("the request was sent to the balancer");
+                assert!(
+                    r.answered_at.is_none() && !r.is_cancelled,
+                    "no attempt follows the end of a request"
+                );
+                assert!(!r.is_streaming, "no attempt is sent while the request streams");
+                assert!(
+                    r.attempts.len() < usize::from(self.settings.max_attempts),
+                    "requests get no more attempts than allowed"
+                );
+                let availability = self.availabilities.get(&upstream).copied();
+                assert_eq!(
+                    availability,
+                    Some(Availability::Ready),
+                    "attempts go to ready upstreams, not to {upstream:?}"
+                );
+                if !self.settings.can_hedge {
+                    assert!(
+                        r.attempts.iter().all(|a| !a.is_in_flight),
+                        "without hedging, one attempt is in flight at a time"
+                    );
                 }
-                for first in r.attempts.iter().filter(|a| a.out || a.may_have_run) {
-                    match self.set.classes[r.class].effect {
+                for first in r.attempts.iter().filter(|a| a.is_in_flight || a.may_have_run) {
+                    match self.settings.classes[r.class].effect {
                         Effect::Idempotent => {}
-                        Effect::AtMostOnce => panic!("an effect may happen twice"),
+                        Effect::AtMostOnce => panic!("the request may run twice"),
                         Effect::Deduplicated { group, ttl } => {
-                            assert!(now <= first.at + ttl, "after the window");
-                            let same = match group {
+                            assert!(
+                                now <= first.sent_at + ttl,
+                                "repeats are sent within the deduplication window"
+                            );
+                            let is_same_group = match group {
                                 DedupGroup::All => true,
                                 DedupGroup::Zone => first.upstream.0 % 2 == upstream.0 % 2,
                                 DedupGroup::Cell => first.upstream.0 % 4 == upstream.0 % 4,
                             };
-                            assert!(same, "outside the group that drops repeats");
+                            assert!(is_same_group, "repeats stay in their deduplication group");
                         }
                     }
                 }
-                let until = timeout.map_or(r.deadline, |t| r.deadline.min(now + t));
-                r.attempts.push(Sent { upstream, at: now, until, out: true, may_have_run: false });
+                let ends_at = timeout.map_or(r.deadline, |t| r.deadline.min(now + t));
+                r.attempts.push(AttemptState {
+                    upstream,
+                    sent_at: now,
+                    ends_at,
+                    is_in_flight: true,
+                    may_have_run: false,
+                });
             }
             Action::Reject { id, .. } => {
-                let effect = self.requests.get(&id).map(|r| self.set.classes[r.class].effect);
-                let r = self.answer(id);
-                let ran = r.attempts.iter().any(|a| a.out || a.may_have_run);
-                let harmless = match effect.expect("a request that was given") {
+                let effect = self.requests.get(&id).map(|r| self.settings.classes[r.class].effect);
+                let r = self.record_answer(id);
+                let may_have_run = r.attempts.iter().any(|a| a.is_in_flight || a.may_have_run);
+                let is_harmless = match effect.expect("the request was sent to the balancer") {
                     Effect::Idempotent => true,
-                    Effect::AtMostOnce => !ran,
-                    Effect::Deduplicated { group, .. } => group == DedupGroup::All || !ran,
+                    Effect::AtMostOnce => !may_have_run,
+                    Effect::Deduplicated { group, .. } => group == DedupGroup::All || !may_have_run,
                 };
-                assert!(harmless, "a refusal of what may have run");
+                assert!(is_harmless, "only requests that are harmless to retry are rejected");
             }
             Action::Fail { id } => {
-                self.answer(id);
+                self.record_answer(id);
             }
         }
     }
 
-    fn answer(&mut self, id: RequestId) -> &Held {
-        let r = self.requests.get_mut(&id).expect("a request that was given");
-        assert!(!r.gone && !r.streaming, "an answer to one that is gone or streams");
-        assert_eq!(r.answered, None, "two final answers");
-        r.answered = Some(self.now);
+    fn record_answer(&mut self, id: RequestId) -> &RequestState {
+        let r = self.requests.get_mut(&id).expect("the request was sent to the balancer");
+        assert!(!r.is_cancelled && !r.is_streaming, "cancelled and streaming requests get no answer");
+        assert_eq!(r.answered_at, None, "a request gets one final answer");
+        r.answered_at = Some(self.now);
         r
     }
 
-    fn end(&mut self, id: RequestId, attempt: usize, outcome: Outcome, report: f32) {
+    fn end_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome, report: f32) {
         let now = self.now;
         let r = self.requests.get_mut(&id).unwrap();
         let a = &mut r.attempts[attempt];
-        a.out = false;
+        a.is_in_flight = false;
         a.may_have_run = !outcome.never_ran();
-        let (upstream, latency) = (a.upstream, now - a.at);
-        if r.answered.is_none() && !r.gone && (outcome == Outcome::Ok || r.streaming) {
-            (r.answered, r.streaming) = (Some(now), false);
+        let (upstream, latency) = (a.upstream, now - a.sent_at);
+        if r.answered_at.is_none() && !r.is_cancelled && (outcome == Outcome::Ok || r.is_streaming) {
+            (r.answered_at, r.is_streaming) = (Some(now), false);
         }
-        let finished = r.answered.is_some() || r.gone;
+        let finished = r.answered_at.is_some() || r.is_cancelled;
         let attempt = AttemptNo(attempt as u8);
-        self.tell(Event::AttemptEnded {
+        self.handle(Event::AttemptEnded {
             id,
             attempt,
             upstream,
@@ -188,56 +216,69 @@
         });
     }
 
-    fn out(&self) -> Vec<(RequestId, usize)> {
-        let attempts = |(id, r): (&RequestId, &Held)| {
-            let out: Vec<_> =
-                r.attempts.iter().enumerate().filter(|(_, a)| a.out).map(|(k, _)| (*id, k)).collect();
-            out
+    fn in_flight_attempts(&self) -> Vec<(RequestId, usize)> {
+        let attempts = |(id, r): (&RequestId, &RequestState)| {
+            let attempts: Vec<_> = r
+                .attempts
+                .iter()
+                .enumerate()
+                .filter(|(_, a)| a.is_in_flight)
+                .map(|(k, _)| (*id, k))
+                .collect();
+            attempts
         };
         self.requests.iter().flat_map(attempts).collect()
     }
 
-    /// Time goes on: timers and time-outs in order, a millisecond at a time.
-    fn wait(&mut self, span: u64) {
-        for _ in 0..span {
+    /// Advances the clock in steps of a millisecond, and handles due timers and attempt timeouts.
+    fn advance(&mut self, duration_ms: u64) {
+        for _ in 0..duration_ms {
             self.now += ms(1);
-            for (id, k) in self.out() {
+            for (id, k) in self.in_flight_attempts() {
                 let r = &self.requests[&id];
                 // A stream that has started has no deadline.
-                if r.attempts[k].out && r.attempts[k].until <= self.now && !r.streaming {
-                    self.end(id, k, Outcome::TimedOut, 0.0);
+                if r.attempts[k].is_in_flight && r.attempts[k].ends_at <= self.now && !r.is_streaming {
+                    self.end_attempt(id, k, Outcome::TimedOut, 0.0);
                 }
             }
             let (due, rest) = std::mem::take(&mut self.timers).into_iter().partition(|t| t.0 <= self.now);
             self.timers = rest;
             let due: Vec<(Duration, TimerId)> = due;
             for (_, timer) in due {
-                self.tell(Event::Timer { timer });
+                self.handle(Event::Timer { timer });
             }
         }
     }
 
-    fn play(&mut self, op: &Op, n: u32) {
-        match op {
-            Op::Request { class, tenant, left, work } => {
-                let (id, class) = (RequestId(n), usize::from(*class) % self.set.classes.len());
-                let deadline = self.now + ms(*left);
-                let (attempts, answered) = (Vec::new(), None);
-                let r = Held { class, deadline, attempts, answered, gone: false, streaming: false };
+    fn execute(&mut self, operation: &Operation, n: u32) {
+        match operation {
+            Operation::Request { class, tenant, time_left_ms, work_ms } => {
+                let (id, class) = (RequestId(n), usize::from(*class) % self.settings.classes.len());
+                let deadline = self.now + ms(*time_left_ms);
+                let (attempts, answered_at) = (Vec::new(), None);
+                let r = RequestState {
+                    class,
+                    deadline,
+                    attempts,
+                    answered_at,
+                    is_cancelled: false,
+                    is_streaming: false,
+                };
                 self.requests.insert(id, r);
-                let (class, tenant, time_left) = (ClassId(class as u16), TenantId(*tenant), ms(*left));
-                self.tell(Event::Request {
+                let (class, tenant, time_left) =
+                    (ClassId(class as u16), TenantId(*tenant), ms(*time_left_ms));
+                self.handle(Event::Request {
                     id,
                     class,
                     tenant,
                     time_left,
-                    work_ms: *work,
+                    work_ms: *work_ms,
                     is_repeat: n.is_multiple_of(3),
                 });
             }
-            Op::End { pick, outcome, report } => {
-                let out = self.out();
-                let Some((id, k)) = out.get(pick % out.len().max(1)).copied() else { return };
+            Operation::EndAttempt { choice, outcome, report } => {
+                let attempts = self.in_flight_attempts();
+                let Some((id, k)) = attempts.get(choice % attempts.len().max(1)).copied() else { return };
                 let outcome = match outcome {
                     0 | 1 => Outcome::Ok,
                     2 => Outcome::Error,
@@ -246,36 +287,38 @@
                     5 => Outcome::Reset,
                     _ => Outcome::Cancelled,
                 };
-                self.end(id, k, outcome, *report);
+                self.end_attempt(id, k, outcome, *report);
             }
-            Op::Probed { pick, ok, held } => {
+            Operation::EndProbe { choice, is_ok, in_flight } => {
                 if self.probes.is_empty() {
                     return;
                 }
-                let upstream = self.probes.remove(pick % self.probes.len());
-                let outcome = if *ok { Outcome::Ok } else { Outcome::ConnectFailed };
-                let (latency, report) = (ms(1), &[*held][..]);
-                self.tell(Event::ProbeEnded { upstream, outcome, latency, report });
+                let upstream = self.probes.remove(choice % self.probes.len());
+                let outcome = if *is_ok { Outcome::Ok } else { Outcome::ConnectFailed };
+                let (latency, report) = (ms(1), &[*in_flight][..]);
+                self.handle(Event::ProbeEnded { upstream, outcome, latency, report });
             }
-            Op::Stream { pick } => {
-                let streamed =
-                    |r: &Held| self.set.classes[r.class].is_streamed && r.answered.is_none() && !r.gone;
-                let mut out = self.out();
-                out.retain(|(id, _)| streamed(&self.requests[id]) && !self.requests[id].streaming);
-                let Some((id, k)) = out.get(pick % out.len().max(1)).copied() else { return };
-                self.requests.get_mut(&id).unwrap().streaming = true;
-                let (attempt, latency) = (AttemptNo(k as u8), self.now - self.requests[&id].attempts[k].at);
-                self.tell(Event::StreamStarted { id, attempt, latency: Some(latency) });
+            Operation::StartStream { choice } => {
+                let streamed = |r: &RequestState| {
+                    self.settings.classes[r.class].is_streamed && r.answered_at.is_none() && !r.is_cancelled
+                };
+                let mut attempts = self.in_flight_attempts();
+                attempts.retain(|(id, _)| streamed(&self.requests[id]) && !self.requests[id].is_streaming);
+                let Some((id, k)) = attempts.get(choice % attempts.len().max(1)).copied() else { return };
+                self.requests.get_mut(&id).unwrap().is_streaming = true;
+                let (attempt, latency) =
+                    (AttemptNo(k as u8), self.now - self.requests[&id].attempts[k].sent_at);
+                self.handle(Event::StreamStarted { id, attempt, latency: Some(latency) });
             }
-            Op::Gone { pick } => {
-                let open = |(_, r): &(&RequestId, &Held)| r.answered.is_none() && !r.gone;
+            Operation::CancelRequest { choice } => {
+                let open = |(_, r): &(&RequestId, &RequestState)| r.answered_at.is_none() && !r.is_cancelled;
                 let open: Vec<_> = self.requests.iter().filter(open).map(|(id, _)| *id).collect();
-                let Some(id) = open.get(pick % open.len().max(1)).copied() else { return };
+                let Some(id) = open.get(choice % open.len().max(1)).copied() else { return };
                 let r = self.requests.get_mut(&id).unwrap();
-                (r.gone, r.streaming) = (true, false);
-                self.tell(Event::RequestCancelled { id });
+                (r.is_cancelled, r.is_streaming) = (true, false);
+                self.handle(Event::RequestCancelled { id });
             }
-            Op::List { scope, entries } => {
+            Operation::UpdateEndpoints { scope, entries } => {
                 let scope = match scope {
                     0 => UpdateScope::Failed,
                     1 => UpdateScope::Full,
@@ -283,29 +326,29 @@
                     _ => UpdateScope::Changes,
                 };
                 if scope == UpdateScope::Failed {
-                    return self.tell(Event::EndpointUpdate { scope, endpoints: &[] });
+                    return self.handle(Event::EndpointUpdate { scope, endpoints: &[] });
                 }
                 let mut list = BTreeMap::new();
-                for (id, state, restarted) in entries {
-                    let availability = match state {
+                for (id, availability_choice, has_restarted) in entries {
+                    let availability = match availability_choice {
                         0 => Availability::Draining,
                         1 => Availability::Removed,
                         _ => Availability::Ready,
                     };
-                    let started = restarted.then_some(self.now.saturating_sub(ms(500)));
-                    list.insert(*id, entry(*id, availability, started));
+                    let started = has_restarted.then_some(self.now.saturating_sub(ms(500)));
+                    list.insert(*id, endpoint_with_location(*id, availability, started));
                 }
                 if scope != UpdateScope::Changes {
-                    self.fleet.clear();
+                    self.availabilities.clear();
                 }
                 for l in list.values() {
-                    self.fleet.insert(l.id, l.availability);
-                    self.named.insert(l.id);
+                    self.availabilities.insert(l.id, l.availability);
+                    self.listed_ids.insert(l.id);
                 }
                 let list: Vec<_> = list.into_values().collect();
-                self.tell(Event::EndpointUpdate { scope, endpoints: &list });
+                self.handle(Event::EndpointUpdate { scope, endpoints: &list });
             }
-            Op::Wait { ms } => self.wait(*ms),
+            Operation::Advance { duration_ms } => self.advance(*duration_ms),
         }
     }
 }
@@ -314,30 +357,33 @@
     #![proptest_config(ProptestConfig { cases: 192, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(20), ..ProptestConfig::default() })]
 
     #[test]
-    fn rules_hold_under_any_legal_events(
-        ops in prop::collection::vec(op(), 1..160),
+    fn decisions_follow_the_rules_after_any_valid_events(
+        operations in prop::collection::vec(operation(), 1..160),
         flags in any::<(bool, bool, bool)>(),
         max_attempts in 1u8..5,
         seed in any::<u64>(),
     ) {
-        let set = settings(flags.0, flags.1, flags.2, max_attempts);
-        let mut world = World::new(set, seed);
+        let settings = settings(flags.0, flags.1, flags.2, max_attempts);
+        let mut simulation = Simulation::new(settings, seed);
         let first: Vec<_> = (1..9).map(|id| (id, 2, false)).collect();
-        world.play(&Op::List { scope: 2, entries: first }, 0);
-        for (n, op) in ops.iter().enumerate() {
-            world.play(op, n as u32);
+        simulation.execute(&Operation::UpdateEndpoints { scope: 2, entries: first }, 0);
+        for (n, operation) in operations.iter().enumerate() {
+            simulation.execute(operation, n as u32);
         }
-        // The day runs on until all deadlines have passed; streams that go on are ended.
-        world.wait(1600);
-        for (id, k) in world.out() {
-            world.end(id, k, Outcome::Ok, 0.0);
+        // All deadlines pass, and the remaining streams are ended.
+        simulation.advance(1600);
+        for (id, k) in simulation.in_flight_attempts() {
+            simulation.end_attempt(id, k, Outcome::Ok, 0.0);
         }
-        world.wait(200);
-        for (id, r) in &world.requests {
-            let answered = r.answered.or(r.gone.then_some(Duration::ZERO));
-            prop_assert!(answered.is_some(), "{id:?} was lost: {r:?}");
-            let streamed = world.set.classes[r.class].is_streamed;
-            prop_assert!(streamed || answered <= Some(r.deadline + ms(20)), "{id:?} answered late: {r:?}");
+        simulation.advance(200);
+        for (id, r) in &simulation.requests {
+            let answered_at = r.answered_at.or(r.is_cancelled.then_some(Duration::ZERO));
+            prop_assert!(answered_at.is_some(), "no answer for {id:?}: {r:?}");
+            let streamed = simulation.settings.classes[r.class].is_streamed;
+            prop_assert!(
+                streamed || answered_at <= Some(r.deadline + ms(20)),
+                "late answer for {id:?}: {r:?}"
+            );
         }
     }
 }
--- a/crates/core/tests/short_objectives.rs
+++ b/crates/core/tests/short_objectives.rs
@@ -1,23 +1,23 @@
-//! Classes of little time.
+//! Classes with short latency objectives and deadlines.
 
 mod common;
 use common::*;
 use maplehook_core::*;
 
-/// Guards aims shorter than two ticks: an answer is learned from, and nothing panics.
+/// Objectives shorter than two ticks: the balancer learns from answers and does not panic.
 #[test]
-fn an_aim_shorter_than_a_tick_is_learned_from() {
+fn serves_requests_with_an_objective_shorter_than_a_tick() {
     let settings = Settings { classes: vec![class(6, 20, Effect::Idempotent)], ..Settings::default() };
-    let mut bench = Bench::new(settings, &[listed(1), listed(2)]);
+    let mut harness = Harness::new(settings, &[endpoint(1), endpoint(2)]);
     let mut answered = 0;
     for _ in 0..50 {
-        let id = bench.request(0, 0, ms(20));
-        if bench.at(id, 0).is_some() {
-            bench.run(ms(3));
-            bench.ended(id, 0, Outcome::Ok);
+        let id = harness.send_request(0, 0, ms(20));
+        if harness.upstream_of(id, 0).is_some() {
+            harness.advance(ms(3));
+            harness.end_attempt(id, 0, Outcome::Ok);
             answered += 1;
         }
-        bench.run(ms(20));
+        harness.advance(ms(20));
     }
     assert!(answered > 0);
 }
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -1,133 +1,171 @@
-//! What all balancers together send to an upstream that has just started: real `Balancer`s side by side in emulated
-//! time, over drawn settings, traffic and starts. Each is told at its own time; some restart in that moment, knowing
-//! nothing or by a hand-over. Counted is what those send that had been told.
+//! Upstreams that have just started must not be overloaded by all balancers together. Real `Balancer`s run
+//! side by side in emulated time with random settings, traffic and starts. Each balancer is notified of a
+//! start at its own time, and some restart at that time, with or without learned state. The tests count the
+//! attempts of notified balancers.
 
 mod common;
 #[path = "common/scenario.rs"]
-mod day;
+mod scenario;
 #[path = "common/simulation.rs"]
-mod fleet;
+mod simulation;
 
-use common::{Bench, class, listed, ms};
-use day::{Day, FIGURES, START};
-use fleet::{Seen, play};
+use common::{Harness, class, endpoint, ms};
 use maplehook_core::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+use scenario::{PARAMETER_COUNT, START_TIME_S, Scenario};
+use simulation::{Measurements, simulate};
 
-/// Requests in the fair part of the cold upstreams from which on a day has to show that some get there.
-const FAIR_LEAST: f64 = 10.0;
-/// What of it has to get there on any day, and on all days of a size together: see the crate's page.
-const SENT_ANY_DAY: f64 = 0.02;
-const SENT_ALL_DAYS: f64 = 0.3;
+/// Scenarios with a lower fair request count need not send any requests to the starting upstreams.
+const MIN_FAIR_REQUESTS: f64 = 10.0;
+/// Lowest share of the fair request count that has to be sent in each scenario, and over all scenarios with
+/// the same number of balancers; the crate documentation explains what upstreams in slow start get.
+const MIN_SENT_SHARE: f64 = 0.02;
+const MIN_TOTAL_SENT_SHARE: f64 = 0.3;
 
-/// The largest share of what pushes an upstream over that one got within a fall time, as long as it was cold.
-fn largest_share(day: &Day, seen: &Seen) -> f64 {
-    let warm = day.set.slow_start_window.as_secs_f64();
-    let mut largest = 0.0f64;
-    for (j, sent) in seen.told.iter().enumerate() {
-        for (k, from) in sent.iter().enumerate().take_while(|(_, at)| **at - START < warm) {
-            let age = from - START;
-            let until = from + day.set.overload_window.as_secs_f64().min(warm - age);
-            let count = sent[k..].iter().take_while(|at| **at < until).count() as f64;
-            largest = largest.max(count / day.bound(j, age));
+/// Returns the highest ratio, over all starting upstreams and overload windows within slow start, of attempts
+/// to the overload bound.
+fn max_overload_ratio(scenario: &Scenario, measurements: &Measurements) -> f64 {
+    let slow_start_s = scenario.settings.slow_start_window.as_secs_f64();
+    let mut max_ratio = 0.0f64;
+    for (j, sent) in measurements.notified_attempts.iter().enumerate() {
+        for (k, window_start) in
+            sent.iter().enumerate().take_while(|(_, at)| **at - START_TIME_S < slow_start_s)
+        {
+            let age_s = window_start - START_TIME_S;
+            let window_end =
+                window_start + scenario.settings.overload_window.as_secs_f64().min(slow_start_s - age_s);
+            let count = sent[k..].iter().take_while(|at| **at < window_end).count() as f64;
+            max_ratio = max_ratio.max(count / scenario.overload_bound(j, age_s));
         }
     }
-    largest
+    max_ratio
 }
 
-/// A fair part of the traffic for all upstreams that start cold, and what was sent to them.
-fn warmed(day: &Day, seen: &Seen) -> (f64, f64) {
-    let fair = (0..day.cold).map(|j| day.fair(j)).sum();
-    (fair, seen.told.iter().map(Vec::len).sum::<usize>() as f64)
+/// Returns the fair request count of all starting upstreams, and the number of attempts at them.
+fn fair_and_sent_requests(scenario: &Scenario, measurements: &Measurements) -> (f64, f64) {
+    let fair = (0..scenario.starting_count).map(|j| scenario.fair_request_count(j)).sum();
+    (fair, measurements.notified_attempts.iter().map(Vec::len).sum::<usize>() as f64)
 }
 
-/// Days with so many balancers, by the numbers that they are drawn from.
-fn none_is_pushed_over(balancers: usize, seeds: &[u64]) {
-    let (mut largest, mut all_fair, mut all_sent, mut parts) = (0.0f64, 0.0, 0.0, 0);
+/// Simulates the scenarios of some seeds and checks both the overload bound and the share of requests sent.
+fn assert_no_upstream_is_overloaded(balancers: usize, seeds: &[u64]) {
+    let (mut max_ratio, mut total_fair, mut total_sent, mut scenarios_below_one_request) =
+        (0.0f64, 0.0, 0.0, 0);
     for seed in seeds {
-        let day = Day::numbered(balancers, *seed);
-        let seen = play(&day);
-        let share = largest_share(&day, &seen);
-        assert!(share <= 1.0, "day {seed}: {share:.2} of what pushes an upstream over: {day:?}");
-        largest = largest.max(share);
-        let (fair, sent) = warmed(&day, &seen);
-        if fair >= FAIR_LEAST && day.hangs_for.is_none() {
-            assert!(sent >= SENT_ANY_DAY * fair, "day {seed}: {sent} of {fair:.0} sent: {day:?}");
-            (all_fair, all_sent) = (all_fair + fair, all_sent + sent);
-            parts += usize::from(fair < (balancers * day.cold) as f64);
+        let scenario = Scenario::from_seed(balancers, *seed);
+        let measurements = simulate(&scenario);
+        let ratio = max_overload_ratio(&scenario, &measurements);
+        assert!(
+            ratio <= 1.0,
+            "seed {seed}: an upstream received {ratio:.2} times its overload bound: {scenario:?}"
+        );
+        max_ratio = max_ratio.max(ratio);
+        let (fair, sent) = fair_and_sent_requests(&scenario, &measurements);
+        if fair >= MIN_FAIR_REQUESTS && scenario.unanswered_class.is_none() {
+            assert!(
+                sent >= MIN_SENT_SHARE * fair,
+                "seed {seed}: {sent} requests sent to starting upstreams, {fair:.0} would be fair: {scenario:?}"
+            );
+            (total_fair, total_sent) = (total_fair + fair, total_sent + sent);
+            scenarios_below_one_request += usize::from(fair < (balancers * scenario.starting_count) as f64);
         }
     }
-    println!("{balancers} balancers: {largest:.2} of the bound at the most, {:.2} sent", all_sent / all_fair);
-    assert!(all_sent >= SENT_ALL_DAYS * all_fair, "{all_sent} of {all_fair:.0} sent over all days");
-    assert!(balancers < 300 || parts > 0, "on no day was the part of one balancer under one request");
+    println!(
+        "{balancers} balancers: at most {max_ratio:.2} of the overload bound, {:.2} of the fair count sent",
+        total_sent / total_fair
+    );
+    assert!(
+        total_sent >= MIN_TOTAL_SENT_SHARE * total_fair,
+        "{total_sent} requests sent over all scenarios, {total_fair:.0} would be fair"
+    );
+    assert!(
+        balancers < 300 || scenarios_below_one_request > 0,
+        "no scenario gives a balancer less than one fair request"
+    );
 }
 
 #[test]
-fn none_is_pushed_over_by_one_balancer_or_three() {
-    none_is_pushed_over(1, &[&[4, 17, 193, 316][..], &(500..512).collect::<Vec<_>>()].concat());
-    none_is_pushed_over(3, &[&[4, 7, 17, 47, 193, 345][..], &(500..512).collect::<Vec<_>>()].concat());
+fn one_or_three_balancers_overload_no_upstream() {
+    assert_no_upstream_is_overloaded(1, &[&[4, 17, 193, 316][..], &(500..512).collect::<Vec<_>>()].concat());
+    assert_no_upstream_is_overloaded(
+        3,
+        &[&[4, 7, 17, 47, 193, 345][..], &(500..512).collect::<Vec<_>>()].concat(),
+    );
 }
 
 #[test]
-fn none_is_pushed_over_by_thirty_balancers() {
-    none_is_pushed_over(30, &[&[4, 17, 51, 193, 345][..], &(500..506).collect::<Vec<_>>()].concat());
+fn thirty_balancers_overload_no_upstream() {
+    assert_no_upstream_is_overloaded(
+        30,
+        &[&[4, 17, 51, 193, 345][..], &(500..506).collect::<Vec<_>>()].concat(),
+    );
 }
 
 #[test]
-fn none_is_pushed_over_by_three_hundred_balancers() {
-    none_is_pushed_over(300, &[7, 18, 51, 56]);
+fn three_hundred_balancers_overload_no_upstream() {
+    assert_no_upstream_is_overloaded(300, &[7, 18, 51, 56]);
 }
 
-/// All balancers restart in the moment of the start, and know it by their first list: full buckets, nothing learned.
+/// All balancers restart together with the upstreams, with full token buckets and without learned state, and
+/// see the starting upstreams in their first list.
 #[test]
-fn none_is_pushed_over_by_balancers_that_all_restart() {
+fn balancers_that_restart_together_overload_no_upstream() {
     for (balancers, seeds) in [(3, 40..52), (30, 46..52), (300, 51..52)] {
         for seed in seeds {
-            let mut day = Day::numbered(balancers, seed);
-            (day.fresh, day.handed, day.dated) = (1.0, 0.0, true);
-            let share = largest_share(&day, &play(&day));
-            println!("{balancers} balancers, day {seed}: {share:.2} of the bound");
-            assert!(share <= 1.0, "day {seed}: {share:.2} of what pushes an upstream over: {day:?}");
+            let mut scenario = Scenario::from_seed(balancers, seed);
+            (scenario.restart_share, scenario.handover_share, scenario.has_start_times) = (1.0, 0.0, true);
+            let ratio = max_overload_ratio(&scenario, &simulate(&scenario));
+            println!("{balancers} balancers, seed {seed}: {ratio:.2} of the overload bound");
+            assert!(
+                ratio <= 1.0,
+                "seed {seed}: an upstream received {ratio:.2} times its overload bound: {scenario:?}"
+            );
         }
     }
 }
 
-/// However long a balancer had no requests: of what it could have sent a cold upstream, one is left.
+/// A balancer without requests must not save up slots: however long it was idle, it sends one request at once
+/// to an upstream in slow start.
 #[test]
-fn turns_are_not_saved_up_for_one_burst() {
-    for cold_from in [0.05, 0.3, 0.9] {
-        let set = Settings {
+fn an_idle_balancer_saves_no_burst_for_an_upstream_in_slow_start() {
+    for min_share in [0.05, 0.3, 0.9] {
+        let settings = Settings {
             classes: vec![class(400, 1000, Effect::Idempotent)],
             tenants: vec![Tenant { allowance_per_s: 200.0 }],
             slow_start_window: ms(60_000),
-            slow_start_min_share: cold_from,
+            slow_start_min_share: min_share,
             ..Settings::default()
         };
-        let mut bench = Bench::new(set, &[listed(1), listed(2), listed(3)]);
-        let new = Endpoint { started: Some(ms(0)), ..listed(9) };
-        bench.tell(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[new] });
-        bench.run(ms(20_000));
-        bench.traffic(100, ms(0), |_| Some(Outcome::Ok));
-        let sent = bench.attempts_at(UpstreamId(9));
-        assert_eq!(sent, 1, "sent at once to one that starts at {cold_from}");
+        let mut harness = Harness::new(settings, &[endpoint(1), endpoint(2), endpoint(3)]);
+        let started_endpoint = Endpoint { started: Some(ms(0)), ..endpoint(9) };
+        harness.handle(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[started_endpoint] });
+        harness.advance(ms(20_000));
+        harness.run_traffic(100, ms(0), |_| Some(Outcome::Ok));
+        let sent = harness.attempts_to(UpstreamId(9));
+        assert_eq!(sent, 1, "requests sent at once to an upstream that starts at a share of {min_share}");
     }
 }
 
-/// Any number of balancers on any day: the same days in each run.
+/// Random scenarios with 1 to 300 balancers; each run tests the same ones.
 #[test]
-fn none_is_pushed_over_on_any_day() {
-    let chance = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
+fn random_scenarios_overload_no_upstream() {
+    let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let config = Config { cases: 18, failure_persistence: None, max_shrink_iters: 60, ..Config::default() };
-    let days = (0.0..1.0f64, any::<u64>(), prop::collection::vec(0.0..1.0f64, FIGURES));
-    let result = TestRunner::new_with_rng(config, chance).run(&days, |(balancers, seed, figures)| {
-        let figures: [f64; FIGURES] = figures.try_into().expect("as many figures");
-        let day = Day::drawn(300f64.powf(balancers) as usize, seed, &figures);
-        let seen = play(&day);
-        let (share, (fair, sent)) = (largest_share(&day, &seen), warmed(&day, &seen));
-        prop_assert!(share <= 1.0, "{share:.2} of what pushes an upstream over: {day:?}");
-        let shows = fair >= FAIR_LEAST && day.hangs_for.is_none();
-        prop_assert!(!shows || sent >= SENT_ANY_DAY * fair, "{sent} of {fair:.0} sent: {day:?}");
+    let scenarios = (0.0..1.0f64, any::<u64>(), prop::collection::vec(0.0..1.0f64, PARAMETER_COUNT));
+    let result = TestRunner::new_with_rng(config, rng).run(&scenarios, |(balancers, seed, parameters)| {
+        let parameters: [f64; PARAMETER_COUNT] =
+            parameters.try_into().expect("the strategy generates one value for each parameter");
+        let scenario = Scenario::from_parameters(300f64.powf(balancers) as usize, seed, &parameters);
+        let measurements = simulate(&scenario);
+        let (ratio, (fair, sent)) =
+            (max_overload_ratio(&scenario, &measurements), fair_and_sent_requests(&scenario, &measurements));
+        prop_assert!(ratio <= 1.0, "an upstream received {ratio:.2} times its overload bound: {scenario:?}");
+        let is_checked = fair >= MIN_FAIR_REQUESTS && scenario.unanswered_class.is_none();
+        prop_assert!(
+            !is_checked || sent >= MIN_SENT_SHARE * fair,
+            "{sent} requests sent to starting upstreams, {fair:.0} would be fair: {scenario:?}"
+        );
         Ok(())
     });
     result.unwrap_or_else(|e| panic!("{e}"));
--- a/crates/core/tests/subsetting.rs
+++ b/crates/core/tests/subsetting.rs
@@ -1,4 +1,5 @@
-//! Thin traffic keeps to a subset; together the balancers load every upstream alike.
+//! Balancers with little traffic use a subset of the upstreams, and the subsets of all balancers together
+//! load every upstream alike.
 
 mod common;
 use common::*;
@@ -17,62 +18,67 @@
     }
 }
 
-fn used(bench: &mut Bench, requests: usize) -> BTreeSet<UpstreamId> {
-    bench.sent.clear();
-    bench.traffic(requests, ms(500), |_| Some(Outcome::Ok));
-    bench.sent.values().flatten().map(|s| s.1).collect()
+fn run_and_collect_upstreams(harness: &mut Harness, requests: usize) -> BTreeSet<UpstreamId> {
+    harness.attempts.clear();
+    harness.run_traffic(requests, ms(500), |_| Some(Outcome::Ok));
+    harness.attempts.values().flatten().map(|s| s.1).collect()
 }
 
-/// Guards against upstreams that run out of connections: 240 balancers, two requests a second each.
+/// Upstreams must not run out of connections: 240 balancers with two requests a second each.
 #[test]
-fn a_thin_balancer_uses_few_and_all_together_use_all_alike() {
-    let fleet: Vec<_> = (1..=48).map(|id| listed(id * 7919)).collect();
-    let mut users: BTreeMap<UpstreamId, usize> = BTreeMap::new();
+fn balancers_with_little_traffic_use_few_upstreams_and_together_all_alike() {
+    let fleet: Vec<_> = (1..=48).map(|id| endpoint(id * 7919)).collect();
+    let mut balancers_by_upstream: BTreeMap<UpstreamId, usize> = BTreeMap::new();
     for index in 0..BALANCERS {
-        let own = used(&mut Bench::new(settings(index), &fleet), 60);
-        assert!((2..=10).contains(&own.len()), "{} upstreams used by one", own.len());
-        own.into_iter().for_each(|u| *users.entry(u).or_default() += 1);
+        let subset = run_and_collect_upstreams(&mut Harness::new(settings(index), &fleet), 60);
+        assert!((2..=10).contains(&subset.len()), "one balancer uses {} upstreams", subset.len());
+        subset.into_iter().for_each(|u| *balancers_by_upstream.entry(u).or_default() += 1);
     }
-    let (least, most) = (users.values().min().unwrap(), users.values().max().unwrap());
-    assert_eq!(users.len(), fleet.len(), "every upstream is used");
-    assert!(*most * 2 <= *least * 3, "used by {least} to {most} balancers");
+    let (fewest, most) =
+        (balancers_by_upstream.values().min().unwrap(), balancers_by_upstream.values().max().unwrap());
+    assert_eq!(balancers_by_upstream.len(), fleet.len(), "every upstream is used");
+    assert!(*most * 2 <= *fewest * 3, "upstreams are used by {fewest} to {most} balancers each");
 }
 
 #[test]
-fn a_small_fleet_and_a_busy_balancer_use_all() {
-    let mut few = Bench::new(settings(5), &(1..=2).map(listed).collect::<Vec<_>>());
-    assert_eq!(used(&mut few, 100).len(), 2);
-    let busy = Settings { balancers: 4, ..settings(3) };
-    let mut busy = Bench::new(busy, &(1..=60).map(listed).collect::<Vec<_>>());
-    assert_eq!(used(&mut busy, 300).len(), 60);
+fn small_fleets_and_busy_balancers_use_every_upstream() {
+    let mut few_upstreams = Harness::new(settings(5), &(1..=2).map(endpoint).collect::<Vec<_>>());
+    assert_eq!(run_and_collect_upstreams(&mut few_upstreams, 100).len(), 2);
+    let busy_balancer = Settings { balancers: 4, ..settings(3) };
+    let mut busy_balancer = Harness::new(busy_balancer, &(1..=60).map(endpoint).collect::<Vec<_>>());
+    assert_eq!(run_and_collect_upstreams(&mut busy_balancer, 300).len(), 60);
 }
 
-/// The subset outlives changes elsewhere; one lost is replaced, and those that left the list are forgotten.
+/// Changes of other upstreams leave a subset as it is. Upstreams of the subset that are removed are replaced.
 #[test]
-fn a_subset_is_stable_and_refilled() {
-    let fleet: Vec<_> = (1..=48).map(|id| listed(id * 7919)).collect();
-    let mut bench = Bench::new(settings(17), &fleet);
-    let before = used(&mut bench, 60);
-    let gone = |id: UpstreamId| Endpoint { availability: Availability::Removed, ..listed(id.0) };
-    let (own, other): (Vec<_>, Vec<_>) = fleet.iter().map(|l| l.id).partition(|id| before.contains(id));
-    for id in other.iter().take(20) {
-        bench.tell(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[gone(*id)] });
-        bench.run(ms(50));
+fn a_subset_is_stable_and_replaces_removed_upstreams() {
+    let fleet: Vec<_> = (1..=48).map(|id| endpoint(id * 7919)).collect();
+    let mut harness = Harness::new(settings(17), &fleet);
+    let before = run_and_collect_upstreams(&mut harness, 60);
+    let removed = |id: UpstreamId| Endpoint { availability: Availability::Removed, ..endpoint(id.0) };
+    let (subset, others): (Vec<_>, Vec<_>) = fleet.iter().map(|l| l.id).partition(|id| before.contains(id));
+    for id in others.iter().take(20) {
+        harness.handle(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[removed(*id)] });
+        harness.advance(ms(50));
     }
-    assert_eq!(used(&mut bench, 60), before, "what happens elsewhere moves nothing");
-    bench.tell(Event::EndpointUpdate {
+    assert_eq!(
+        run_and_collect_upstreams(&mut harness, 60),
+        before,
+        "changes of other upstreams don't change the subset"
+    );
+    harness.handle(Event::EndpointUpdate {
         scope: UpdateScope::Changes,
-        endpoints: &[gone(own[0]), gone(own[1])],
+        endpoints: &[removed(subset[0]), removed(subset[1])],
     });
-    let after = used(&mut bench, 60);
+    let after = run_and_collect_upstreams(&mut harness, 60);
     assert_eq!(after.len(), before.len());
     assert_eq!(after.intersection(&before).count(), before.len() - 2);
 }
 
-/// Without stated allowances one balancer alone still takes all, whatever it sees.
+/// Without stated allowances, a single balancer still uses every upstream, whatever its traffic.
 #[test]
-fn a_balancer_alone_uses_all() {
-    let alone = Settings { balancers: 1, index: 0, tenants: Vec::new(), ..settings(0) };
-    let mut alone = Bench::new(alone, &(1..=40).map(listed).collect::<Vec<_>>());
-    assert_eq!(used(&mut alone, 200).len(), 40);
+fn a_single_balancer_uses_every_upstream() {
+    let single = Settings { balancers: 1, index: 0, tenants: Vec::new(), ..settings(0) };
+    let mut single = Harness::new(single, &(1..=40).map(endpoint).collect::<Vec<_>>());
+    assert_eq!(run_and_collect_upstreams(&mut single, 200).len(), 40);
 }
