--- a/crates/core/tests/traffic_split.rs
+++ b/crates/core/tests/traffic_split.rs
@@ -1,8 +1,8 @@
-//! TrafficSplit by group of requests: which zones they go to, and what admission makes of it.
+//! Traffic splits by group of requests: the zones that requests go to, and the requests that are rejected.
 
 mod common;
 
-use common::{Bench, class, listed, ms};
+use common::{Harness, class, endpoint, ms};
 use maplehook_core::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -12,13 +12,14 @@
     (id.0 / 100) as u8
 }
 
-/// `each` upstreams in each of these zones; the zone is the hundreds of the id.
-fn fleet(zones: &[u8], each: u64) -> Vec<Endpoint> {
-    let ids = zones.iter().flat_map(|z| (0..each).map(move |n| u64::from(*z) * 100 + n));
-    ids.map(|id| Endpoint { zone: ZoneId((id / 100) as u8), ..listed(id) }).collect()
+/// Returns `upstreams_per_zone` upstreams in each zone; an id divided by 100 is its zone.
+fn fleet(zones: &[u8], upstreams_per_zone: u64) -> Vec<Endpoint> {
+    let ids = zones.iter().flat_map(|z| (0..upstreams_per_zone).map(move |n| u64::from(*z) * 100 + n));
+    ids.map(|id| Endpoint { zone: ZoneId((id / 100) as u8), ..endpoint(id) }).collect()
 }
 
-fn plenty() -> Settings {
+/// Returns settings whose allowances are far above the request rates of the tests.
+fn settings() -> Settings {
     Settings {
         zone: ZoneId(1),
         classes: vec![class(200, 1000, Effect::Idempotent), class(200, 1000, Effect::Idempotent)],
@@ -27,331 +28,370 @@
     }
 }
 
-fn row(to: &[(u8, f64)]) -> GroupSplit {
+fn row(zone_shares: &[(u8, f64)]) -> GroupSplit {
     GroupSplit {
-        zone_shares: to.iter().map(|(z, s)| (ZoneId(*z), *s)).collect(),
+        zone_shares: zone_shares.iter().map(|(z, s)| (ZoneId(*z), *s)).collect(),
         region: vec![ZoneId(1), ZoneId(2)],
         forbidden: Vec::new(),
         max_cross_region: 1.0,
     }
 }
 
-fn one(row: GroupSplit) -> TrafficSplit {
+fn split_of(row: GroupSplit) -> TrafficSplit {
     TrafficSplit { groups: vec![0], tenants: 1, rows: vec![row] }
 }
 
-fn bench(settings: Settings, fleet: &[Endpoint], shares: &TrafficSplit) -> Bench {
-    let mut bench = Bench::new(settings, fleet);
-    bench.tell(Event::TrafficSplit { split: Some(shares) });
-    bench
+fn new_harness(settings: Settings, fleet: &[Endpoint], split: &TrafficSplit) -> Harness {
+    let mut harness = Harness::new(settings, fleet);
+    harness.handle(Event::TrafficSplit { split: Some(split) });
+    harness
 }
 
-/// First attempts by zone, each answered at once or, in the zones of `dead`, refused a connection.
-fn drawn(bench: &mut Bench, class: u16, tenant: u32, count: u32, dead: &[u8]) -> BTreeMap<u8, u32> {
-    let mut found = BTreeMap::new();
+/// Sends requests and counts the first attempts by zone. Attempts in `unreachable_zones` fail to connect, all
+/// others succeed at once.
+fn send_and_count(
+    harness: &mut Harness,
+    class: u16,
+    tenant: u32,
+    count: u32,
+    unreachable_zones: &[u8],
+) -> BTreeMap<u8, u32> {
+    let mut counts = BTreeMap::new();
     for _ in 0..count {
-        let id = bench.request(class, tenant, ms(1000));
-        if let Some(first) = bench.at(id, 0) {
-            *found.entry(zone_of(first)).or_default() += 1;
+        let id = harness.send_request(class, tenant, ms(1000));
+        if let Some(first) = harness.upstream_of(id, 0) {
+            *counts.entry(zone_of(first)).or_default() += 1;
         }
         let mut attempt = 0;
-        while let Some(upstream) = bench.at(id, attempt) {
-            let dead = dead.contains(&zone_of(upstream));
-            bench.ended(id, attempt, if dead { Outcome::ConnectFailed } else { Outcome::Ok });
+        while let Some(upstream) = harness.upstream_of(id, attempt) {
+            let is_unreachable = unreachable_zones.contains(&zone_of(upstream));
+            harness.end_attempt(
+                id,
+                attempt,
+                if is_unreachable { Outcome::ConnectFailed } else { Outcome::Ok },
+            );
             attempt += 1;
         }
-        bench.run(ms(1));
+        harness.advance(ms(1));
     }
-    found
+    counts
 }
 
 #[test]
-fn shares_are_kept_and_the_rest_is_refused_on_arrival() {
-    let mut bench = bench(plenty(), &fleet(&[1, 2, 3], 3), &one(row(&[(1, 0.5), (3, 0.3)])));
-    let found = drawn(&mut bench, 0, 0, 10_000, &[]);
-    assert_eq!(found.keys().copied().collect::<Vec<_>>(), [1, 3]);
-    assert!(found[&1].abs_diff(5000) <= 2 && found[&3].abs_diff(3000) <= 2, "{found:?}");
-    let refused = bench.answers.values().filter(|a| **a == "refused").count();
-    assert!(refused.abs_diff(2000) <= 2, "{refused}");
+fn requests_follow_the_shares_and_the_rest_is_rejected() {
+    let mut harness = new_harness(settings(), &fleet(&[1, 2, 3], 3), &split_of(row(&[(1, 0.5), (3, 0.3)])));
+    let counts = send_and_count(&mut harness, 0, 0, 10_000, &[]);
+    assert_eq!(counts.keys().copied().collect::<Vec<_>>(), [1, 3]);
+    assert!(counts[&1].abs_diff(5000) <= 2 && counts[&3].abs_diff(3000) <= 2, "{counts:?}");
+    let rejected = harness.results.values().filter(|a| **a == "rejected").count();
+    assert!(rejected.abs_diff(2000) <= 2, "{rejected} requests were rejected");
     assert_eq!(
-        bench.balancer.group_observations(),
-        [GroupObservation { requests: 10_000, rejected: refused as u64 }]
+        harness.balancer.group_observations(),
+        [GroupObservation { requests: 10_000, rejected: rejected as u64 }]
     );
 }
 
 #[test]
-fn each_group_has_its_own_and_whoever_is_in_no_table_the_last() {
-    let shares = TrafficSplit {
+fn each_group_uses_its_row_and_unknown_tenants_the_last_row() {
+    let split = TrafficSplit {
         groups: vec![0, 1, 9, 0],
         tenants: 2,
         rows: vec![row(&[(1, 1.0)]), row(&[(2, 1.0)]), row(&[(3, 1.0)])],
     };
-    let settings = Settings { tenants: vec![Tenant { allowance_per_s: 1e5 }; 3], ..plenty() };
-    let mut bench = bench(settings, &fleet(&[1, 2, 3], 2), &shares);
+    let settings = Settings { tenants: vec![Tenant { allowance_per_s: 1e5 }; 3], ..settings() };
+    let mut harness = new_harness(settings, &fleet(&[1, 2, 3], 2), &split);
     for (class, tenant, zone) in [(0, 0, 1), (0, 1, 2), (1, 0, 3), (1, 1, 1), (0, 2, 3), (1, 2, 3)] {
-        let found = drawn(&mut bench, class, tenant, 20, &[]);
-        assert_eq!(found, BTreeMap::from([(zone, 20)]), "class {class}, tenant {tenant}");
+        let counts = send_and_count(&mut harness, class, tenant, 20, &[]);
+        assert_eq!(counts, BTreeMap::from([(zone, 20)]), "class {class}, tenant {tenant}");
     }
 }
 
 #[test]
-fn a_zone_that_can_take_no_turn_passes_its_share_on_in_proportion() {
+fn the_share_of_a_zone_without_upstreams_goes_to_the_others_in_proportion() {
     let fleet = fleet(&[1, 2, 3], 3);
-    let mut bench = bench(plenty(), &fleet, &one(row(&[(1, 0.5), (2, 0.3), (3, 0.1)])));
-    drawn(&mut bench, 0, 0, 100, &[]);
-    let gone: Vec<Endpoint> = fleet
+    let mut harness = new_harness(settings(), &fleet, &split_of(row(&[(1, 0.5), (2, 0.3), (3, 0.1)])));
+    send_and_count(&mut harness, 0, 0, 100, &[]);
+    let removed: Vec<Endpoint> = fleet
         .iter()
         .filter(|l| l.zone == ZoneId(1))
         .map(|l| Endpoint { availability: Availability::Removed, ..l.clone() })
         .collect();
-    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &gone });
-    let found = drawn(&mut bench, 0, 0, 10_000, &[]);
-    // A tenth is refused as before.
-    assert!(found[&2].abs_diff(6750) <= 20 && found[&3].abs_diff(2250) <= 20, "{found:?}");
-    assert!(!found.contains_key(&1));
+    harness.handle(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &removed });
+    let counts = send_and_count(&mut harness, 0, 0, 10_000, &[]);
+    // The split still rejects a tenth of the requests.
+    assert!(counts[&2].abs_diff(6750) <= 20 && counts[&3].abs_diff(2250) <= 20, "{counts:?}");
+    assert!(!counts.contains_key(&1));
 }
 
 #[test]
-fn a_lost_zone_is_left_once_its_upstreams_are_held_for_dead() {
-    let mut bench = bench(plenty(), &fleet(&[1, 2, 3], 3), &one(row(&[(1, 0.8), (2, 0.2)])));
-    drawn(&mut bench, 0, 0, 1000, &[]);
-    drawn(&mut bench, 0, 0, 500, &[1]);
-    let found = drawn(&mut bench, 0, 0, 500, &[1]);
-    assert!(found.get(&1).copied().unwrap_or(0) <= 12, "{found:?}");
-    assert!(found[&2] >= 480, "{found:?}");
-    // All reached are gone: it tries them rather than nobody.
-    let found = drawn(&mut bench, 0, 0, 3000, &[1, 2]);
-    assert!(found.values().sum::<u32>() > 100, "{found:?}");
+fn an_unreachable_zone_is_avoided_once_its_upstreams_are_ejected() {
+    let mut harness = new_harness(settings(), &fleet(&[1, 2, 3], 3), &split_of(row(&[(1, 0.8), (2, 0.2)])));
+    send_and_count(&mut harness, 0, 0, 1000, &[]);
+    send_and_count(&mut harness, 0, 0, 500, &[1]);
+    let counts = send_and_count(&mut harness, 0, 0, 500, &[1]);
+    assert!(counts.get(&1).copied().unwrap_or(0) <= 12, "{counts:?}");
+    assert!(counts[&2] >= 480, "{counts:?}");
+    // With every reached zone unreachable, requests are still sent there.
+    let counts = send_and_count(&mut harness, 0, 0, 3000, &[1, 2]);
+    assert!(counts.values().sum::<u32>() > 100, "{counts:?}");
 }
 
 #[test]
-fn nothing_goes_to_a_forbidden_zone_and_retries_stay_where_the_row_allows() {
-    let mut shares = one(row(&[(1, 1.0)]));
-    shares.rows[0].forbidden = vec![ZoneId(3)];
-    let mut bench = bench(plenty(), &fleet(&[1, 2, 3, 4], 1), &shares);
-    drawn(&mut bench, 0, 0, 300, &[1]);
-    let zones: Vec<u8> = bench.sent.values().flatten().map(|s| zone_of(s.1)).collect();
-    assert!(zones.contains(&2), "further attempts use the region without a share");
-    assert!(!zones.contains(&3) && !zones.contains(&4), "neither a forbidden zone nor one that has no share");
-    // The forbidden zone lies in the region, and is all that is left.
-    shares.rows[0].forbidden = vec![ZoneId(2)];
-    bench.tell(Event::TrafficSplit { split: Some(&shares) });
-    let before = bench.sent.len();
-    drawn(&mut bench, 0, 0, 300, &[1]);
-    assert!(bench.sent.values().skip(before).flatten().all(|s| zone_of(s.1) == 1));
+fn retries_avoid_forbidden_zones_and_stay_in_the_region() {
+    let mut split = split_of(row(&[(1, 1.0)]));
+    split.rows[0].forbidden = vec![ZoneId(3)];
+    let mut harness = new_harness(settings(), &fleet(&[1, 2, 3, 4], 1), &split);
+    send_and_count(&mut harness, 0, 0, 300, &[1]);
+    let zones: Vec<u8> = harness.attempts.values().flatten().map(|s| zone_of(s.1)).collect();
+    assert!(zones.contains(&2), "retries use the zone of the region that has no share");
+    assert!(
+        !zones.contains(&3) && !zones.contains(&4),
+        "retries avoid the forbidden zone and the zone outside the region without a share"
+    );
+    // The region's only other zone is forbidden.
+    split.rows[0].forbidden = vec![ZoneId(2)];
+    harness.handle(Event::TrafficSplit { split: Some(&split) });
+    let before = harness.attempts.len();
+    send_and_count(&mut harness, 0, 0, 300, &[1]);
+    assert!(harness.attempts.values().skip(before).flatten().all(|s| zone_of(s.1) == 1));
 }
 
 #[test]
-fn no_more_than_agreed_leaves_the_region_further_attempts_counted() {
-    // Nearly all first attempts in the region break: the only other place is beyond it.
-    let mut shares = one(row(&[(1, 0.9), (3, 0.1)]));
-    shares.rows[0].max_cross_region = 0.12;
-    let settings = Settings { can_hedge: false, ..plenty() };
-    let mut bench = bench(settings, &fleet(&[1, 3], 3), &shares);
+fn the_cross_region_bound_includes_retries() {
+    // Most first attempts in the region fail, and retries have no other zone than the one outside the region.
+    let mut split = split_of(row(&[(1, 0.9), (3, 0.1)]));
+    split.rows[0].max_cross_region = 0.12;
+    let settings = Settings { can_hedge: false, ..settings() };
+    let mut harness = new_harness(settings, &fleet(&[1, 3], 3), &split);
     let count = 5000;
     for n in 0..count {
-        let id = bench.request(0, 0, ms(1000));
+        let id = harness.send_request(0, 0, ms(1000));
         let mut attempt = 0;
-        while let Some(upstream) = bench.at(id, attempt) {
-            let broken = zone_of(upstream) == 1 && n % 3 != 0;
-            bench.ended(id, attempt, if broken { Outcome::Rejected } else { Outcome::Ok });
+        while let Some(upstream) = harness.upstream_of(id, attempt) {
+            let fails = zone_of(upstream) == 1 && n % 3 != 0;
+            harness.end_attempt(id, attempt, if fails { Outcome::Rejected } else { Outcome::Ok });
             attempt += 1;
         }
-        bench.run(ms(1));
+        harness.advance(ms(1));
     }
-    let left = bench.sent.values().filter(|s| s.iter().any(|s| zone_of(s.1) == 3)).count();
-    assert!(left <= (0.12 * f64::from(count)) as usize + 4, "{left} of {count}");
-    assert!(left >= (0.115 * f64::from(count)) as usize, "{left} of {count}");
+    let crossed = harness.attempts.values().filter(|s| s.iter().any(|s| zone_of(s.1) == 3)).count();
+    assert!(
+        crossed <= (0.12 * f64::from(count)) as usize + 4,
+        "{crossed} of {count} requests left the region"
+    );
+    assert!(crossed >= (0.115 * f64::from(count)) as usize, "{crossed} of {count} requests left the region");
 }
 
 #[test]
-fn a_plan_over_the_bound_of_its_own_row_is_held_to_the_bound() {
-    let mut shares = one(row(&[(1, 0.5), (3, 0.5)]));
-    shares.rows[0].max_cross_region = 0.2;
-    let mut bench = bench(plenty(), &fleet(&[1, 3], 3), &shares);
-    let found = drawn(&mut bench, 0, 0, 5000, &[]);
-    assert!(found[&3] <= 1004 && found[&3] >= 990, "{found:?}");
-    assert_eq!(found[&1] + found[&3], 5000);
-    shares.rows[0].max_cross_region = 0.0;
-    bench.tell(Event::TrafficSplit { split: Some(&shares) });
-    assert_eq!(drawn(&mut bench, 0, 0, 1000, &[]), BTreeMap::from([(1, 1000)]));
+fn the_cross_region_bound_overrides_larger_shares() {
+    let mut split = split_of(row(&[(1, 0.5), (3, 0.5)]));
+    split.rows[0].max_cross_region = 0.2;
+    let mut harness = new_harness(settings(), &fleet(&[1, 3], 3), &split);
+    let counts = send_and_count(&mut harness, 0, 0, 5000, &[]);
+    assert!(counts[&3] <= 1004 && counts[&3] >= 990, "{counts:?}");
+    assert_eq!(counts[&1] + counts[&3], 5000);
+    split.rows[0].max_cross_region = 0.0;
+    harness.handle(Event::TrafficSplit { split: Some(&split) });
+    assert_eq!(send_and_count(&mut harness, 0, 0, 1000, &[]), BTreeMap::from([(1, 1000)]));
 }
 
 #[test]
-fn small_shares_get_their_part_however_often_the_plan_changes() {
-    let mut bench = bench(plenty(), &fleet(&[1, 2], 3), &one(row(&[(1, 0.9), (2, 0.1)])));
-    let mut far = 0;
+fn small_shares_are_met_when_the_split_changes_often() {
+    let mut harness = new_harness(settings(), &fleet(&[1, 2], 3), &split_of(row(&[(1, 0.9), (2, 0.1)])));
+    let mut remote = 0;
     for k in 0..500 {
         let share = 0.1 + 0.0001 * f64::from(k % 2);
-        bench.tell(Event::TrafficSplit { split: Some(&one(row(&[(1, 1.0 - share), (2, share)]))) });
-        far += drawn(&mut bench, 0, 0, 4, &[]).get(&2).copied().unwrap_or(0);
+        harness.handle(Event::TrafficSplit { split: Some(&split_of(row(&[(1, 1.0 - share), (2, share)]))) });
+        remote += send_and_count(&mut harness, 0, 0, 4, &[]).get(&2).copied().unwrap_or(0);
     }
-    assert!((190..=210).contains(&far), "{far}");
+    assert!((190..=210).contains(&remote), "{remote} requests went to the remote zone");
 }
 
 #[test]
-fn what_can_t_be_acted_on_changes_nothing() {
-    let good = one(row(&[(1, 1.0)]));
-    let mut bench = bench(plenty(), &fleet(&[1, 2], 2), &good);
-    let with = |change: &dyn Fn(&mut TrafficSplit)| {
-        let mut shares = one(row(&[(2, 1.0)]));
-        change(&mut shares);
-        shares
+fn invalid_splits_are_ignored() {
+    let valid_split = split_of(row(&[(1, 1.0)]));
+    let mut harness = new_harness(settings(), &fleet(&[1, 2], 2), &valid_split);
+    let split_with = |change: &dyn Fn(&mut TrafficSplit)| {
+        let mut split = split_of(row(&[(2, 1.0)]));
+        change(&mut split);
+        split
     };
-    let wild = [
-        (with(&|s| s.rows.clear()), TrafficSplitError::NoRows),
-        (with(&|s| s.rows = vec![row(&[]); 257]), TrafficSplitError::TooManyRows),
-        (with(&|s| s.rows[0].zone_shares[0].1 = f64::NAN), TrafficSplitError::OutOfRange(0)),
-        (with(&|s| s.rows[0].zone_shares[0].1 = f64::INFINITY), TrafficSplitError::OutOfRange(0)),
-        (with(&|s| s.rows[0].zone_shares[0].1 = -0.1), TrafficSplitError::OutOfRange(0)),
-        (with(&|s| s.rows[0].zone_shares.push((ZoneId(3), 0.1))), TrafficSplitError::OutOfRange(0)),
-        (with(&|s| s.rows[0].max_cross_region = f64::NAN), TrafficSplitError::OutOfRange(0)),
+    let invalid_splits = [
+        (split_with(&|s| s.rows.clear()), TrafficSplitError::NoRows),
+        (split_with(&|s| s.rows = vec![row(&[]); 257]), TrafficSplitError::TooManyRows),
+        (split_with(&|s| s.rows[0].zone_shares[0].1 = f64::NAN), TrafficSplitError::OutOfRange(0)),
+        (split_with(&|s| s.rows[0].zone_shares[0].1 = f64::INFINITY), TrafficSplitError::OutOfRange(0)),
+        (split_with(&|s| s.rows[0].zone_shares[0].1 = -0.1), TrafficSplitError::OutOfRange(0)),
+        (split_with(&|s| s.rows[0].zone_shares.push((ZoneId(3), 0.1))), TrafficSplitError::OutOfRange(0)),
+        (split_with(&|s| s.rows[0].max_cross_region = f64::NAN), TrafficSplitError::OutOfRange(0)),
         (
-            with(&|s| s.rows[0].zone_shares = vec![(ZoneId(2), 0.1); 2]),
+            split_with(&|s| s.rows[0].zone_shares = vec![(ZoneId(2), 0.1); 2]),
             TrafficSplitError::DuplicateZone(0, ZoneId(2)),
         ),
-        (with(&|s| s.rows[0].forbidden.push(ZoneId(2))), TrafficSplitError::ForbiddenZone(0, ZoneId(2))),
         (
-            with(&|s| s.rows[0].zone_shares = (0..65).map(|z| (ZoneId(z), 0.0)).collect()),
+            split_with(&|s| s.rows[0].forbidden.push(ZoneId(2))),
+            TrafficSplitError::ForbiddenZone(0, ZoneId(2)),
+        ),
+        (
+            split_with(&|s| s.rows[0].zone_shares = (0..65).map(|z| (ZoneId(z), 0.0)).collect()),
             TrafficSplitError::TooManyZones(0),
         ),
     ];
-    for (shares, fault) in wild {
-        assert_eq!(shares.check(), Err(fault));
-        bench.tell(Event::TrafficSplit { split: Some(&shares) });
-        assert_eq!(drawn(&mut bench, 0, 0, 5, &[]), BTreeMap::from([(1, 5)]));
+    for (split, expected_error) in invalid_splits {
+        assert_eq!(split.check(), Err(expected_error));
+        harness.handle(Event::TrafficSplit { split: Some(&split) });
+        assert_eq!(send_and_count(&mut harness, 0, 0, 5, &[]), BTreeMap::from([(1, 5)]));
     }
-    // Odd, but clear: no tenants in the table, nobody served, zones that do not exist.
-    for to in [&[][..], &[(9, 1.0)], &[(9, 0.5)]] {
-        bench.tell(Event::TrafficSplit {
-            split: Some(&TrafficSplit { groups: Vec::new(), tenants: 0, ..one(row(to)) }),
+    // Unusual but valid splits: no tenants in the table, no zones, zones that don't exist.
+    for zone_shares in [&[][..], &[(9, 1.0)], &[(9, 0.5)]] {
+        harness.handle(Event::TrafficSplit {
+            split: Some(&TrafficSplit { groups: Vec::new(), tenants: 0, ..split_of(row(zone_shares)) }),
         });
-        assert!(drawn(&mut bench, 0, 0, 50, &[]).is_empty(), "{to:?}");
+        assert!(send_and_count(&mut harness, 0, 0, 50, &[]).is_empty(), "{zone_shares:?}");
     }
-    bench.tell(Event::TrafficSplit { split: None });
-    let found = drawn(&mut bench, 0, 0, 100, &[]);
-    assert!(found[&1] > 30 && found[&2] > 30, "as it was before there were shares: {found:?}");
+    harness.handle(Event::TrafficSplit { split: None });
+    let counts = send_and_count(&mut harness, 0, 0, 100, &[]);
+    assert!(counts[&1] > 30 && counts[&2] > 30, "without a split both zones are used again: {counts:?}");
 }
 
 #[test]
-fn zones_relisted_and_settings_retuned_keep_the_shares() {
+fn the_split_survives_endpoint_and_settings_changes() {
     let list = fleet(&[1, 2], 2);
-    let mut bench = bench(plenty(), &list, &one(row(&[(1, 1.0)])));
-    let moved = [Endpoint { zone: ZoneId(2), ..list[0].clone() }];
-    bench.tell(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &moved });
-    drawn(&mut bench, 0, 0, 100, &[]);
-    let at_moved = bench.attempts_at(list[0].id);
-    assert_eq!(at_moved, 0, "it lies in the other zone now");
-    let settings = Settings { classes: vec![plenty().classes[0].clone(); 4], ..plenty() };
-    bench.tell(Event::SettingsChanged { settings: &settings, removed_tenants: &[] });
-    assert_eq!(drawn(&mut bench, 3, 1, 50, &[]), BTreeMap::from([(1, 50)]));
+    let mut harness = new_harness(settings(), &list, &split_of(row(&[(1, 1.0)])));
+    let moved_endpoints = [Endpoint { zone: ZoneId(2), ..list[0].clone() }];
+    harness.handle(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &moved_endpoints });
+    send_and_count(&mut harness, 0, 0, 100, &[]);
+    let attempts_at_moved = harness.attempts_to(list[0].id);
+    assert_eq!(attempts_at_moved, 0, "the upstream is now in the other zone");
+    let settings = Settings { classes: vec![settings().classes[0].clone(); 4], ..settings() };
+    harness.handle(Event::SettingsChanged { settings: &settings, removed_tenants: &[] });
+    assert_eq!(send_and_count(&mut harness, 3, 1, 50, &[]), BTreeMap::from([(1, 50)]));
 }
 
 #[test]
-fn two_zones_of_three_lost_leave_the_third() {
-    let mut bench = bench(plenty(), &fleet(&[1, 2, 3], 3), &one(row(&[(1, 0.5), (2, 0.3), (3, 0.2)])));
-    drawn(&mut bench, 0, 0, 1000, &[]);
-    drawn(&mut bench, 0, 0, 500, &[1, 2]);
-    let found = drawn(&mut bench, 0, 0, 500, &[1, 2]);
-    assert!(found[&3] >= 480, "{found:?}");
+fn the_last_reachable_zone_gets_all_requests() {
+    let mut harness =
+        new_harness(settings(), &fleet(&[1, 2, 3], 3), &split_of(row(&[(1, 0.5), (2, 0.3), (3, 0.2)])));
+    send_and_count(&mut harness, 0, 0, 1000, &[]);
+    send_and_count(&mut harness, 0, 0, 500, &[1, 2]);
+    let counts = send_and_count(&mut harness, 0, 0, 500, &[1, 2]);
+    assert!(counts[&3] >= 480, "{counts:?}");
 }
 
 #[test]
-fn a_trial_stays_in_the_zone_that_was_drawn() {
-    let shares =
+fn trials_of_ejected_upstreams_stay_in_the_selected_zone() {
+    let split =
         TrafficSplit { groups: vec![0, 1], tenants: 2, rows: vec![row(&[(1, 1.0)]), row(&[(3, 1.0)])] };
-    let mut bench = bench(plenty(), &fleet(&[1, 3], 3), &shares);
-    drawn(&mut bench, 0, 0, 100, &[]);
+    let mut harness = new_harness(settings(), &fleet(&[1, 3], 3), &split);
+    send_and_count(&mut harness, 0, 0, 100, &[]);
     for _ in 0..40 {
-        let id = bench.request(0, 1, ms(1000));
+        let id = harness.send_request(0, 1, ms(1000));
         let mut attempt = 0;
-        while bench.at(id, attempt).is_some() {
-            bench.ended(id, attempt, Outcome::Rejected);
+        while harness.upstream_of(id, attempt).is_some() {
+            harness.end_attempt(id, attempt, Outcome::Rejected);
             attempt += 1;
         }
-        bench.run(ms(10));
+        harness.advance(ms(10));
     }
-    // Somebody of the other zone is out for this class, and trials fall due; and no zone is out as a whole.
-    assert_eq!(drawn(&mut bench, 0, 0, 4000, &[]), BTreeMap::from([(1, 4000)]));
+    // An upstream of the other zone is ejected for this class and trials of it are due, while no zone is
+    // avoided as a whole.
+    assert_eq!(send_and_count(&mut harness, 0, 0, 4000, &[]), BTreeMap::from([(1, 4000)]));
 }
 
 #[test]
-fn a_subset_is_of_those_that_are_reached() {
-    let settings = Settings { balancers: 1000, ..plenty() };
-    let mut bench = bench(settings, &fleet(&[1, 2, 3, 4], 100), &one(row(&[(1, 1.0)])));
-    drawn(&mut bench, 0, 0, 2000, &[]);
-    let used: std::collections::BTreeSet<UpstreamId> = bench.sent.values().flatten().map(|s| s.1).collect();
-    assert!(used.len() >= 80, "{} of 100", used.len());
+fn a_subset_contains_only_reached_upstreams() {
+    let settings = Settings { balancers: 1000, ..settings() };
+    let mut harness = new_harness(settings, &fleet(&[1, 2, 3, 4], 100), &split_of(row(&[(1, 1.0)])));
+    send_and_count(&mut harness, 0, 0, 2000, &[]);
+    let used: std::collections::BTreeSet<UpstreamId> =
+        harness.attempts.values().flatten().map(|s| s.1).collect();
+    assert!(used.len() >= 80, "{} of 100 upstreams are used", used.len());
 }
 
 #[test]
-fn further_attempts_stay_as_near_as_they_can() {
-    let mut bench = bench(plenty(), &fleet(&[1, 2, 3], 1), &one(row(&[(1, 0.9), (3, 0.1)])));
+fn retries_stay_in_the_region() {
+    let mut harness = new_harness(settings(), &fleet(&[1, 2, 3], 1), &split_of(row(&[(1, 0.9), (3, 0.1)])));
     for _ in 0..200 {
-        let id = bench.request(0, 0, ms(1000));
+        let id = harness.send_request(0, 0, ms(1000));
         let mut attempt = 0;
-        while let Some(upstream) = bench.at(id, attempt) {
-            bench.ended(id, attempt, if zone_of(upstream) == 1 { Outcome::Reset } else { Outcome::Ok });
+        while let Some(upstream) = harness.upstream_of(id, attempt) {
+            harness.end_attempt(
+                id,
+                attempt,
+                if zone_of(upstream) == 1 { Outcome::Reset } else { Outcome::Ok },
+            );
             attempt += 1;
         }
-        bench.run(ms(20));
+        harness.advance(ms(20));
     }
-    let second = bench.sent.values().filter_map(|s| s.get(1)).map(|s| zone_of(s.1));
+    let second = harness.attempts.values().filter_map(|s| s.get(1)).map(|s| zone_of(s.1));
     let second: Vec<u8> = second.collect();
-    assert!(second.len() > 5 && second.iter().all(|z| *z == 2), "{second:?}");
+    assert!(second.len() > 5 && second.iter().all(|z| *z == 2), "zones of second attempts: {second:?}");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, rng_seed: RngSeed::Fixed(34), ..ProptestConfig::default() })]
 
-    /// TrafficSplit within 1 %, `never` never, nothing over the bound of the region, whatever the shares.
+    /// For any split, shares are met within 1 %, a forbidden zone gets nothing, and the cross-region bound
+    /// holds.
     #[test]
-    fn any_shares_are_kept(
-        parts in prop::collection::vec(0u32..1000, 1..6),
-        rest in 0u32..500,
-        never in 0u8..8,
-        most in 0u32..=10,
-        broken in prop::collection::vec(prop::bool::weighted(0.1), 7),
+    fn any_split_is_followed(
+        weights in prop::collection::vec(0u32..1000, 1..6),
+        unassigned in 0u32..500,
+        forbidden_zone in 0u8..8,
+        bound_tenths in 0u32..=10,
+        failing_zones in prop::collection::vec(prop::bool::weighted(0.1), 7),
     ) {
-        let sum = f64::from(parts.iter().sum::<u32>() + rest).max(1.0);
-        let to: Vec<(u8, f64)> =
-            parts.iter().enumerate().map(|(k, p)| (k as u8 + 1, f64::from(*p) / sum)).collect();
-        let to: Vec<(u8, f64)> = to.into_iter().filter(|(z, _)| *z != never).collect();
-        let mut shares = one(row(&to));
-        shares.rows[0].forbidden = vec![ZoneId(never)];
-        shares.rows[0].max_cross_region = f64::from(most) / 10.0;
-        prop_assert_eq!(shares.check(), Ok(()));
-        let mut bench = bench(plenty(), &fleet(&[0, 1, 2, 3, 4, 5, 6], 2), &shares);
+        let sum = f64::from(weights.iter().sum::<u32>() + unassigned).max(1.0);
+        let zone_shares: Vec<(u8, f64)> =
+            weights.iter().enumerate().map(|(k, p)| (k as u8 + 1, f64::from(*p) / sum)).collect();
+        let zone_shares: Vec<(u8, f64)> =
+            zone_shares.into_iter().filter(|(z, _)| *z != forbidden_zone).collect();
+        let mut split = split_of(row(&zone_shares));
+        split.rows[0].forbidden = vec![ZoneId(forbidden_zone)];
+        split.rows[0].max_cross_region = f64::from(bound_tenths) / 10.0;
+        prop_assert_eq!(split.check(), Ok(()));
+        let mut harness = new_harness(settings(), &fleet(&[0, 1, 2, 3, 4, 5, 6], 2), &split);
         let count = 2000;
-        let mut first: BTreeMap<u8, u32> = BTreeMap::new();
+        let mut first_attempts: BTreeMap<u8, u32> = BTreeMap::new();
         for n in 0..count {
-            let id = bench.request(0, 0, ms(1000));
-            first.entry(bench.at(id, 0).map_or(255, zone_of)).and_modify(|n| *n += 1).or_insert(1);
+            let id = harness.send_request(0, 0, ms(1000));
+            first_attempts
+                .entry(harness.upstream_of(id, 0).map_or(255, zone_of))
+                .and_modify(|n| *n += 1)
+                .or_insert(1);
             let mut attempt = 0;
-            while let Some(upstream) = bench.at(id, attempt) {
-                let breaks = broken[usize::from(zone_of(upstream))] && n % 7 == 0;
-                bench.ended(id, attempt, if breaks { Outcome::Rejected } else { Outcome::Ok });
+            while let Some(upstream) = harness.upstream_of(id, attempt) {
+                let fails = failing_zones[usize::from(zone_of(upstream))] && n % 7 == 0;
+                harness.end_attempt(id, attempt, if fails { Outcome::Rejected } else { Outcome::Ok });
                 attempt += 1;
             }
-            bench.run(ms(1));
+            harness.advance(ms(1));
         }
         let zones = |s: &Vec<(std::time::Duration, UpstreamId)>| -> Vec<u8> {
             s.iter().map(|s| zone_of(s.1)).collect()
         };
-        let out = |z: &u8| *z != 1 && *z != 2;
-        let mut left = 0;
-        for sent in bench.sent.values().map(zones) {
-            prop_assert!(!sent.contains(&never));
-            left += u32::from(sent.iter().any(out));
+        let is_outside_region = |z: &u8| *z != 1 && *z != 2;
+        let mut crossed = 0;
+        for attempt_zones in harness.attempts.values().map(zones) {
+            prop_assert!(!attempt_zones.contains(&forbidden_zone));
+            crossed += u32::from(attempt_zones.iter().any(is_outside_region));
         }
-        prop_assert!(f64::from(left) <= f64::from(most) / 10.0 * f64::from(count) + 5.0, "{left} left");
-        let beyond: f64 = to.iter().filter(|(z, _)| out(z)).map(|(_, s)| s).sum();
-        // Within the bound, with nothing taken from it by further attempts
-        // and nobody passed over because it turns requests away, the shares are what was told.
-        if (beyond == 0.0 || most == 10) && !broken.contains(&true) {
-            for (zone, share) in &to {
-                let found = f64::from(first.get(zone).copied().unwrap_or(0)) / f64::from(count);
-                prop_assert!((found - share).abs() <= 0.01, "zone {zone}: {found} for {share}");
+        prop_assert!(
+            f64::from(crossed) <= f64::from(bound_tenths) / 10.0 * f64::from(count) + 5.0,
+            "{crossed} requests left the region"
+        );
+        let outside_share: f64 =
+            zone_shares.iter().filter(|(z, _)| is_outside_region(z)).map(|(_, s)| s).sum();
+        // The shares are met if the split is within the bound, retries use none of the bound, and no upstream
+        // is avoided because it rejects requests.
+        if (outside_share == 0.0 || bound_tenths == 10) && !failing_zones.contains(&true) {
+            for (zone, share) in &zone_shares {
+                let received = f64::from(first_attempts.get(zone).copied().unwrap_or(0)) / f64::from(count);
+                prop_assert!(
+                    (received - share).abs() <= 0.01,
+                    "zone {zone} got {received} for a share of {share}"
+                );
             }
         }
     }
