--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -188,9 +188,9 @@
         }
         (rejected, remote)
     };
-    // Five a second: the local servers handle all of them.
+    // At five requests a second, the local servers handle all of them.
     assert_eq!(run_load(&mut harness, 200, 50), (0, 0));
-    // Twenty a second: all eight servers together can handle forty.
+    // At twenty requests a second, all eight servers together have the capacity: they can handle forty.
     run_load(&mut harness, 50, 200);
     let (rejected, remote) = run_load(&mut harness, 50, 200);
     assert!(
--- a/crates/core/tests/bounded_state.rs
+++ b/crates/core/tests/bounded_state.rs
@@ -25,7 +25,10 @@
         harness.advance(ms(200));
         let id = harness.send_request(0, 0, ms(1000));
         if let Some(upstream) = harness.upstream_of(id, 0) {
-            assert!(fleet.iter().any(|l| l.id == upstream), "{upstream:?} was removed from the list");
+            assert!(
+                fleet.iter().any(|l| l.id == upstream),
+                "requests go to listed upstreams only, not to {upstream:?}"
+            );
             harness.end_attempt(id, 0, Outcome::Ok);
         }
     }
--- a/crates/core/tests/common/scenario.rs
+++ b/crates/core/tests/common/scenario.rs
@@ -249,7 +249,7 @@
         self.tenant_shares.partition_point(|s| *s < x).min(self.tenant_shares.len() - 1)
     }
 
-    /// Returns the share of its full capacity that an upstream has at a time since its start.
+    /// Returns the share of its full capacity that an upstream has `age` seconds after its start.
     pub fn capacity_share(&self, age: f64) -> f64 {
         let min_share = self.settings.slow_start_min_share;
         min_share + (1.0 - min_share) * (age / self.settings.slow_start_window.as_secs_f64()).clamp(0.0, 1.0)
@@ -263,7 +263,8 @@
         requests_per_s * slow_start_s * 0.5 * (self.capacity_share(0.0) + self.capacity_share(slow_start_s))
     }
 
-    /// Returns the requests within one overload window that overload an upstream, from an age in seconds.
+    /// Returns the number of requests that overload an upstream in a window that begins `age` seconds after its
+    /// start.
     pub fn overload_bound(&self, j: usize, age: f64) -> f64 {
         let (window_s, slow_start_s) =
             (self.settings.overload_window.as_secs_f64(), self.settings.slow_start_window.as_secs_f64());
