--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,5 +1,5 @@
-//! Admission: a request that finds a token in its tenant's bucket is sent on; any other is rejected on
-//! arrival. Times are seconds.
+//! Admission control: a request takes a token from its tenant's bucket or is rejected on arrival. Times are
+//! in seconds.
 
 use crate::interface::*;
 use crate::random::SeededRandom;
@@ -7,15 +7,15 @@
 use crate::state::Balancer;
 use std::time::Duration;
 
-/// The share of the latency objective after which an attempt is given up whose late answer has no value.
-const USEFUL_SHARE: f64 = 0.98;
-/// Seconds without an attempt, and requests rejected meanwhile, after which one request goes without a token,
-/// to learn of headroom.
-const PROBE_AFTER_S: f64 = 2.5;
+/// Share of the latency objective after which an attempt times out if a late answer has no value.
+const MAX_USEFUL_LATENCY_SHARE: f64 = 0.98;
+/// Seconds without an attempt, and recent rejections, after which one request is admitted without a token.
+/// Its outcome shows whether the upstreams have headroom again.
+const PROBE_AFTER_IDLE_S: f64 = 2.5;
 const PROBE_AFTER_REJECTED: f64 = 2.0;
 
 impl Balancer {
-    /// Admits a request that has arrived, or rejects it.
+    /// Admits or rejects an arriving request.
     pub(crate) fn on_request(
         &mut self,
         id: RequestId,
@@ -51,22 +51,25 @@
     }
 
     fn may_admit(&self, tenant: usize) -> bool {
-        let is_probe_due = self.now_s > self.last_attempt_at + PROBE_AFTER_S
+        let is_probe_due = self.now_s > self.last_attempt_at + PROBE_AFTER_IDLE_S
             && self.recent_arrivals.rejected > PROBE_AFTER_REJECTED;
         self.buckets[tenant].has_token() || is_probe_due
     }
 
     fn new_request(&self, class: usize, tenant: usize, time_left: Duration) -> Request {
-        let rules = &self.settings.classes[class];
+        let class_settings = &self.settings.classes[class];
         let deadline = self.now_s + time_left.as_secs_f64();
-        let has_late_value = rules.late_value > 0.0 || rules.objective_stretch > 0.0 || rules.is_streamed;
-        let in_time_until = self.now_s + USEFUL_SHARE * rules.latency_objective.as_secs_f64();
+        let has_late_value = class_settings.late_value > 0.0
+            || class_settings.objective_stretch > 0.0
+            || class_settings.is_streamed;
+        let objective_end =
+            self.now_s + MAX_USEFUL_LATENCY_SHARE * class_settings.latency_objective.as_secs_f64();
         Request {
             class,
             tenant,
-            effect: rules.effect,
+            effect: class_settings.effect,
             max_attempts: self.settings.max_attempts,
-            useful_until: if has_late_value { deadline } else { deadline.min(in_time_until) },
+            useful_until: if has_late_value { deadline } else { deadline.min(objective_end) },
             deadline,
             attempts: Vec::new(),
             has_ended: false,
@@ -74,12 +77,12 @@
         }
     }
 
-    /// Rejects a request. A rejection always tells when to come back; the moment is spread by the request's
-    /// own number, so that clients rejected together do not return together.
+    /// Rejects a request with a `Retry-After`. The delay is jittered by the request's id, so that clients
+    /// rejected together do not return together.
     pub(crate) fn reject(&mut self, id: RequestId, time_left: Duration) {
-        let longest = self.settings.max_retry_after.min(time_left / 2);
+        let max_delay = self.settings.max_retry_after.min(time_left / 2);
         let jitter = SeededRandom::with_seed(u64::from(id.0)).f64();
-        let retry_after = longest.mul_f64(0.5 + 0.5 * jitter);
+        let retry_after = max_delay.mul_f64(0.5 + 0.5 * jitter);
         self.actions.push(Action::Reject { id, retry_after: Some(retry_after) });
     }
 }
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how they are sent, how they end, and the final answer of a request. Times are seconds.
+//! Lifecycle of attempts: sending, completion, and the final answer of the request. Times are in seconds.
 
 use crate::attempt_result::AttemptResult;
 use crate::interface::*;
@@ -7,12 +7,12 @@
 use crate::state::Balancer;
 use std::time::Duration;
 
-/// What a retry costs after an attempt that never ran and so added no work: a part of a whole retry.
-const UNRUN_RETRY_COST: f64 = 0.1;
+/// Retry-budget cost of a retry after an attempt that never ran and so added no load.
+const NEVER_RAN_RETRY_COST: f64 = 0.1;
 const RETRY_COST: f64 = 1.0;
 
 impl Balancer {
-    /// Sends an attempt of a request to an upstream.
+    /// Sends an attempt of a request to the upstream at position `index`.
     pub(crate) fn send_attempt(&mut self, id: RequestId, index: usize) {
         self.refresh_queue.push(index, self.upstreams.len());
         let Some(request) = self.requests.get(&id) else { return };
@@ -44,34 +44,33 @@
         });
     }
 
-    /// Returns the time after which an attempt of a class is overdue.
+    /// Returns the seconds after which an attempt of a class is overdue.
     fn hedge_delay(&self, class: usize) -> f64 {
         let objective = self.settings.classes[class].latency_objective.as_secs_f64();
         self.classes[class].hedge_delay.min(MAX_HEDGE_DELAY_SHARE * objective)
     }
 
-    /// Returns the time after which the next attempt of a request is given up, if before the client's
-    /// deadline.
+    /// Returns the timeout of the next attempt of a request; `None` if only the client's deadline limits it.
     fn attempt_timeout(&self, request: &Request, hedge_delay: f64) -> Option<Duration> {
-        // Where no second attempt may run beside the first, what may be repeated is given up when overdue:
-        // here if it can't be cancelled, else then, and only if another can follow.
+        // Without hedging, an overdue attempt ends early so that its request can be retried. Where attempts
+        // can't be cancelled, the timeout ends it; otherwise the tick cancels it if a retry can follow.
         let is_last = request.attempts.len() + 1 >= usize::from(request.max_attempts);
         let is_streamed = self.settings.classes[request.class].is_streamed;
         let is_repeatable = request.effect != Effect::AtMostOnce && !is_streamed;
-        let has_no_choice = !self.settings.can_hedge && !self.settings.can_cancel;
-        if has_no_choice && is_repeatable && !is_last && self.retry_budget >= RETRY_COST {
+        let can_only_time_out = !self.settings.can_hedge && !self.settings.can_cancel;
+        if can_only_time_out && is_repeatable && !is_last && self.retry_budget >= RETRY_COST {
             return Some(Duration::from_secs_f64(hedge_delay));
         }
-        // An answer without value is not waited for, where its work is dearer than the connection that ends
-        // with it.
+        // Times out an attempt whose answer has no value any more, unless the handshake for a new connection
+        // costs more than the wasted upstream work.
         let prices = &self.settings.prices;
-        let is_worth_a_connection = prices.handshake <= prices.waste;
+        let is_abort_cheaper = prices.handshake <= prices.waste;
         let useful_for = Duration::from_secs_f64((request.useful_until - self.now_s).clamp(1e-3, 1e6));
-        (request.useful_until < request.deadline && is_worth_a_connection).then_some(useful_for)
+        (request.useful_until < request.deadline && is_abort_cheaper).then_some(useful_for)
     }
 
-    /// Closes the idle connections to an upstream if they may be dead. Returns how long the connection to use
-    /// was idle.
+    /// Closes the idle connections to an upstream if they may be dead. Returns the idle seconds of the
+    /// connection that the attempt will use.
     fn close_if_dead(&mut self, index: usize) -> f64 {
         let upstream = &self.upstreams[index];
         let is_in_use = upstream.in_flight > 0 || upstream.last_used_at <= 0.0;
@@ -83,8 +82,8 @@
         0.0
     }
 
-    /// Takes in that an attempt streams: from here on it occupies no place in a queue and is never overdue.
-    /// Else a few long answers would look like upstreams without headroom.
+    /// Handles the start of a stream. A streaming attempt occupies no queue slot and is never overdue;
+    /// otherwise a few long answers would make their upstreams look overloaded.
     pub(crate) fn on_stream_started(&mut self, id: RequestId, attempt: AttemptNo, latency: Option<Duration>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.is_streaming = true;
@@ -105,17 +104,17 @@
         if let Some(index) = self.index_by_id.get(&upstream_id).copied() {
             self.refresh_queue.push(index, self.upstreams.len());
             let upstream = &mut self.upstreams[index];
-            upstream.forget_overdue(streaming, was_lost);
+            upstream.remove_overdue(streaming, was_lost);
             upstream.in_flight = upstream.in_flight.saturating_sub(u32::from(latency.is_none()));
         }
         if latency.is_some() {
-            // One answer is enough.
+            // One answer is enough: cancels the other attempts.
             self.cancel_attempts(id, Some(position));
             self.record_result(upstream_id, class, &result);
         }
     }
 
-    /// Cancels the attempts of a request in flight, where attempts may be cancelled, with one exception.
+    /// Cancels the in-flight attempts of a request, if allowed, except the one at position `except`.
     fn cancel_attempts(&mut self, id: RequestId, except: Option<usize>) {
         let Some(request) = self.requests.get(&id).filter(|_| self.settings.can_cancel) else { return };
         let in_flight = request.attempts.iter().enumerate().filter(|(_, a)| a.is_in_flight);
@@ -123,7 +122,7 @@
         self.actions.extend(others.map(|(k, _)| Action::Cancel { id, attempt: AttemptNo(k as u8) }));
     }
 
-    /// Takes in the end of an attempt: the request has its answer, is retried, or is given up.
+    /// Handles the end of an attempt: finishes, retries or abandons its request.
     pub(crate) fn on_attempt_ended(
         &mut self,
         id: RequestId,
@@ -150,10 +149,10 @@
         if !was_streaming {
             self.record_result(upstream_id, class, &result);
         }
-        self.after_attempt(id, outcome, is_finished, is_retry_paid);
+        self.decide_next_step(id, outcome, is_finished, is_retry_paid);
     }
 
-    /// Removes an attempt that has ended from the counts of its upstream.
+    /// Removes an ended attempt from the counters of its upstream.
     fn release_attempt(&mut self, id: RequestId, attempt: AttemptNo, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let ended = &mut request.attempts[usize::from(attempt.0)];
@@ -161,7 +160,7 @@
         self.refresh_queue.push(index, self.upstreams.len());
         let upstream = &mut self.upstreams[index];
         let was_lost = ended.is_lost;
-        upstream.forget_overdue(ended, was_lost);
+        upstream.remove_overdue(ended, was_lost);
         if !ended.is_streaming {
             return;
         }
@@ -175,14 +174,14 @@
         }
     }
 
-    /// Decides what follows the end of an attempt.
-    fn after_attempt(&mut self, id: RequestId, outcome: Outcome, is_finished: bool, is_retry_paid: bool) {
+    /// Finishes, retries or abandons a request after one of its attempts has ended.
+    fn decide_next_step(&mut self, id: RequestId, outcome: Outcome, is_finished: bool, is_retry_paid: bool) {
         let Some(request) = self.requests.get(&id) else { return };
         let (had_ended, is_another_in_flight) = (request.has_ended, request.has_attempt_in_flight());
         if is_finished {
             self.end_request(id);
         } else if !had_ended && !is_another_in_flight {
-            let cost = if outcome.never_ran() { UNRUN_RETRY_COST } else { RETRY_COST };
+            let cost = if outcome.never_ran() { NEVER_RAN_RETRY_COST } else { RETRY_COST };
             if !self.try_retry(id, if is_retry_paid { 0.0 } else { cost }) {
                 self.give_up(id);
             }
@@ -192,12 +191,12 @@
         }
     }
 
-    /// Gives the final answer of a request of which no attempt is in flight and none may follow: a rejection
-    /// only if nothing can have run or a repeat is harmless.
+    /// Sends the final answer of a request that has no attempt in flight and no retry left. Rejects the
+    /// request only if no attempt can have run or a repeat is harmless; otherwise fails it.
     fn give_up(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
-        let is_harmless = request.effect == Effect::Idempotent;
-        if is_harmless || request.attempts.iter().all(|a| !a.may_have_run) {
+        let is_repeat_harmless = request.effect == Effect::Idempotent;
+        if is_repeat_harmless || request.attempts.iter().all(|a| !a.may_have_run) {
             let time_left = (request.deadline - self.now_s).max(0.0);
             self.reject(id, Duration::from_secs_f64(time_left.min(1e6)));
         } else {
@@ -205,7 +204,7 @@
         }
     }
 
-    /// Ends a request: nothing more is sent for it, and the attempts still in flight are cancelled.
+    /// Ends a request: sends no further attempts and cancels those in flight.
     pub(crate) fn end_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let had_ended = std::mem::replace(&mut request.has_ended, true);
--- a/crates/core/src/balancer.rs
+++ b/crates/core/src/balancer.rs
@@ -1,32 +1,32 @@
-//! The balancer: what becomes of each event, and the tick.
+//! Event dispatch and the periodic tick of the balancer.
 //!
-//! The ordinary path is the paper's: every tick refills one token bucket a tenant by a guaranteed rate and a
-//! share, in proportion to demand, of the headroom `W` of the upstreams; a request that finds a token is
-//! admitted, any other is rejected on arrival; admitted requests take slots round robin over the ready
-//! upstreams, skipping one whose load is clearly more than that of the next ones. Everything else is an
-//! exception to that path and says what it guards against. Times are seconds.
+//! Every tick refills one token bucket per tenant with a guaranteed rate and a share, in proportion to
+//! demand, of the headroom `W` of the upstreams. A request that finds a token is admitted; any other is
+//! rejected on arrival. Admitted requests take slots round robin over the ready upstreams, skipping an
+//! upstream whose load is clearly higher than that of the next ones. This algorithm comes from a paper; each
+//! deviation from the paper states the failure that it prevents. Times are in seconds.
 
 use crate::interface::*;
 use crate::latency_estimator::ClassStatistics;
 use crate::random::SeededRandom;
-use crate::retry::MAX_BUDGET;
+use crate::retry::MAX_RETRY_BUDGET;
 use crate::rotation::Rotation;
 use crate::state::{Balancer, allowance_per_balancer, shortest_objective};
 use crate::subsetting::min_subset_size;
 use crate::throughput::{CpuUtilization, Throughput};
-use crate::tick::{TICK_S, TICK_TIMER};
+use crate::tick::{TICK_INTERVAL_S, TICK_TIMER};
 use crate::token_bucket::TokenBucket;
 use std::time::Duration;
 
-/// The longest time, in seconds, for which a tick refills tokens.
+/// Longest interval, in seconds, for which one tick refills tokens.
 const MAX_TICK_S: f64 = 1.0;
 
 impl Balancer {
-    /// Creates a balancer with these settings; `seed` is its only source of randomness.
+    /// Creates a balancer whose random numbers depend on `seed` alone.
     ///
     /// # Errors
     ///
-    /// Fails if the settings permit no decisions; see [`Settings::check`].
+    /// Returns an error if [`Settings::check`] rejects the settings.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let tenants = settings.tenants.len().max(1);
@@ -40,13 +40,13 @@
             shortest_objective: shortest_objective(&settings),
             settings,
             utilization: CpuUtilization { reported_at: f64::NEG_INFINITY, ..CpuUtilization::default() },
-            retry_budget: MAX_BUDGET,
+            retry_budget: MAX_RETRY_BUDGET,
             rotations: vec![Rotation::default()],
             ..Self::default()
         })
     }
 
-    /// Takes in one event at a time of the embedder's clock, and adds the actions that answer it.
+    /// Handles an event at time `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         std::mem::swap(&mut self.actions, actions);
         self.now = now;
@@ -58,11 +58,11 @@
         std::mem::swap(&mut self.actions, actions);
     }
 
-    /// Starts the ticks at a random time, so that balancers that start together don't tick together.
+    /// Schedules the first tick at a random time, so that balancers that start together don't tick together.
     fn start(&mut self) {
         self.last_tick_s = self.now_s;
-        self.plan_first_discovery_call();
-        let after = Duration::from_secs_f64(TICK_S * self.rng.f64());
+        self.schedule_first_discovery_call();
+        let after = Duration::from_secs_f64(TICK_INTERVAL_S * self.rng.f64());
         self.actions.push(Action::Timer { after, timer: TICK_TIMER });
     }
 
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Refills the token buckets, then looks after overdue attempts and discovery.
+    /// Runs the periodic work: subset and weights, token refills, overdue attempts and discovery calls.
     fn tick(&mut self) {
         let last_tick_s = std::mem::replace(&mut self.last_tick_s, self.now_s);
         let elapsed = (self.now_s - last_tick_s).clamp(0.0, MAX_TICK_S);
@@ -103,6 +103,7 @@
         self.refill_buckets(elapsed);
         self.handle_overdue_attempts();
         self.poll_discovery();
-        self.actions.push(Action::Timer { after: Duration::from_secs_f64(TICK_S), timer: TICK_TIMER });
+        self.actions
+            .push(Action::Timer { after: Duration::from_secs_f64(TICK_INTERVAL_S), timer: TICK_TIMER });
     }
 }
--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -1,29 +1,29 @@
-//! Endpoint updates: the upstreams as discovery lists them, and as they change.
+//! Endpoint updates: adds, changes and removes upstreams according to discovery.
 
 use crate::interface::*;
 use crate::state::Balancer;
 use crate::upstream::{ClassHealth, Upstream};
 
 impl Balancer {
-    /// Takes in news of the endpoints.
+    /// Handles an endpoint update from discovery.
     pub(crate) fn on_endpoint_update(&mut self, scope: UpdateScope, endpoints: &[Endpoint]) {
         if scope == UpdateScope::Failed {
             self.on_discovery_failed();
             return;
         }
         self.on_discovery_answered(scope);
-        let is_whole_list = scope != UpdateScope::Changes;
-        if is_whole_list {
-            // An upstream that a whole list no longer names has been removed.
+        let is_complete_list = scope != UpdateScope::Changes;
+        if is_complete_list {
+            // An upstream missing from a complete list has been removed.
             self.upstreams.iter_mut().for_each(|u| (u.is_ready, u.is_draining) = (false, false));
         }
         let count_before = self.upstreams.len();
-        let mut has_changed = is_whole_list;
+        let mut has_changed = is_complete_list;
         for endpoint in endpoints {
-            let index = self.upstream_of(endpoint, count_before == 0);
+            let index = self.find_or_add_upstream(endpoint, count_before == 0);
             has_changed |= self.apply_endpoint(index, endpoint);
         }
-        has_changed |= self.forget_removed(self.upstreams.len() > count_before);
+        has_changed |= self.drop_removed(self.upstreams.len() > count_before);
         if has_changed {
             self.choose_subset();
         } else {
@@ -31,9 +31,9 @@
         }
     }
 
-    /// Returns the upstream of an endpoint; it is added if it is new. A newcomer to a list already known has
-    /// just started, whatever the list says.
-    fn upstream_of(&mut self, endpoint: &Endpoint, is_first_list: bool) -> usize {
+    /// Returns the position of an endpoint's upstream and adds a new upstream. Upstreams added after the
+    /// first list count as just started unless the list gives their start time.
+    fn find_or_add_upstream(&mut self, endpoint: &Endpoint, is_first_list: bool) -> usize {
         if let Some(index) = self.index_by_id.get(&endpoint.id) {
             return *index;
         }
@@ -46,7 +46,7 @@
             credit: self.rng.f64(),
             capacity: 1.0,
             last_answer_at: f64::NEG_INFINITY,
-            weighed_at: self.now_s,
+            weight_updated_at: self.now_s,
             is_new: !is_first_list,
             ..Upstream::default()
         });
@@ -55,11 +55,11 @@
         index
     }
 
-    /// Applies what is listed of an upstream. Returns whether the subset has to be chosen again.
+    /// Applies the listed state of an upstream. Returns true if the subset has to be chosen again.
     fn apply_endpoint(&mut self, index: usize, endpoint: &Endpoint) -> bool {
         let upstream = &mut self.upstreams[index];
         let is_ready = endpoint.availability == Availability::Ready;
-        // Rotations are by zone where a split is in force.
+        // With a traffic split, rotations are per zone.
         let has_moved = self.split.is_some() && upstream.zone != endpoint.zone;
         let has_changed = has_moved || upstream.is_ready != is_ready;
         upstream.zone = endpoint.zone;
@@ -70,9 +70,9 @@
         self.apply_start(index, endpoint) || has_changed
     }
 
-    fn apply_weight(&mut self, index: usize, listed: f64) {
+    fn apply_weight(&mut self, index: usize, listed_weight: f64) {
         let upstream = &mut self.upstreams[index];
-        let weight = if listed > 0.0 && listed.is_finite() { listed } else { 1.0 };
+        let weight = if listed_weight > 0.0 && listed_weight.is_finite() { listed_weight } else { 1.0 };
         match self.settings.weights {
             Weights::Off => upstream.size = 1.0,
             Weights::Size => upstream.size = weight,
@@ -85,13 +85,14 @@
         }
     }
 
-    /// Puts an upstream that has restarted into slow start: what was held against it is void. Returns whether
-    /// it has.
+    /// Puts a restarted upstream into slow start and clears its failures and ejections. Returns true if the
+    /// upstream has restarted.
     fn apply_start(&mut self, index: usize, endpoint: &Endpoint) -> bool {
         let Some(started) = endpoint.started.map(|s| s.as_secs_f64()) else { return false };
         let upstream = &mut self.upstreams[index];
         let is_recent = self.now_s - started < self.settings.slow_start_window.as_secs_f64();
-        let has_restarted = is_recent && upstream.slow_start_since.is_none_or(|known| started > known);
+        let has_restarted =
+            is_recent && upstream.slow_start_since.is_none_or(|known_start| started > known_start);
         if has_restarted {
             upstream.slow_start_since = Some(started);
             upstream.ejections = 0;
@@ -103,9 +104,9 @@
         has_restarted
     }
 
-    /// Forgets the upstreams that were removed and have nothing in flight: else changes of the list would
-    /// grow the state for as long as a balancer lives. Returns whether it did.
-    fn forget_removed(&mut self, has_grown: bool) -> bool {
+    /// Drops removed upstreams without attempts in flight; otherwise list changes would grow the state
+    /// without bound. Returns false if too few are removed to rebuild the list.
+    fn drop_removed(&mut self, has_grown: bool) -> bool {
         let is_removed = |u: &Upstream| !u.is_listed() && u.in_flight == 0;
         let removed = self.upstreams.iter().filter(|u| is_removed(u)).count();
         if !has_grown && removed <= self.upstreams.len() / 4 {
--- a/crates/core/src/hedging.rs
+++ b/crates/core/src/hedging.rs
@@ -1,15 +1,15 @@
-//! Overdue attempts: a hedge beside them, or their cancellation in favour of a retry. Times are seconds.
+//! Overdue attempts: sends a hedge, or cancels the attempt for a retry. Times are in seconds.
 
 use crate::interface::*;
 use crate::state::Balancer;
 use std::time::Duration;
 
-/// By how many hedge delays an attempt that was sent later to the same upstream, and answered, has to have
-/// overtaken an overdue one for it to count as lost on its way. It is looked at again after each hedge delay.
-const LOST_AFTER_DELAYS: f64 = 0.5;
-/// The headroom below which no hedge is sent: the overdue attempt itself counts as in flight.
+/// An overdue attempt is presumed lost if the same upstream has answered an attempt sent more than this many
+/// hedge delays later. The check repeats after each hedge delay.
+const LOST_MARGIN_DELAYS: f64 = 0.5;
+/// Headroom below which no hedge is sent; negative because the overdue attempt counts as in flight.
 const MIN_HEDGE_HEADROOM: f64 = -1.0;
-/// What a hedge costs of the retry budget.
+/// Retry-budget cost of a hedge.
 const HEDGE_COST: f64 = 1.0;
 
 impl Balancer {
@@ -22,9 +22,9 @@
         }
     }
 
-    /// Handles an attempt that has been out for longer than the hedge delay: its upstream is passed over, and
-    /// a hedge may go out. Looked at again later, the attempt may turn out to be lost: then it occupies
-    /// nothing, and its upstream is well.
+    /// Handles an attempt that has exceeded the hedge delay: its upstream is skipped, and a hedge may be
+    /// sent. If a later check finds the attempt lost, the attempt no longer counts as load and its upstream
+    /// counts as healthy.
     fn on_attempt_overdue(&mut self, id: RequestId, attempt: AttemptNo) {
         let Some(is_first_time) = self.mark_overdue(id, attempt) else { return };
         if !is_first_time {
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Marks an attempt as overdue or, later, as lost. Returns whether it was not overdue before; `None` if
-    /// there is no such attempt in flight.
+    /// Marks an attempt as overdue or, on a later check, as lost. Returns true on the first check, and `None`
+    /// if no such attempt is in flight.
     fn mark_overdue(&mut self, id: RequestId, attempt: AttemptNo) -> Option<bool> {
         let request = self.requests.get_mut(&id)?;
         let position = usize::from(attempt.0);
@@ -50,29 +50,30 @@
         if let Some(index) = self.index_by_id.get(&overdue.upstream).copied() {
             self.refresh_queue.push(index, self.upstreams.len());
             let upstream = &mut self.upstreams[index];
-            // A queue serves in order: an attempt that is overtaken by so much stands in none. One that no
-            // other attempt followed can't be overtaken: it counts as any other then, so that one does.
+            // Queues serve in order, so an attempt overtaken by this margin is not queued. An attempt without
+            // a later one can't be overtaken: it stops counting as overdue, so that its upstream receives
+            // another attempt.
             let health = &upstream.health[request.class];
-            let lost_before = health.answered_sent_at;
-            overdue.is_lost =
-                !is_first_time && lost_before > overdue.sent_at + LOST_AFTER_DELAYS * hedge_delay;
+            let newest_answered_sent_at = health.answered_sent_at;
+            overdue.is_lost = !is_first_time
+                && newest_answered_sent_at > overdue.sent_at + LOST_MARGIN_DELAYS * hedge_delay;
             let was_followed = health.last_sent_at > overdue.sent_at;
             let still_counts = overdue.is_counted_overdue && !overdue.is_lost && was_followed;
             upstream.count_overdue(overdue, is_first_time || still_counts);
-            upstream.lost += u32::from(overdue.is_lost);
+            upstream.lost_count += u32::from(overdue.is_lost);
             if is_first_time {
                 self.observations.record_overdue(upstream.zone);
             }
         }
         if !overdue.is_lost {
-            let next_look = self.now + Duration::from_secs_f64(hedge_delay);
-            self.overdue_timers.insert((next_look, id, attempt.0));
+            let next_check = self.now + Duration::from_secs_f64(hedge_delay);
+            self.overdue_timers.insert((next_check, id, attempt.0));
         }
         Some(is_first_time)
     }
 
-    /// Cancels an overdue attempt if a retry can follow: else it may still be answered. The retry is paid for
-    /// now, since many attempts may be cancelled at one tick.
+    /// Cancels an overdue attempt if a retry can follow; otherwise the attempt may still be answered. Charges
+    /// the retry now, since one tick may cancel many attempts.
     fn cancel_for_retry(&mut self, id: RequestId, attempt: AttemptNo) {
         if self.retry_target(id, HEDGE_COST).is_none() {
             return;
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -1,8 +1,7 @@
-//! The public interface of the decisions: settings, the events a balancer is told, and the actions it
-//! answers.
+//! Public interface of the crate: settings, the events that a balancer handles, and the actions that it
+//! returns.
 //!
-//! All times are [`Duration`](std::time::Duration)s on one clock of the embedder's choice that only goes
-//! forward.
+//! All times are [`Duration`](std::time::Duration)s on one monotonic clock that the embedder chooses.
 
 mod action;
 pub mod discovery_timing;
--- a/crates/core/src/interface/action.rs
+++ b/crates/core/src/interface/action.rs
@@ -1,65 +1,65 @@
-//! The actions that a balancer wants carried out.
+//! Actions that the embedder carries out for a balancer.
 
 use super::*;
 use std::time::Duration;
 
-/// Something [`Balancer`](crate::Balancer) wants done; a list of actions is carried out in its order.
+/// Instruction to the embedder; a list of actions is carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to an upstream.
     Attempt {
-        /// The request.
+        /// Request to send.
         id: RequestId,
-        /// The upstream to send it to.
+        /// Upstream that receives the request.
         upstream: UpstreamId,
-        /// The time after which the attempt is given up; `None`: when the client's deadline passes.
+        /// Timeout of the attempt; `None` if only the client's deadline limits it.
         timeout: Option<Duration>,
     },
     /// Stop waiting for one attempt.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         id: RequestId,
-        /// The attempt.
+        /// Number of the attempt within the request.
         attempt: AttemptNo,
     },
-    /// Final answer: the request was not taken; trying again is harmless.
+    /// Final answer: the request was not accepted and can be repeated safely.
     Reject {
-        /// The request.
+        /// Rejected request.
         id: RequestId,
-        /// How long the client should stay away.
+        /// Time for which the client should wait before a retry.
         retry_after: Option<Duration>,
     },
-    /// Final answer: the request failed; it may have taken effect.
+    /// Final answer: the request failed and may have taken effect.
     Fail {
-        /// The request.
+        /// Failed request.
         id: RequestId,
     },
-    /// Deliver [`Event::Timer`] after some time.
+    /// Deliver [`Event::Timer`] after a delay.
     Timer {
-        /// The time from now.
+        /// Delay from now.
         after: Duration,
-        /// The timer's id.
+        /// Id that the event has to carry.
         timer: TimerId,
     },
-    /// Watch the discovery service for changes from now on. A call without an answer after
-    /// [`discovery_timing::CALL_TIMEOUT`], and a watch silent for [`discovery_timing::WATCH_IDLE_TIMEOUT`],
-    /// are reported as [`UpdateScope::Failed`].
+    /// Watch the discovery service for changes from now on. A call without an answer within
+    /// [`discovery_timing::CALL_TIMEOUT`], and a watch without a message for
+    /// [`discovery_timing::WATCH_IDLE_TIMEOUT`], are reported as [`UpdateScope::Failed`].
     WatchEndpoints,
-    /// Fetch the whole list from the discovery service once; the same time-out holds.
+    /// Fetch the complete list from the discovery service once; the same timeout applies.
     FetchEndpoints,
-    /// Close the idle connections to an upstream; connections in use stay.
+    /// Close the idle connections to an upstream; connections in use stay open.
     CloseIdle {
-        /// The upstream.
+        /// Upstream whose idle connections are closed.
         upstream: UpstreamId,
     },
-    /// Probe an upstream.
+    /// Probe an upstream and report the result as [`Event::ProbeEnded`].
     Probe {
-        /// The upstream.
+        /// Upstream to probe.
         upstream: UpstreamId,
     },
-    /// Write a line to the operators' log.
+    /// Write a line to the operator log.
     Log {
-        /// The text of the line.
+        /// Text of the log line.
         line: String,
     },
 }
--- a/crates/core/src/interface/effect.rs
+++ b/crates/core/src/interface/effect.rs
@@ -1,17 +1,17 @@
-//! What a repeat of a request may do, which decides where a retry may go.
+//! Repeat semantics of requests, which determine the upstreams that a retry may go to.
 
 use std::time::Duration;
 
-/// What a repeat of a request may do.
+/// Effect of sending a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Repeats are harmless.
     Idempotent,
     /// Upstreams of one group drop a repeat that is sent within `ttl` of the first attempt that may have run.
     Deduplicated {
-        /// The upstreams that share the memory of an idempotency key.
+        /// Upstreams that share their record of idempotency keys.
         group: DedupGroup,
-        /// How long they remember the key.
+        /// Time for which the upstreams remember a key.
         ttl: Duration,
     },
     /// The request must never run twice.
@@ -19,7 +19,7 @@
 }
 
 impl Effect {
-    /// Returns the weakest effect that satisfies both: whatever it allows, each of the two allows.
+    /// Returns the weakest effect at least as strict as both: it allows only what both allow.
     pub fn stricter(self, other: Self) -> Self {
         match (self, other) {
             (Self::Idempotent, effect) | (effect, Self::Idempotent) => effect,
@@ -27,7 +27,7 @@
                 let group = match (a, b) {
                     (DedupGroup::All, group) | (group, DedupGroup::All) => group,
                     _ if a == b => a,
-                    // A cell and a zone: neither is known to lie within the other.
+                    // A cell and a zone: neither is known to contain the other.
                     _ => return Self::AtMostOnce,
                 };
                 Self::Deduplicated { group, ttl: s.min(t) }
@@ -37,13 +37,13 @@
     }
 }
 
-/// The upstreams that drop one another's repeats.
+/// Upstreams that recognize each other's idempotency keys and drop repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupGroup {
     /// All upstreams.
     All,
-    /// The upstreams of one zone.
+    /// Upstreams of one zone.
     Zone,
-    /// The upstreams of one cell.
+    /// Upstreams of one cell.
     Cell,
 }
--- a/crates/core/src/interface/endpoint.rs
+++ b/crates/core/src/interface/endpoint.rs
@@ -1,47 +1,47 @@
-//! Endpoints: the upstreams as discovery lists them.
+//! Endpoints: upstreams as discovery lists them.
 
 use super::{CellId, KindId, UpstreamId, ZoneId};
 use std::time::Duration;
 
-/// Whether an endpoint takes requests.
+/// Readiness of an endpoint for requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
     /// The endpoint takes requests.
     Ready,
-    /// The endpoint finishes the requests it has; no new ones go there.
+    /// The endpoint finishes its requests in flight and takes no new ones.
     Draining,
-    /// The endpoint exists no longer.
+    /// The endpoint no longer exists.
     Removed,
 }
 
 /// One upstream as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// The upstream's id.
+    /// Unique id, stable across updates.
     pub id: UpstreamId,
-    /// The zone it runs in.
+    /// Zone that the upstream runs in.
     pub zone: ZoneId,
-    /// Its hardware kind.
+    /// Hardware kind of the upstream.
     pub kind: KindId,
-    /// Its cell.
+    /// Cell that the upstream belongs to.
     pub cell: CellId,
-    /// Whether it takes requests.
+    /// Readiness for requests.
     pub availability: Availability,
-    /// Its listed weight; [`Settings::weights`](crate::Settings::weights) says what the weight means.
+    /// Listed weight; [`Settings::weights`](crate::Settings::weights) defines its meaning.
     pub weight: f64,
-    /// When its process last started, if that was not long ago.
+    /// Time of the last process start, if recent.
     pub started: Option<Duration>,
 }
 
-/// How complete an endpoint update is.
+/// Completeness of an endpoint update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateScope {
     /// Only the endpoints that changed.
     Changes,
-    /// The whole list; an endpoint that is missing has been removed.
+    /// The complete list; an endpoint missing from it has been removed.
     Full,
-    /// The whole list as this balancer last held it, perhaps out of date.
+    /// The complete list that this balancer last cached; it may be out of date.
     Cached,
-    /// A call failed or the watch broke; the list held before stays in force.
+    /// No list: a call failed or the watch broke, and the previous list stays in force.
     Failed,
 }
--- a/crates/core/src/interface/event.rs
+++ b/crates/core/src/interface/event.rs
@@ -1,103 +1,102 @@
-//! The events that an embedder tells a balancer.
+//! Events that the embedder reports to a balancer.
 
 use super::*;
 use std::time::Duration;
 
-/// Something the embedder tells [`Balancer`](crate::Balancer).
+/// Event that the embedder reports to [`Balancer`](crate::Balancer).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// Discovery has news of the endpoints. The first event of a balancer's life is a `Cached` update.
+    /// Discovery has reported endpoints. A balancer's first event is an update of scope `Cached`.
     EndpointUpdate {
-        /// How complete the update is.
+        /// Completeness of the update.
         scope: UpdateScope,
-        /// The endpoints.
+        /// Listed or changed endpoints, depending on `scope`.
         endpoints: &'a [Endpoint],
     },
-    /// The discovery service has moved: it is called at its new address at once, and the calls to the old one
-    /// have been given up.
+    /// The discovery service has a new address. The balancer calls the new address at once; the embedder has
+    /// already abandoned its calls to the old address.
     DiscoveryMoved,
     /// A client's request has arrived.
     Request {
-        /// The request's id.
+        /// Unique id of the request.
         id: RequestId,
-        /// The request's class.
+        /// Class that sets the latency objective of the request.
         class: ClassId,
-        /// The request's tenant.
+        /// Tenant whose token bucket the request draws from.
         tenant: TenantId,
-        /// How long the client still waits.
+        /// Time until the client stops waiting.
         time_left: Duration,
-        /// The expected work in milliseconds on a standard core, where it is known.
+        /// Expected work in milliseconds on a standard core, if known.
         work_ms: Option<f64>,
-        /// Whether the client says that it has tried this request before.
+        /// True if the client reports an earlier try of this request.
         is_repeat: bool,
     },
-    /// A streamed answer, or a request's streamed body, has started. The request has no deadline from now on,
+    /// A streamed answer, or a request's streamed body, has started. From now on the request has no deadline,
     /// and the duration of the attempt says nothing about its upstream.
     StreamStarted {
-        /// The request.
+        /// Request that streams.
         id: RequestId,
-        /// The attempt that streams.
+        /// Attempt that streams.
         attempt: AttemptNo,
-        /// The time since the attempt was sent, if the answer streams; `None` if the request's body streams.
+        /// Time from sending the attempt to the start of the answer; `None` if the request's body streams.
         latency: Option<Duration>,
     },
     /// An attempt has ended. The embedder reports this once for each attempt.
     AttemptEnded {
-        /// The request.
+        /// Request that the attempt belongs to.
         id: RequestId,
-        /// The attempt.
+        /// Number of the attempt within the request.
         attempt: AttemptNo,
-        /// The upstream it was sent to.
+        /// Upstream that the attempt was sent to.
         upstream: UpstreamId,
-        /// How it ended.
+        /// Result of the attempt.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// Time from sending the attempt to its end.
         latency: Duration,
-        /// Whether the request has its final answer, by this outcome or before it.
+        /// True if this or an earlier outcome gave the request its final answer.
         is_finished: bool,
-        /// A load report with values in the order of [`Settings::report_fields`]; empty if none came.
+        /// Load report with values in the order of [`Settings::report_fields`]; empty if none was received.
         report: &'a [f32],
     },
-    /// The client has disconnected; no answer is owed any more.
+    /// The client has disconnected; the request needs no answer.
     RequestCancelled {
-        /// The request.
+        /// Request of the disconnected client.
         id: RequestId,
     },
     /// A probe has ended.
     ProbeEnded {
-        /// The upstream that was probed.
+        /// Upstream that was probed.
         upstream: UpstreamId,
-        /// How the probe ended.
+        /// Result of the probe.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// Time from sending the probe to its end.
         latency: Duration,
-        /// A load report; empty if none came.
+        /// Load report with values in the order of [`Settings::report_fields`]; empty if none was received.
         report: &'a [f32],
     },
-    /// The settings have changed. Classes and tenants keep their positions, and there are no fewer; others
-    /// may follow. Requests in flight keep their class, and their further attempts obey both the old and the
-    /// new settings.
+    /// The settings have changed. Classes and tenants keep their positions, and new ones may be appended;
+    /// none are dropped. Requests in flight keep their class, and their further attempts obey both the old
+    /// and the new settings.
     SettingsChanged {
-        /// The settings from now on. They are ignored if [`Settings::check`] rejects them or they have fewer
-        /// classes.
+        /// New settings. They are ignored if [`Settings::check`] rejects them or they have fewer classes.
         settings: &'a Settings,
-        /// Tenants that exist no longer.
+        /// Tenants that no longer exist.
         removed_tenants: &'a [TenantId],
     },
-    /// The zones that each group of requests goes to from now on. `None`: the balancer chooses zones itself,
-    /// as it does at the start. A split that [`TrafficSplit::check`] rejects is ignored.
+    /// The traffic split has changed. A split that [`TrafficSplit::check`] rejects is ignored.
     TrafficSplit {
-        /// The split.
+        /// New split; `None` if the balancer chooses zones itself, as it does at the start.
         split: Option<&'a TrafficSplit>,
     },
-    /// What the process before this one had learned. It comes after the endpoints that process knew.
+    /// The previous process has handed over its learned state. This event follows the update that lists the
+    /// endpoints of the previous process.
     LearnedStateRestored {
-        /// The state learned.
+        /// State learned by the previous process.
         learned: &'a LearnedState,
     },
     /// A timer set by [`Action::Timer`] is due.
     Timer {
-        /// The timer.
+        /// Id from the action.
         timer: TimerId,
     },
 }
--- a/crates/core/src/interface/learned_state.rs
+++ b/crates/core/src/interface/learned_state.rs
@@ -1,66 +1,66 @@
-//! The learned state that one balancer may leave to the next, as plain figures. Times are seconds, as ages.
+//! Learned state that a balancer hands over to its successor, as plain numbers. Times are ages in seconds.
 
 use super::UpstreamId;
 
-/// What a balancer has learned.
+/// State that a balancer has learned from its traffic.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// The throughput; `None` if nothing is known.
+    /// Completion rates; `None` if unknown.
     pub throughput: Option<LearnedThroughput>,
-    /// What was learned of each class, by position; `None` if nothing is known.
+    /// Latency statistics of each class, by position; `None` if unknown.
     pub classes: Vec<Option<LearnedClass>>,
-    /// What was learned of each tenant, by position; `None` if nothing is known.
+    /// Token bucket of each tenant, by position; `None` if unknown.
     pub tenants: Vec<Option<LearnedTenant>>,
-    /// The upstreams of which anything is known.
+    /// Upstreams with learned state.
     pub upstreams: Vec<LearnedUpstream>,
 }
 
-/// The completions of a balancer's requests.
+/// Completion rates of a balancer's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LearnedThroughput {
-    /// Completions a second for each unit of weight.
+    /// Completions per second for each unit of weight.
     pub per_weight: f64,
-    /// Completions a second in all.
+    /// Completions per second over all upstreams.
     pub per_second: f64,
 }
 
-/// What was learned of a class.
+/// Latency statistics and traffic share of a class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LearnedClass {
-    /// The mean latency of its attempts.
+    /// Mean latency of attempts, including slow ones that timed out or were cancelled.
     pub mean_latency: f64,
-    /// The mean latency of its attempts that were answered.
+    /// Mean latency of answered attempts.
     pub answered_latency: f64,
-    /// What the mean has come down to when little was in flight.
+    /// Lowest recent mean latency, reached with few requests in flight.
     pub baseline_latency: f64,
-    /// The time within which nearly all answers come.
+    /// Time within which nearly all answers arrive.
     pub hedge_delay: f64,
-    /// Its share of the admitted requests.
+    /// Share of the class among the admitted requests.
     pub admitted_share: f64,
 }
 
-/// The token bucket and the demand of a tenant.
+/// Token bucket and demand of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LearnedTenant {
-    /// The tokens in its bucket.
+    /// Number of tokens in the bucket.
     pub tokens: f64,
-    /// Its requests a second.
+    /// Requests per second.
     pub demand: f64,
 }
 
-/// What was learned of an upstream.
+/// State that a balancer has learned about an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LearnedUpstream {
-    /// The upstream.
+    /// Id of the upstream.
     pub id: UpstreamId,
-    /// For how long it has been in slow start, if it is.
+    /// Seconds since slow start began; `None` if the upstream is not in slow start.
     pub in_slow_start_for: Option<f64>,
-    /// For how long it stays ejected.
+    /// Remaining seconds of the ejection; 0 if the upstream is not ejected.
     pub ejected_for: f64,
-    /// Its ejections in a row.
+    /// Consecutive ejections.
     pub ejections: u32,
-    /// The mean ratio of its latencies to the mean of their class.
+    /// Mean ratio of the upstream's latencies to the mean latency of their class.
     pub latency_ratio: f64,
-    /// The number of answers behind that ratio, fading.
+    /// Number of latency samples behind `latency_ratio`, decaying over time.
     pub latency_samples: f64,
 }
--- a/crates/core/src/interface/outcome.rs
+++ b/crates/core/src/interface/outcome.rs
@@ -1,35 +1,35 @@
-//! How attempts and probes end.
+//! Outcomes of attempts and probes.
 
-/// How an attempt or a probe ended.
+/// Outcome of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The upstream served the request.
     Ok,
     /// The upstream answered with an error; the request may have run.
     Error,
-    /// The upstream turned the request away unseen: its queue was full, or it drains.
+    /// The upstream rejected the request without running it, because its queue was full or it is draining.
     Rejected,
-    /// No answer came in time; the request may have run, or may still run.
+    /// No answer arrived in time; the request may have run, or may still run.
     TimedOut,
-    /// No connection was made in time; the request never ran.
+    /// No connection was established in time; the request never ran.
     ConnectFailed,
     /// The connection broke; the request may have run.
     Reset,
     /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// The attempt was not sent at all.
+    /// The attempt was never sent.
     NotSent,
-    /// The upstream said that it is overloaded; the request may have run all the same.
+    /// The upstream reported that it is overloaded; the request may have run nevertheless.
     Overloaded,
 }
 
 impl Outcome {
-    /// Returns whether this outcome proves that the attempt never ran.
+    /// Returns true if this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
 
-    /// Returns the stable lower-case name that metrics use for the outcome.
+    /// Returns the stable lower-case name of the outcome in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Ok => "ok",
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -1,36 +1,36 @@
-//! Settings: the classes of requests, the tenants, and the figures that hold for all of them.
+//! Settings: request classes, tenants, and the values that apply to all of them.
 
 use super::{Effect, ZoneId};
 use std::time::Duration;
 
-/// A class of requests.
+/// Class of requests with the same objective, value and repeat semantics.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// The latency objective: an answer within this time earns the full value.
+    /// Latency objective; an answer within this time earns the full value.
     pub latency_objective: Duration,
-    /// The objective grows by this multiple of the request's own work, where the work is known.
+    /// Multiple of the request's own work that is added to the objective, if the work is known.
     pub objective_stretch: f64,
-    /// The longest time that a client waits.
+    /// Longest time that a client waits for an answer.
     pub deadline: Duration,
-    /// The value of one answer in time.
+    /// Value of an answer within the objective.
     pub value: f64,
-    /// The share of the value left for an answer after the objective.
+    /// Share of the value that is left for an answer after the objective.
     pub late_value: f64,
-    /// What a repeat of a request may do.
+    /// Effect of sending a request of the class more than once.
     pub effect: Effect,
-    /// Whether the answer is a stream, which [`Event::StreamStarted`](crate::Event::StreamStarted) reports.
+    /// True if the answer is a stream, which [`Event::StreamStarted`](crate::Event::StreamStarted) reports.
     pub is_streamed: bool,
 }
 
-/// A customer whose traffic shares the fleet.
+/// Customer whose traffic shares the upstreams with other customers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// The requests a second, over all balancers, that the tenant is allowed; 0 if nothing is stated.
+    /// Requests per second that the tenant may send over all balancers; 0 if not configured.
     pub allowance_per_s: f64,
 }
 
 impl Default for Class {
-    /// Returns a class whose requests may not run twice and are wanted within a second.
+    /// Returns a class of at-most-once requests with a latency objective of one second.
     fn default() -> Self {
         Self {
             latency_objective: Duration::from_secs(1),
@@ -44,129 +44,129 @@
     }
 }
 
-/// What an upstream's listed weight means.
+/// Meaning of an upstream's listed weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// The weight means nothing.
+    /// The weight is ignored.
     Off,
-    /// The weight is the upstream's registered size, or about that.
+    /// The weight is approximately the upstream's registered size.
     Size,
-    /// The weight is its size divided by 1 + the requests that each core held a while ago.
+    /// The weight is the upstream's size divided by 1 + its earlier requests in flight per core.
     Live,
 }
 
-/// Where load reports come from.
+/// Source of load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reports {
-    /// There are no load reports.
+    /// Upstreams send no load reports.
     Off,
-    /// A load report comes with every outcome and probe.
+    /// Each outcome and each probe carries a load report.
     Inline,
-    /// A load report comes with probes only.
+    /// Only probes carry load reports.
     OnProbe,
 }
 
-/// The meaning of one value in a load report.
+/// Meaning of one value in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
-    /// The requests that the upstream has in flight.
+    /// Requests in flight at the upstream.
     InFlight,
-    /// The requests that wait in its queue.
+    /// Requests that wait in the upstream's queue.
     Queue,
-    /// The share of its CPU in use.
+    /// Share of the upstream's CPU in use.
     Utilization,
-    /// Its recent service time in milliseconds.
+    /// Recent service time in milliseconds.
     ServiceMs,
-    /// The requests that it serves a second.
+    /// Requests served per second.
     RequestRate,
-    /// The errors that it answers a second.
+    /// Errors answered per second.
     ErrorRate,
-    /// A value that this version does not know.
+    /// Value that this version does not know.
     Other,
 }
 
-/// Prices: the cost of an action, in the value of an average request.
+/// Costs of a balancer's actions, in units of the value of an average request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// An attempt in another zone.
+    /// One attempt in another zone.
     pub cross_zone: f64,
-    /// A hundred connections held open to an upstream, all along.
+    /// One hundred connections to an upstream that stay open permanently.
     pub connection: f64,
-    /// A new connection.
+    /// One new connection.
     pub handshake: f64,
-    /// A request that ends unserved only after its latency objective.
+    /// One request that fails only after its latency objective.
     pub late_fail: f64,
-    /// A probe.
+    /// One probe.
     pub probe: f64,
-    /// Upstream work that served nobody, as much as a mean request takes.
+    /// Wasted upstream work, in the amount that an average request takes.
     pub waste: f64,
 }
 
-/// The settings of one balancer.
+/// Settings of one balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many balancers share the fleet, this one included.
+    /// Number of balancers that share the upstreams, including this one.
     pub balancers: u32,
-    /// This one's number among them, from 0.
+    /// Index of this balancer among all balancers, from 0.
     pub index: u32,
-    /// The zone that this balancer runs in.
+    /// Zone that this balancer runs in.
     pub zone: ZoneId,
-    /// The classes of requests; at least one.
+    /// Request classes; at least one.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The value of a request over its tenant's allowance, as a share of its class's value.
+    /// Value of a request over its tenant's allowance, as a share of its class's value.
     pub over_allowance_value: f64,
-    /// Whether a request's value is in proportion to its work.
+    /// True if the value of a request is proportional to its work.
     pub is_value_by_work: bool,
-    /// Whether the balancer has to call a discovery service for its endpoints, by
+    /// True if the balancer has to call a discovery service for its endpoints, by
     /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints) and
     /// [`Action::FetchEndpoints`](crate::Action::FetchEndpoints).
     pub has_endpoint_discovery: bool,
-    /// The interval of discovery calls: a balancer that has been silent for this time is held to know all
-    /// that was listed when it called last.
+    /// Interval of discovery calls. A balancer that has not called for this time is expected to know
+    /// everything that was listed at its last call.
     pub endpoint_poll_interval: Duration,
-    /// The share of its full capacity that an upstream has when it starts.
+    /// Share of its full capacity that an upstream has when it starts.
     pub slow_start_min_share: f64,
-    /// The time after which an upstream that started has its full capacity.
+    /// Time from an upstream's start until it has its full capacity.
     pub slow_start_window: Duration,
-    /// An upstream in slow start fails when it gets more than this multiple of its present capacity for
+    /// Multiple of its present capacity that makes an upstream in slow start fail if the load exceeds it for
     /// `overload_window`.
     pub overload_multiple: f64,
-    /// The time for which an upstream in slow start bears more than that.
+    /// Time for which an upstream in slow start withstands a load above `overload_multiple`.
     pub overload_window: Duration,
-    /// The most attempts that one request may have.
+    /// Maximum number of attempts per request.
     pub max_attempts: u8,
-    /// Whether two attempts of a request may be in flight together.
+    /// True if two attempts of a request may be in flight at the same time.
     pub can_hedge: bool,
-    /// Whether attempts may be cancelled.
+    /// True if attempts may be cancelled.
     pub can_cancel: bool,
-    /// Whether probes are allowed.
+    /// True if probes are allowed.
     pub can_probe: bool,
-    /// The longest `Retry-After` that clients heed.
+    /// Longest `Retry-After` that clients respect.
     pub max_retry_after: Duration,
-    /// A connection that is not made in this time counts as failed.
+    /// Time after which a connection that is not established counts as failed.
     pub connect_timeout: Duration,
-    /// A connection that is not used for this time closes.
+    /// Time after which an unused connection closes.
     pub connection_idle_timeout: Duration,
-    /// The most attempts that one connection carries at once.
+    /// Maximum number of concurrent attempts on one connection.
     pub max_streams: u32,
-    /// The share of misses, by class, that is tolerated where the goal has a part for the slow end.
+    /// Tolerated share of missed objectives per class; `None` if the goal does not include tail latency.
     pub tail_miss: Option<f64>,
-    /// The CPU time that a request and its outcomes may cost; zero if there is no limit.
+    /// CPU time that a request and its outcomes may cost the balancer; zero if there is no limit.
     pub cpu_per_request: Duration,
-    /// What the upstreams' listed weights mean.
+    /// Meaning of the upstreams' listed weights.
     pub weights: Weights,
-    /// Where load reports come from.
+    /// Source of load reports.
     pub reports: Reports,
-    /// The values in a load report, in order.
+    /// Meaning of each value in a load report, in order.
     pub report_fields: Vec<LoadField>,
-    /// What actions cost.
+    /// Costs of the balancer's actions.
     pub prices: Prices,
 }
 
 impl Default for Settings {
-    /// Returns the settings of a single balancer without discovery and, as yet, without classes.
+    /// Returns the settings of a single balancer without discovery; classes still have to be added.
     fn default() -> Self {
         Self {
             balancers: 1,
@@ -200,23 +200,23 @@
     }
 }
 
-/// Why no decision is possible with some [`Settings`].
+/// Reason why [`Settings::check`] rejects settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// There are no classes.
+    /// There are no request classes.
     NoClasses,
-    /// There are no balancers, not even this one.
+    /// The number of balancers is zero.
     NoBalancers,
-    /// The named figure is negative, not a number, or zero where it can't be.
+    /// The named value is outside its valid range.
     OutOfRange(&'static str),
 }
 
 impl Settings {
-    /// Checks whether decisions are possible with these figures.
+    /// Checks that a balancer can run with these settings.
     ///
     /// # Errors
     ///
-    /// Names the first figure that permits no decisions.
+    /// Returns the first value that is invalid.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -225,7 +225,7 @@
             return Err(SettingsError::NoBalancers);
         }
         self.check_counts()?;
-        self.check_figures()?;
+        self.check_shares_and_prices()?;
         self.classes.iter().try_for_each(Class::check)?;
         self.tenants.iter().try_for_each(Tenant::check)
     }
@@ -243,7 +243,7 @@
         Ok(())
     }
 
-    fn check_figures(&self) -> Result<(), SettingsError> {
+    fn check_shares_and_prices(&self) -> Result<(), SettingsError> {
         check_not_negative(&[
             (self.over_allowance_value, "over_share_worth"),
             (self.slow_start_min_share, "cold_from"),
@@ -278,10 +278,9 @@
     }
 }
 
-/// Checks that each figure is a finite number that is not negative; the error has the name of the first that
-/// is not.
-fn check_not_negative(figures: &[(f64, &'static str)]) -> Result<(), SettingsError> {
-    let invalid = figures.iter().find(|(figure, _)| !(*figure >= 0.0 && figure.is_finite()));
+/// Returns an error with the name of the first value that is negative or not finite.
+fn check_not_negative(values: &[(f64, &'static str)]) -> Result<(), SettingsError> {
+    let invalid = values.iter().find(|(value, _)| !(*value >= 0.0 && value.is_finite()));
     invalid.map_or(Ok(()), |(_, name)| Err(SettingsError::OutOfRange(name)))
 }
 
@@ -290,7 +289,7 @@
         match self {
             Self::NoClasses => write!(f, "settings name no request class"),
             Self::NoBalancers => write!(f, "settings count no balancers"),
-            Self::OutOfRange(what) => write!(f, "settings: {what} is out of range"),
+            Self::OutOfRange(name) => write!(f, "settings: {name} is out of range"),
         }
     }
 }
--- a/crates/core/src/interface/traffic_split.rs
+++ b/crates/core/src/interface/traffic_split.rs
@@ -1,70 +1,74 @@
-//! Traffic splits: the zones that each group of requests goes to, and each zone's share.
+//! Traffic splits: the zones that each group of requests goes to, and the share of each zone.
 
 use super::ZoneId;
 use std::fmt;
 
-/// The most groups of a [`TrafficSplit`].
+/// Maximum number of groups in a [`TrafficSplit`].
 pub const MAX_GROUPS: usize = 256;
-/// The most zones that one group names with a share.
+/// Maximum number of zones with a share in one group.
 pub const MAX_ZONES_PER_GROUP: usize = 64;
-/// How far the sum of a group's shares may exceed 1, because shares come as rounded figures.
+/// Amount by which the sum of a group's shares may exceed 1, since shares are rounded numbers.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Where requests go, by group: a failover plan as one balancer acts on it.
+/// Failover plan as applied by one balancer: the destinations of each group of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TrafficSplit {
-    /// Positions in `rows`, by class and then by tenant. A pair that is not in the table, or that names no
-    /// row, has the last row.
+    /// Index into `rows` of each class and tenant, sorted by class and then by tenant. A pair without an
+    /// entry, or with an index out of range, uses the last row.
     pub groups: Vec<u16>,
-    /// The number of tenants that each class has in `groups`.
+    /// Number of tenants that each class has in `groups`.
     pub tenants: usize,
-    /// The groups' zones and shares.
+    /// Zones and shares of each group.
     pub rows: Vec<GroupSplit>,
 }
 
-/// Where the requests of one group go.
+/// Destinations of the requests of one group.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GroupSplit {
-    /// Zones with their shares, 0 to 1; what is missing to 1 is rejected on arrival.
+    /// Zones with their shares, 0 to 1; the remainder up to 1 is rejected on arrival.
     pub zone_shares: Vec<(ZoneId, f64)>,
-    /// The zones of the balancer's own region: retries may go there, with a share or without.
+    /// Zones of the balancer's region, which retries may use even without a share.
     pub region: Vec<ZoneId>,
     /// Zones that no attempt may go to.
     pub forbidden: Vec<ZoneId>,
-    /// The largest share of the group's requests that may leave the region, first attempts and retries
+    /// Maximum share of the group's requests that may leave the region, counting first attempts and retries
     /// together, 0 to 1.
     pub max_cross_region: f64,
 }
 
-/// Why a balancer can't act on a [`TrafficSplit`].
+/// Reason why [`TrafficSplit::check`] rejects a split.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TrafficSplitError {
     /// There are no rows.
     NoRows,
     /// There are more rows than [`MAX_GROUPS`].
     TooManyRows,
-    /// This row names more than [`MAX_ZONES_PER_GROUP`] zones with a share.
+    /// This row names more than [`MAX_ZONES_PER_GROUP`] zones.
     TooManyZones(usize),
-    /// A share of this row is no number from 0 to 1, or the shares come to more than 1.
+    /// A number in this row is outside 0 to 1, or the shares of the row add up to more than 1.
     OutOfRange(usize),
     /// This row names a zone twice.
     DuplicateZone(usize, ZoneId),
-    /// This row has a share for a zone that it forbids.
+    /// This row has a share for a zone that the row forbids.
     ForbiddenZone(usize, ZoneId),
 }
 
 impl fmt::Display for TrafficSplitError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoRows => f.write_str("shares: there are no rows"),
-            Self::TooManyRows => write!(f, "shares: more than {MAX_GROUPS} rows"),
+            Self::NoRows => f.write_str("traffic split: no rows"),
+            Self::TooManyRows => write!(f, "traffic split: more than {MAX_GROUPS} rows"),
             Self::TooManyZones(row) => {
-                write!(f, "shares: row {row} names more than {MAX_ZONES_PER_GROUP} zones")
+                write!(f, "traffic split: row {row} names more than {MAX_ZONES_PER_GROUP} zones")
+            }
+            Self::OutOfRange(row) => {
+                write!(f, "traffic split: a share or limit of row {row} is out of range")
+            }
+            Self::DuplicateZone(row, zone) => {
+                write!(f, "traffic split: row {row} names zone {} twice", zone.0)
             }
-            Self::OutOfRange(row) => write!(f, "shares: a figure of row {row} is out of range"),
-            Self::DuplicateZone(row, zone) => write!(f, "shares: row {row} names zone {} twice", zone.0),
             Self::ForbiddenZone(row, zone) => {
-                write!(f, "shares: row {row} sends to zone {} that it forbids", zone.0)
+                write!(f, "traffic split: row {row} has a share for zone {}, which it forbids", zone.0)
             }
         }
     }
@@ -73,11 +77,11 @@
 impl std::error::Error for TrafficSplitError {}
 
 impl TrafficSplit {
-    /// Checks whether a balancer can act on the split.
+    /// Checks that a balancer can apply the split.
     ///
     /// # Errors
     ///
-    /// Names the first fault.
+    /// Returns the first fault found.
     pub fn check(&self) -> Result<(), TrafficSplitError> {
         if self.rows.is_empty() {
             return Err(TrafficSplitError::NoRows);
@@ -85,29 +89,29 @@
         if self.rows.len() > MAX_GROUPS {
             return Err(TrafficSplitError::TooManyRows);
         }
-        self.rows.iter().enumerate().try_for_each(|(position, row)| row.check(position))
+        self.rows.iter().enumerate().try_for_each(|(row_index, row)| row.check(row_index))
     }
 }
 
 impl GroupSplit {
-    fn check(&self, position: usize) -> Result<(), TrafficSplitError> {
+    fn check(&self, row_index: usize) -> Result<(), TrafficSplitError> {
         if self.zone_shares.len() > MAX_ZONES_PER_GROUP {
-            return Err(TrafficSplitError::TooManyZones(position));
+            return Err(TrafficSplitError::TooManyZones(row_index));
         }
         let mut sum = 0.0;
         for (k, (zone, share)) in self.zone_shares.iter().enumerate() {
             if !(0.0..=1.0).contains(share) {
-                return Err(TrafficSplitError::OutOfRange(position));
+                return Err(TrafficSplitError::OutOfRange(row_index));
             }
             if self.zone_shares[..k].iter().any(|(other, _)| other == zone) {
-                return Err(TrafficSplitError::DuplicateZone(position, *zone));
+                return Err(TrafficSplitError::DuplicateZone(row_index, *zone));
             }
             if *share > 0.0 && self.forbidden.contains(zone) {
-                return Err(TrafficSplitError::ForbiddenZone(position, *zone));
+                return Err(TrafficSplitError::ForbiddenZone(row_index, *zone));
             }
             sum += share;
         }
         let is_valid = sum <= 1.0 + ROUNDING_TOLERANCE && (0.0..=1.0).contains(&self.max_cross_region);
-        if is_valid { Ok(()) } else { Err(TrafficSplitError::OutOfRange(position)) }
+        if is_valid { Ok(()) } else { Err(TrafficSplitError::OutOfRange(row_index)) }
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,25 +1,25 @@
-//! The decisions of a reverse proxy that spreads requests over HTTP upstreams: which request is
-//! admitted, which upstream it goes to, and what happens when an attempt fails.
+//! Decision engine of a reverse proxy that spreads requests over HTTP upstreams: it admits or rejects
+//! requests, chooses the upstream of each attempt, and handles failed attempts.
 //!
-//! The crate does no I/O and reads no clock. The embedder tells [`Balancer`] what happens, as [`Event`]s with
-//! the time, and carries out the [`Action`]s it answers. The same settings, seed and events always give the
-//! same actions.
+//! The crate does no I/O and reads no clock. The embedder reports [`Event`]s with their time to a
+//! [`Balancer`] and carries out the [`Action`]s that it returns. The same settings, seed and events always
+//! give the same actions.
 //!
-//! # Who owns what
+//! # Modules
 //!
-//! | module | what it owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `interface` | the public types: [`Settings`], [`Event`], [`Action`] |
-//! | `balancer` | the dispatch of events, and the tick |
-//! | `admission`, `token_bucket`, `quota`, `headroom` | which request is admitted |
-//! | `round_robin`, `upstream_weights`, `slow_start` | which upstream of the subset is next |
-//! | `zone_routing`, `split_table` | which zone a request goes to where a [`TrafficSplit`] is in force |
-//! | `attempts`, `retry`, `hedging` | attempts, and what follows when they fail or are slow |
-//! | `outlier_detection`, `latency_estimator`, `idle_connections`, `load_reports` | what results and reports tell |
-//! | `discovery`, `endpoints`, `subsetting` | which upstreams there are, and which of them are used |
-//! | `state_transfer`, `settings_change` | what goes on over a restart or a change of settings |
-//! | `observations`, `zone_observations` | the counters that a failover plan is made from |
-//! | `state`, `upstream`, `request`, `rotation`, `throughput`, `refresh_queue` | the data that the others fill and read |
+//! | `interface` | public types: [`Settings`], [`Event`], [`Action`] |
+//! | `balancer` | event dispatch and the tick |
+//! | `admission`, `token_bucket`, `quota`, `headroom` | admission of requests |
+//! | `round_robin`, `upstream_weights`, `slow_start` | choice of the next upstream in the subset |
+//! | `zone_routing`, `split_table` | choice of the zone where a [`TrafficSplit`] is in force |
+//! | `attempts`, `retry`, `hedging` | attempts, and the reaction to failed or slow ones |
+//! | `outlier_detection`, `latency_estimator`, `idle_connections`, `load_reports` | evaluation of results and load reports |
+//! | `discovery`, `endpoints`, `subsetting` | list of upstreams, and the subset in use |
+//! | `state_transfer`, `settings_change` | continuity over a restart or a change of settings |
+//! | `observations`, `zone_observations` | counters that a failover plan is based on |
+//! | `state`, `upstream`, `request`, `rotation`, `throughput`, `refresh_queue` | data that the other modules read and write |
 //!
 //! ```
 //! use maplehook_core::*;
@@ -38,7 +38,7 @@
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // A balancer's life starts with the endpoints it knows.
+//! // The first event lists the cached endpoints.
 //! let endpoints = [Endpoint {
 //!     id: UpstreamId(7),
 //!     zone: ZoneId(0),
@@ -51,7 +51,7 @@
 //! let update = Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &endpoints };
 //! balancer.handle(ms(0), update, &mut actions);
 //!
-//! // A request arrives: it is sent on, or rejected at once.
+//! // A request arrives: the balancer forwards or rejects it at once.
 //! actions.clear();
 //! let request = Event::Request {
 //!     id: RequestId(1),
@@ -64,7 +64,7 @@
 //! balancer.handle(ms(5), request, &mut actions);
 //! assert!(matches!(actions[..], [Action::Attempt { id: RequestId(1), upstream: UpstreamId(7), .. }]));
 //!
-//! // The upstream has answered: the embedder passes the answer on, and tells.
+//! // The upstream has answered: the embedder forwards the answer and reports the end of the attempt.
 //! actions.clear();
 //! let ended = Event::AttemptEnded {
 //!     id: RequestId(1),
@@ -80,33 +80,34 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 //!
-//! Two things an embedder must do: deliver the timers that [`Action::Timer`] asks for (the balancer's tick is
-//! one of them), and end an attempt as [`Outcome::TimedOut`] at its time-out or, at the latest, at the
-//! client's deadline. `Balancer` gives each request exactly one final answer on these terms.
+//! An embedder has to deliver the timers that [`Action::Timer`] requests (the balancer's tick is one of
+//! them), and to end an attempt as [`Outcome::TimedOut`] at its timeout or, at the latest, at the client's
+//! deadline. `Balancer` then gives each request exactly one final answer.
 //!
-//! # What an upstream in slow start gets from all balancers together
+//! # Load of all balancers together on an upstream in slow start
 //!
-//! An upstream that has just started fails when it gets more than `N`, and some for chance, within
-//! [`Settings::overload_window`] `T`; `N` is `overload_multiple` times its capacity, times its slow-start
-//! share, times `T`. A balancer that has it in its subset lets it earn `0.4 * overload_multiple * C * share`
-//! slots a second, by the clock and not by the round: `C` is what the balancer completes at a warm upstream
-//! of its subset a second (from the start on, its part of the stated allowances). Over all subsets that it is
-//! in, the sum of `C` is what one warm upstream completes, so at most its capacity: together they send `0.4 *
-//! N` in any window on average. What comes on top of that:
+//! An upstream that has just started fails when it receives more than `N` requests, plus an allowance for
+//! chance, within [`Settings::overload_window`] `T`. `N` is `overload_multiple` times its capacity, times its
+//! slow-start share, times `T`. A balancer that has the upstream in its subset lets it earn `0.4 *
+//! overload_multiple * C * share` slots per second, by the clock and not by passes of the rotation. `C` is
+//! the balancer's completion rate at a warm upstream of its subset (at the start, its part of the configured
+//! allowances). Over all subsets with the upstream, the sum of `C` is the completion rate of one warm
+//! upstream, so at most its capacity: the balancers together send `0.4 * N` in any window on average.
+//! Additions to that:
 //!
-//! | source | adds |
+//! | source | addition |
 //! | --- | --- |
-//! | credit at the start, 0 to 1 at random | nothing on average: it is what a balancer has earned at any moment, so that balancers that restart go on as they were. None after a restart with learned state |
-//! | credit saved up, 1.5 at the most | one slot at once, and then a half: a balancer without requests saves no burst |
-//! | `C` of thin traffic: the highest mean over 2 s of late | up to about three times, where a balancer sees under one request a second; `N` is small then, and what is left for chance (2 roots of `N`, and 2) is large |
-//! | subsets in which all are in slow start | up to `1 / share` times: completions are taken for those of fewer upstreams |
-//! | an upstream back from ejection | nothing: it earns as one that has just started |
-//! | trials of one ejected for a class | nothing: one in slow start is tried by a slot that it has earned |
+//! | initial credit, 0 to 1 at random | nothing on average: it is the credit that a balancer has earned at any moment, so that restarted balancers behave as before. None after a restart with learned state |
+//! | saved credit, at most 1.5 | one slot at once, and then a half: a balancer without requests saves no burst |
+//! | `C` of sparse traffic: the highest recent mean over 2 s | up to about three times, where a balancer sees under one request per second; `N` is small then, and the allowance for chance (2 roots of `N`, and 2) is large |
+//! | subsets in which all are in slow start | up to `1 / share` times: completions are attributed to fewer upstreams |
+//! | an upstream back from ejection | nothing: it earns slots like one that has just started |
+//! | trials of an upstream ejected for a class | nothing: one in slow start is tried with a slot that it has earned |
 //! | retries, hedges | nothing: they never go to an upstream in slow start, inside the subset or outside |
-//! | all ejected, or too many to respect the ejections | nothing: one in slow start still goes by its slots |
+//! | all ejected, or too many to respect the ejections | nothing: an upstream in slow start still gets only its slots |
 //!
-//! Where the part of one balancer is under one request, the credit at the start lets one balancer after
-//! another send it. `tests/slow_start.rs` plays this for 1 to 300 balancers.
+//! If the part of one balancer is under one request, the initial credits make one balancer after another send
+//! it. `tests/slow_start.rs` checks this for 1 to 300 balancers.
 
 #![deny(
     missing_docs,
--- a/crates/core/src/load_reports.rs
+++ b/crates/core/src/load_reports.rs
@@ -1,20 +1,20 @@
-//! Load reports: what upstreams say of their own load.
+//! Load reports that upstreams send about themselves.
 
 use crate::interface::*;
 use crate::state::Balancer;
 
-/// The largest value that a report is believed.
-const MAX_REPORTED: f64 = 1e4;
+/// Upper bound of reported values, which limits the effect of faulty reports.
+const MAX_REPORTED_VALUE: f64 = 1e4;
 
 impl Balancer {
-    /// Takes in the load report of an upstream. A report is old: without the balancer's own requests of now
-    /// it tells only of the others, who have their part in flight.
+    /// Records the load report of an upstream, reduced to the share of the other balancers: reports are older
+    /// than this balancer's count of its own requests.
     pub(crate) fn on_load_report(&mut self, id: UpstreamId, report: &[f32]) {
         let Some(index) = self.index_by_id.get(&id).copied() else { return };
         let mut in_flight: Option<f64> = None;
         let values = self.settings.report_fields.iter().zip(report);
         for (field, value) in values.filter(|(_, value)| value.is_finite()) {
-            let value = f64::from(*value).clamp(0.0, MAX_REPORTED);
+            let value = f64::from(*value).clamp(0.0, MAX_REPORTED_VALUE);
             match field {
                 LoadField::InFlight | LoadField::Queue => {
                     in_flight = Some(value.max(in_flight.unwrap_or(0.0)));
--- a/crates/core/src/observations.rs
+++ b/crates/core/src/observations.rs
@@ -1,59 +1,59 @@
-//! What a balancer observes of each zone and each group of requests: counters and sums, no decisions.
+//! Counters and sums per zone and per group of requests; no decisions.
 
 use crate::interface::{Outcome, ZoneId};
 use crate::upstream::Upstream;
 
-/// Seconds over which a zone's load is averaged where answers are few, and the least and the largest weight
-/// of one answer.
-const LOAD_OVER_S: f64 = 3.0;
+/// Seconds over which a zone's load is averaged if answers are few, and the bounds of the weight of one
+/// answer.
+const LOAD_WINDOW_S: f64 = 3.0;
 const MIN_SAMPLE_WEIGHT: f64 = 0.02;
 const MAX_SAMPLE_WEIGHT: f64 = 0.2;
-/// The largest load that one attempt can tell.
+/// Largest load that one attempt can indicate.
 const MAX_LOAD_SAMPLE: f64 = 10.0;
-/// Seconds after which what was last observed of a zone's load is half forgotten.
+/// Half-life, in seconds, of a zone's load without new answers.
 const LOAD_HALF_LIFE_S: f64 = 5.0;
 
-/// A zone as one balancer observes it. Counters go on from the balancer's start.
+/// State of a zone as observed by one balancer. Counters accumulate from the balancer's start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneObservation {
-    /// The zone.
+    /// Observed zone.
     pub zone: ZoneId,
-    /// The weight of the upstreams that are listed as ready.
+    /// Total weight of the upstreams listed as ready.
     pub listed_weight: f64,
-    /// Of that, the weight that can be used now: not ejected, and as far as slow start has come.
+    /// Part of the listed weight that is usable now: not ejected, and reduced during slow start.
     pub usable_weight: f64,
-    /// The weight that is missing because upstreams are in slow start.
+    /// Part of the listed weight that is missing because of slow start.
     pub warming_weight: f64,
-    /// The attempts in flight in the zone.
+    /// Attempts in flight in the zone.
     pub in_flight: u64,
-    /// The attempts sent.
+    /// Attempts sent to the zone.
     pub sent: u64,
-    /// The attempts answered within the latency objective.
+    /// Attempts answered within the latency objective.
     pub succeeded: u64,
-    /// The attempts answered later, or given up while the upstream answered others.
+    /// Attempts answered after the objective, or ended unanswered while the upstream answered others.
     pub slow: u64,
-    /// The attempts that were out for longer than the hedge delay, whatever became of them, and those of
-    /// `slow` that were not. They count at once: what hangs would otherwise be seen a whole deadline later.
+    /// Attempts that exceeded the hedge delay, and attempts in `slow` that did not. The first kind counts as
+    /// soon as the delay passes; a hanging upstream would otherwise show only a full deadline later.
     pub lagging: u64,
-    /// The attempts that met errors or were turned away.
+    /// Attempts that ended with an error, a rejection or an overload report.
     pub failed: u64,
-    /// The attempts without a connection, with a broken one, or since which nothing was heard from the
-    /// upstream.
+    /// Attempts whose connection failed or broke, and unanswered attempts that were lost or since which the
+    /// upstream has answered nothing.
     pub unreachable: u64,
-    /// The latency over the longest mean latency that leaves headroom; 0 if nothing was sent of late.
+    /// Ratio of the latency to the longest mean latency that leaves headroom; 0 without recent attempts.
     pub load: f64,
 }
 
-/// A group of requests as one balancer observes it. Counters go on from the moment when the group came to be.
+/// Counters of a group of requests at one balancer, accumulated since the group was added.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GroupObservation {
-    /// The requests that have arrived.
+    /// Requests that have arrived.
     pub requests: u64,
-    /// Of these, the requests that were rejected on arrival.
+    /// Arrived requests that were rejected on arrival.
     pub rejected: u64,
 }
 
-/// The counters of one zone.
+/// Counters and mean load of one zone.
 #[derive(Clone, Copy, Default)]
 struct ZoneCounters {
     sent: u64,
@@ -63,16 +63,16 @@
     failed: u64,
     unreachable: u64,
     load: f64,
-    load_at: f64,
+    load_updated_at: f64,
 }
 
 impl ZoneCounters {
-    /// Returns the load, which fades while nothing new is heard.
-    fn faded_load(&self, now: f64) -> f64 {
-        self.load * (-(now - self.load_at).max(0.0) / LOAD_HALF_LIFE_S).exp2()
+    /// Returns the load, which decays without new answers.
+    fn decayed_load(&self, now: f64) -> f64 {
+        self.load * (-(now - self.load_updated_at).max(0.0) / LOAD_HALF_LIFE_S).exp2()
     }
 
-    /// Counts a slow attempt; an overdue one lags already.
+    /// Counts a slow attempt; an overdue one already counts as lagging.
     fn record_slow(&mut self, attempt: &ObservedAttempt) {
         self.slow += 1;
         self.lagging += u64::from(!attempt.was_overdue);
@@ -84,7 +84,7 @@
             Outcome::Ok => self.record_slow(attempt),
             Outcome::Error | Outcome::Rejected | Outcome::Overloaded => self.failed += 1,
             Outcome::ConnectFailed | Outcome::Reset => self.unreachable += 1,
-            // Cancelled before its time, or never sent: it tells nothing.
+            // An attempt cancelled before it was overdue, or never sent, says nothing about the zone.
             Outcome::Cancelled if !attempt.was_overdue => {}
             Outcome::NotSent => {}
             Outcome::TimedOut | Outcome::Cancelled if attempt.was_lost || is_silent => self.unreachable += 1,
@@ -94,8 +94,9 @@
 
     fn record_load(&mut self, attempt: &ObservedAttempt, now: f64) {
         let load = (attempt.latency / attempt.max_mean_latency.max(1e-6)).min(MAX_LOAD_SAMPLE);
-        let weight = ((now - self.load_at) / LOAD_OVER_S).clamp(MIN_SAMPLE_WEIGHT, MAX_SAMPLE_WEIGHT);
-        self.load_at = now;
+        let weight =
+            ((now - self.load_updated_at) / LOAD_WINDOW_S).clamp(MIN_SAMPLE_WEIGHT, MAX_SAMPLE_WEIGHT);
+        self.load_updated_at = now;
         self.load += weight * (load - self.load);
     }
 
@@ -112,43 +113,43 @@
             lagging: self.lagging,
             failed: self.failed,
             unreachable: self.unreachable,
-            load: self.faded_load(now),
+            load: self.decayed_load(now),
         }
     }
 }
 
-/// How an attempt ended, as it is counted.
+/// Result of an attempt as input to the counters.
 pub(crate) struct ObservedAttempt {
     pub(crate) outcome: Outcome,
     pub(crate) latency: f64,
-    /// The latency objective of its class.
+    /// Latency objective of the attempt's class.
     pub(crate) objective: f64,
-    /// The longest mean latency that leaves headroom.
+    /// Longest mean latency that leaves headroom.
     pub(crate) max_mean_latency: f64,
     pub(crate) was_overdue: bool,
     pub(crate) was_lost: bool,
 }
 
-/// The counters of all zones and groups.
+/// Counters of all zones and groups.
 #[derive(Default)]
 pub(crate) struct Observations {
-    /// By zone, as far as the last zone that an attempt was sent to.
+    /// Counters by zone id, up to the highest zone that an attempt was sent to.
     zones: Vec<ZoneCounters>,
     groups: Vec<GroupObservation>,
 }
 
 impl Observations {
-    /// Sets the number of groups.
+    /// Resizes the list of groups; new groups start at zero.
     pub(crate) fn resize_groups(&mut self, count: usize) {
         self.groups.resize(count, GroupObservation::default());
     }
 
-    /// Returns each group's counters.
+    /// Returns the counters of each group.
     pub(crate) fn groups(&self) -> &[GroupObservation] {
         &self.groups
     }
 
-    /// Counts a request of a group that has arrived.
+    /// Counts an arrived request of a group.
     pub(crate) fn record_request(&mut self, group: usize, is_rejected: bool) {
         if let Some(counters) = self.groups.get_mut(group) {
             counters.requests += 1;
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Counts an attempt that goes to a zone.
+    /// Counts an attempt sent to a zone.
     pub(crate) fn record_attempt(&mut self, zone: ZoneId) {
         let position = usize::from(zone.0);
         if position >= self.zones.len() {
@@ -165,14 +166,14 @@
         self.zones[position].sent += 1;
     }
 
-    /// Counts an attempt that has been out for longer than the hedge delay.
+    /// Counts an attempt that has exceeded the hedge delay.
     pub(crate) fn record_overdue(&mut self, zone: ZoneId) {
         if let Some(counters) = self.zones.get_mut(usize::from(zone.0)) {
             counters.lagging += 1;
         }
     }
 
-    /// Counts an attempt that has ended at an upstream, whose state does not include this result yet.
+    /// Counts an ended attempt. The state of `upstream` must not include this result yet.
     pub(crate) fn record_result(&mut self, upstream: &Upstream, now: f64, attempt: &ObservedAttempt) {
         let Some(counters) = self.zones.get_mut(usize::from(upstream.zone.0)) else { return };
         let is_silent = upstream.last_answer_at < now - attempt.latency;
@@ -183,10 +184,10 @@
         }
     }
 
-    /// Returns the highest load of the zones that a split reaches.
+    /// Returns the highest load among the zones that a split reaches.
     pub(crate) fn highest_load(&self, now: f64, reach: &[f64]) -> f64 {
         let reached = self.zones.iter().zip(reach).filter(|(_, reach)| **reach > 0.0);
-        reached.map(|(counters, _)| counters.faded_load(now)).fold(0.0, f64::max)
+        reached.map(|(counters, _)| counters.decayed_load(now)).fold(0.0, f64::max)
     }
 
     /// Returns the counters of each zone that an attempt was sent to, without the weights of its upstreams.
--- a/crates/core/src/outlier_detection.rs
+++ b/crates/core/src/outlier_detection.rs
@@ -1,8 +1,8 @@
-//! Outlier detection: ejection of upstreams that fail, for one class or for all, and the trials that bring
-//! them back. Times are seconds.
+//! Outlier detection: ejects failing upstreams for one class or for all, and returns them to service by
+//! trials. Times are in seconds.
 
 use crate::attempt_result::AttemptResult;
-use crate::headroom::LATENCY_SHARE;
+use crate::headroom::MAX_LATENCY_SHARE;
 use crate::interface::{Outcome, UpstreamId};
 use crate::observations::ObservedAttempt;
 use crate::rotation::Rotation;
@@ -10,34 +10,36 @@
 use crate::upstream::{OVERDUE_LOAD, Upstream};
 use crate::upstream_weights::MAX_EJECTED_SHARE;
 
-/// Failures in a row after which an upstream is ejected for the class that met them.
-const MAX_FAILURES: u32 = 2;
-/// One failure is enough where the class had no answer from the upstream for these seconds while others
-/// answer it within this share of its latency objective: under overload all are slow, and leaving some makes
-/// it worse.
-const UNHEARD_AFTER_S: f64 = 3.0;
-const QUICK_SHARE: f64 = 0.5;
-/// Broken connections in a row, and seconds without an answer, after which an upstream is held for dead and
-/// ejected.
+/// Consecutive failures after which an upstream is ejected for the class of the failed requests.
+const MAX_CONSECUTIVE_FAILURES: u32 = 2;
+/// A single failure ejects an upstream that has not answered the class for these seconds, if others answer
+/// the class within this share of its latency objective. Under overload all upstreams are slow, and avoiding
+/// some of them makes the overload worse.
+const SILENT_AFTER_S: f64 = 3.0;
+const QUICK_ANSWER_SHARE: f64 = 0.5;
+/// Consecutive broken connections, and seconds without an answer, after which an upstream is considered dead
+/// and ejected.
 const MAX_BROKEN_CONNECTIONS: u32 = 3;
 const DEAD_AFTER_S: f64 = 0.25;
-/// What a connection that can't be made counts for: a process that dies breaks all it has and refuses new
-/// ones.
-const REFUSED_CONNECTION_COUNT: u32 = 2;
-/// More broken connections in a row are needed where upstreams that do answer have as many by more than this
-/// chance, with the weight of the newest: where a third come late, all would be held for dead in turn and
-/// then be in slow start.
-const MAX_CHANCE_OF_BREAKS: f64 = 0.06;
-const NEWEST_BREAK_WEIGHT: f64 = 0.05;
-/// Seconds of the first ejection; each further one without a success doubles it, this many times at most.
-const BASE_EJECTION_S: f64 = 1.5;
+/// Broken connections that a failed connect counts for: a dying process breaks all its connections and
+/// refuses new ones.
+const FAILED_CONNECT_COUNT: u32 = 2;
+/// An upstream counts as dead only if upstreams that do answer have such a run of broken connections with
+/// less than this probability. Otherwise, where a third of the connections are late, all upstreams would be
+/// ejected in turn and then be in slow start.
+const MAX_BREAK_PROBABILITY: f64 = 0.06;
+/// Weight of the newest run of broken connections in the estimate of that probability.
+const NEWEST_RUN_WEIGHT: f64 = 0.05;
+/// Seconds of the first ejection. Each further ejection without a success doubles the duration, up to this
+/// number of doublings.
+const INITIAL_EJECTION_S: f64 = 1.5;
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 const MAX_TRIAL_DOUBLINGS: u32 = 4;
-/// The largest latency ratio that one attempt can tell.
+/// Largest latency ratio that one attempt can indicate.
 const MAX_LATENCY_RATIO: f64 = 5.0;
 
 impl Balancer {
-    /// Takes in what the result of an attempt tells of its upstream, its class and all upstreams.
+    /// Updates the statistics of an upstream, its class and the balancer with the result of an attempt.
     pub(crate) fn record_result(&mut self, id: UpstreamId, class: usize, result: &AttemptResult) {
         let objective = self.settings.classes[class].latency_objective.as_secs_f64();
         let latency_ratio = self.classes[class].latency_ratio(result.latency);
@@ -52,11 +54,11 @@
         if result.is_latency_sample() {
             upstream.record_latency_ratio(latency_ratio.min(MAX_LATENCY_RATIO));
         }
-        let breaks_before = breaks_in_a_row(upstream);
+        let previous_breaks = consecutive_breaks(upstream);
         if result.is_ok() {
             self.record_success(index, class, result);
         }
-        self.record_connection(index, result.outcome, breaks_before);
+        self.record_connection(index, result.outcome, previous_breaks);
         if is_connection_failure(result.outcome) && self.is_dead(index) {
             self.eject(index);
         }
@@ -64,10 +66,10 @@
         if self.has_failed_for_class(index, class, result.outcome, objective) {
             self.eject_for_class(index, class);
         }
-        // Where the fault is the upstream's own, it tells nothing of the headroom elsewhere.
+        // A slow attempt at an ejected upstream says nothing about the headroom of the others.
         let upstream = &mut self.upstreams[index];
         let is_abandoned = result.is_slow() && !upstream.health[class].is_ejected;
-        upstream.abandoned += f64::from(u8::from(is_abandoned));
+        upstream.abandoned_load += f64::from(u8::from(is_abandoned));
     }
 
     fn observe_result(&mut self, index: usize, class: usize, result: &AttemptResult, objective: f64) {
@@ -75,14 +77,14 @@
             outcome: result.outcome,
             latency: result.latency,
             objective,
-            max_mean_latency: self.classes[class].max_mean_latency(LATENCY_SHARE, objective),
+            max_mean_latency: self.classes[class].max_mean_latency(MAX_LATENCY_SHARE, objective),
             was_overdue: result.was_overdue,
             was_lost: result.was_lost,
         };
         self.observations.record_result(&self.upstreams[index], self.now_s, &observed);
     }
 
-    /// Takes in a success; one in time ends the upstream's ejections.
+    /// Records a success; one before the hedge delay ends the upstream's ejection for the class.
     fn record_success(&mut self, index: usize, class: usize, result: &AttemptResult) {
         let upstream = &mut self.upstreams[index];
         let health = &mut upstream.health[class];
@@ -97,49 +99,50 @@
             let statistics = &mut self.classes[class];
             let was_counted = usize::from(upstream.is_in_subset);
             statistics.ejected_count = statistics.ejected_count.saturating_sub(was_counted);
-            // The others may have had the same trouble: they are tried at once.
+            // Other ejected upstreams may have had the same fault, so their trials start at once.
             statistics.failed_trials = 0;
             statistics.next_trial_at = self.now_s;
         }
     }
 
-    /// Counts broken connections in a row, and how often they are due to chance.
-    fn record_connection(&mut self, index: usize, outcome: Outcome, breaks_before: u32) {
+    /// Counts consecutive broken connections, and updates their probability at healthy upstreams.
+    fn record_connection(&mut self, index: usize, outcome: Outcome, previous_breaks: u32) {
         let upstream = &mut self.upstreams[index];
         match outcome {
             Outcome::Ok | Outcome::Error | Outcome::Rejected | Outcome::Overloaded => {
-                if breaks_before > 0 {
-                    self.break_chance = break_chance_after(self.break_chance, breaks_before);
+                if previous_breaks > 0 {
+                    self.break_probability =
+                        updated_break_probability(self.break_probability, previous_breaks);
                 }
                 upstream.broken_connections = 0;
                 upstream.last_answer_at = self.now_s;
             }
             Outcome::Reset => upstream.broken_connections += 1,
-            Outcome::ConnectFailed => upstream.broken_connections += REFUSED_CONNECTION_COUNT,
+            Outcome::ConnectFailed => upstream.broken_connections += FAILED_CONNECT_COUNT,
             _ => {}
         }
     }
 
-    /// Returns whether an upstream is to be held for dead by its broken connections.
+    /// Returns true if an upstream is considered dead because of its broken connections.
     fn is_dead(&self, index: usize) -> bool {
         let upstream = &self.upstreams[index];
         let breaks = upstream.broken_connections;
         let excess = breaks.clamp(MAX_BROKEN_CONNECTIONS, 99) - MAX_BROKEN_CONNECTIONS;
-        let chance = self.break_chance.powi(excess as i32 / 2 + 1);
+        let probability = self.break_probability.powi(excess as i32 / 2 + 1);
         breaks >= MAX_BROKEN_CONNECTIONS
-            && chance < MAX_CHANCE_OF_BREAKS
+            && probability < MAX_BREAK_PROBABILITY
             && self.now_s - upstream.last_answer_at > DEAD_AFTER_S
             && !upstream.is_ejected(self.now_s)
     }
 
-    /// Ejects an upstream for all classes. It comes back in slow start, with its first slot at a random time,
-    /// so that all balancers together try it slowly.
+    /// Ejects an upstream for all classes. The upstream returns in slow start with its first slot at a random
+    /// time, so that all balancers together try it slowly.
     fn eject(&mut self, index: usize) {
         let upstream = &mut self.upstreams[index];
         upstream.broken_connections = 0;
-        let length = BASE_EJECTION_S * f64::from(1 << upstream.ejections.min(MAX_EJECTION_DOUBLINGS));
+        let duration_s = INITIAL_EJECTION_S * f64::from(1 << upstream.ejections.min(MAX_EJECTION_DOUBLINGS));
         upstream.ejections += 1;
-        upstream.ejected_until = self.now_s + length * (0.75 + 0.5 * self.rng.f64());
+        upstream.ejected_until = self.now_s + duration_s * (0.75 + 0.5 * self.rng.f64());
         upstream.slow_start_since = Some(upstream.ejected_until);
         upstream.credit = self.rng.f64();
         upstream.is_new = true;
@@ -151,8 +154,8 @@
         let upstream = &mut self.upstreams[index];
         let health = &mut upstream.health[class];
         match result.outcome {
-            // An upstream that turns requests of a class away looks the least loaded to the skip rule. One
-            // that is overloaded does not fail, but others are to be asked first for a while.
+            // An upstream that rejects requests of a class looks least loaded to the skip rule, so its load
+            // is raised. An overloaded upstream has not failed, but others are preferred for a while.
             Outcome::Rejected | Outcome::Overloaded => {
                 upstream.reported_load = upstream.reported_load.max(2.0 * OVERDUE_LOAD);
                 upstream.reported_at = self.now_s;
@@ -164,22 +167,23 @@
         }
     }
 
-    /// Returns whether an upstream is to be ejected for a class after an outcome.
+    /// Returns true if an outcome causes the ejection of an upstream for a class.
     fn has_failed_for_class(&self, index: usize, class: usize, outcome: Outcome, objective: f64) -> bool {
         let health = &self.upstreams[index].health[class];
         if health.is_ejected || outcome == Outcome::Ok {
             return false;
         }
-        let is_unheard = self.now_s - health.last_answer_at > UNHEARD_AFTER_S;
-        let others_are_quick = self.classes[class].answered_latency < QUICK_SHARE * objective;
-        let one_is_enough = is_unheard && others_are_quick && outcome != Outcome::Error;
-        let has_failed = health.failures >= MAX_FAILURES || (one_is_enough && health.failures > 0);
-        has_failed && self.may_eject_one_more(index, class)
+        let is_silent = self.now_s - health.last_answer_at > SILENT_AFTER_S;
+        let others_are_quick = self.classes[class].answered_latency < QUICK_ANSWER_SHARE * objective;
+        let is_one_failure_enough = is_silent && others_are_quick && outcome != Outcome::Error;
+        let has_failed =
+            health.failures >= MAX_CONSECUTIVE_FAILURES || (is_one_failure_enough && health.failures > 0);
+        has_failed && self.may_eject_another(index, class)
     }
 
-    /// Returns whether few enough of the upstreams that share a rotation are ejected for a class: of all, or
-    /// with a split of those in the same zone, since no other can take what goes there.
-    fn may_eject_one_more(&self, index: usize, class: usize) -> bool {
+    /// Returns true if one more upstream may be ejected for a class. The limit applies to the whole subset
+    /// or, with a split, to the zone, since no other zone can take its requests.
+    fn may_eject_another(&self, index: usize, class: usize) -> bool {
         let (ejected, count) = match &self.split {
             None => (self.classes[class].ejected_count, self.subset.len()),
             Some(split) => self.ejected_in_zone(split.rotation(self.upstreams[index].zone), class),
@@ -203,13 +207,13 @@
         statistics.ejected_count += usize::from(upstream.is_in_subset);
         if statistics.next_trial_at <= self.now_s {
             statistics.failed_trials = 0;
-            statistics.next_trial_at = self.now_s + BASE_EJECTION_S * (0.75 + 0.5 * self.rng.f64());
+            statistics.next_trial_at = self.now_s + INITIAL_EJECTION_S * (0.75 + 0.5 * self.rng.f64());
         }
     }
 
-    /// Returns an upstream that is ejected for a class and due for a trial. Few are ejected, as a rule none:
-    /// only a trial, one at a time and ever more seldom, searches all of them, since each may cost a request
-    /// that nothing repeats.
+    /// Takes an upstream that is ejected for a class and due for a trial. Usually none is ejected, so only a
+    /// due trial searches the rotation. Trials run one at a time at growing intervals, since each may cost a
+    /// request that can't be retried.
     pub(crate) fn take_trial(&mut self, class: usize, rotation: &Rotation) -> Option<usize> {
         let statistics = &self.classes[class];
         if statistics.ejected_count == 0 || self.now_s < statistics.next_trial_at {
@@ -219,7 +223,7 @@
         let statistics = &mut self.classes[class];
         statistics.failed_trials += u32::from(trial.is_some());
         let doublings = statistics.failed_trials.min(MAX_TRIAL_DOUBLINGS);
-        let wait = BASE_EJECTION_S * f64::from(1 << doublings) * (0.75 + 0.5 * self.rng.f64());
+        let wait = INITIAL_EJECTION_S * f64::from(1 << doublings) * (0.75 + 0.5 * self.rng.f64());
         statistics.next_trial_at = self.now_s + wait;
         let upstream = &mut self.upstreams[trial?];
         upstream.health[class].last_trial_at = self.now_s;
@@ -227,8 +231,8 @@
         trial
     }
 
-    /// Returns the upstream of a rotation that is ejected for a class and was tried longest ago. One in slow
-    /// start has to have earned a slot: else trials would come on top of its part.
+    /// Returns the upstream of a rotation that is ejected for a class and was tried longest ago. An upstream
+    /// in slow start must have earned a slot; otherwise trials would exceed its slow-start rate.
     fn longest_untried(&self, class: usize, rotation: &Rotation) -> Option<usize> {
         let may_try = |u: &Upstream| u.weight > 0.0 && (u.slow_start_since.is_none() || u.credit >= 1.0);
         let ejected = rotation.entries(&self.subset).iter().copied().filter(|index| {
@@ -244,16 +248,16 @@
     matches!(outcome, Outcome::ConnectFailed | Outcome::Reset)
 }
 
-/// Returns the broken connections in a row of an upstream, of which an ejected one has had enough.
-fn breaks_in_a_row(upstream: &Upstream) -> u32 {
-    let before_ejection = if upstream.ejections > 0 { MAX_BROKEN_CONNECTIONS } else { 0 };
-    upstream.broken_connections.max(before_ejection)
+/// Returns the consecutive broken connections of an upstream; at least the limit if it is ejected.
+fn consecutive_breaks(upstream: &Upstream) -> u32 {
+    let min_breaks = if upstream.ejections > 0 { MAX_BROKEN_CONNECTIONS } else { 0 };
+    upstream.broken_connections.max(min_breaks)
 }
 
-/// Returns the chance that one more connection breaks after one has, at an upstream that does answer, after
-/// another run of breaks that ended in an answer.
-fn break_chance_after(chance: f64, breaks: u32) -> f64 {
-    let keep = 1.0 - NEWEST_BREAK_WEIGHT;
-    let others = (1.0 - chance) * keep.powi((breaks.clamp(1, 20) as i32 - 1) / 2);
-    keep * (1.0 - others)
+/// Returns the new probability that one more connection breaks after another at an upstream that does answer,
+/// given a further run of `breaks` that ended with an answer.
+fn updated_break_probability(probability: f64, breaks: u32) -> f64 {
+    let previous_weight = 1.0 - NEWEST_RUN_WEIGHT;
+    let complement = (1.0 - probability) * previous_weight.powi((breaks.clamp(1, 20) as i32 - 1) / 2);
+    previous_weight * (1.0 - complement)
 }
--- a/crates/core/src/random.rs
+++ b/crates/core/src/random.rs
@@ -1,8 +1,8 @@
-//! The balancer's random numbers, which depend on its seed alone.
+//! Random numbers of the balancer, which depend on its seed alone.
 
 use std::ops::{Deref, DerefMut};
 
-/// A random number generator that always has a seed of its own.
+/// Random number generator that is always seeded explicitly.
 pub(crate) struct SeededRandom(fastrand::Rng);
 
 impl SeededRandom {
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,31 +1,31 @@
-//! Retries: whether a further attempt of a request may follow, and where it goes. Times are seconds.
+//! Retries: eligibility, and the choice of the upstream. Times are in seconds.
 
 use crate::interface::*;
 use crate::request::Request;
 use crate::state::Balancer;
 use crate::upstream::Upstream;
 
-/// Retries earned by each request admitted, and how many of them can be saved up.
-const BUDGET_PER_REQUEST: f64 = 0.1;
-pub(crate) const MAX_BUDGET: f64 = 10.0;
-/// The upstreams that a retry looks at for the least loaded.
-const CANDIDATES: usize = 6;
-/// Seconds for the way to the upstream beside the time to connect: a repeat has to arrive while its key is
-/// remembered.
+/// Retries earned by each admitted request, and the maximum number that can be saved up.
+const RETRY_BUDGET_PER_REQUEST: f64 = 0.1;
+pub(crate) const MAX_RETRY_BUDGET: f64 = 10.0;
+/// Number of upstreams among which a retry takes the least loaded.
+const MAX_RETRY_CANDIDATES: usize = 6;
+/// Seconds for the network path to the upstream, in addition to the connect timeout: a repeat has to arrive
+/// while its idempotency key is remembered.
 const NETWORK_MARGIN_S: f64 = 0.05;
-/// The least time to the deadline that makes a retry worth while.
-const MIN_TIME_LEFT_S: f64 = 1e-3;
-/// The distance of an upstream outside the subset, and what a step of distance counts for in load.
-const OUTSIDE_SUBSET: u8 = 2;
+/// Shortest time to the deadline, in seconds, for which a retry is worthwhile.
+const MIN_RETRY_TIME_S: f64 = 1e-3;
+/// Distance of an upstream outside the subset, and the load that one step of distance counts for.
+const OUTSIDE_SUBSET_DISTANCE: u8 = 2;
 const LOAD_PER_DISTANCE: f64 = 1e6;
 
 impl Balancer {
-    /// Adds what an admitted request earns to the retry budget.
+    /// Adds the share of a retry that an admitted request earns to the retry budget.
     pub(crate) fn earn_retry_budget(&mut self) {
-        self.retry_budget = (self.retry_budget + BUDGET_PER_REQUEST).min(MAX_BUDGET);
+        self.retry_budget = (self.retry_budget + RETRY_BUDGET_PER_REQUEST).min(MAX_RETRY_BUDGET);
     }
 
-    /// Sends a further attempt if the class and the retry budget allow one. Returns whether they do.
+    /// Sends a further attempt if the request and the retry budget allow one. Returns true if it was sent.
     pub(crate) fn try_retry(&mut self, id: RequestId, cost: f64) -> bool {
         let Some(index) = self.retry_target(id, cost) else { return false };
         self.retry_budget -= cost;
@@ -33,8 +33,8 @@
         true
     }
 
-    /// Returns the upstream that a further attempt would go to, if one is allowed. It is outside the subset
-    /// only where no upstream inside it will do, as for a key that one cell knows.
+    /// Returns the upstream for a further attempt, if one is allowed. Upstreams outside the subset are used
+    /// only if none inside qualifies, for example for a key that one cell knows.
     pub(crate) fn retry_target(&mut self, id: RequestId, cost: f64) -> Option<usize> {
         let request = self.requests.get(&id)?;
         if !self.may_retry(request, cost) {
@@ -47,10 +47,10 @@
         let cost_of = |index: usize| {
             let upstream = &self.upstreams[index];
             let distance = self.retry_distance(request, upstream).unwrap_or(0);
-            let outside = OUTSIDE_SUBSET * u8::from(!upstream.is_in_subset);
+            let outside = OUTSIDE_SUBSET_DISTANCE * u8::from(!upstream.is_in_subset);
             LOAD_PER_DISTANCE * f64::from(distance + outside) + self.load(index)
         };
-        possible.take(CANDIDATES).min_by(|a, b| cost_of(*a).total_cmp(&cost_of(*b)))
+        possible.take(MAX_RETRY_CANDIDATES).min_by(|a, b| cost_of(*a).total_cmp(&cost_of(*b)))
     }
 
     fn may_retry(&self, request: &Request, cost: f64) -> bool {
@@ -58,15 +58,15 @@
         !request.has_ended
             && !request.is_streaming
             && !request.has_used_all_attempts()
-            && self.now_s + MIN_TIME_LEFT_S < request.deadline
+            && self.now_s + MIN_RETRY_TIME_S < request.deadline
             && self.now_s + half_latency < request.useful_until
             && self.retry_budget >= cost
             && !self.upstreams.is_empty()
-            && !request.may_have_run_its_once()
+            && !request.is_repeat_forbidden()
     }
 
-    /// Returns whether an upstream may take a further attempt of a request. One in slow start may not: a
-    /// failure's retries together are the burst that pushes it over.
+    /// Returns true if an upstream may take a further attempt of a request. An upstream in slow start may
+    /// not, since the burst of retries after a failure would overload it.
     fn can_take_retry(&self, request: &Request, upstream: &Upstream) -> bool {
         upstream.is_ready
             && upstream.slow_start_since.is_none()
@@ -77,7 +77,7 @@
             && self.is_safe_to_repeat(request, upstream)
     }
 
-    /// Returns whether an attempt of a request may go to an upstream without an effect happening twice.
+    /// Returns true if an attempt at this upstream cannot make the request take effect twice.
     fn is_safe_to_repeat(&self, request: &Request, upstream: &Upstream) -> bool {
         let Some(first) = request.attempts.iter().find(|a| a.may_take_effect()) else { return true };
         let Effect::Deduplicated { group, ttl } = request.effect else {
--- a/crates/core/src/rotation.rs
+++ b/crates/core/src/rotation.rs
@@ -1,27 +1,27 @@
-//! The position of a round robin over a part of the subset.
+//! Round-robin state over a part of the subset.
 
 use std::collections::VecDeque;
 
-/// A round robin over consecutive entries of the subset.
+/// Round robin over consecutive entries of the subset.
 #[derive(Default)]
 pub(crate) struct Rotation {
-    /// The first entry of the subset that belongs to it.
+    /// Index of the rotation's first entry in the subset.
     pub(crate) start: usize,
-    /// The number of its entries.
+    /// Number of entries in the rotation.
     pub(crate) len: usize,
-    /// Its counter `sigma`: the entry, counted from the start, that was last looked at.
+    /// Round-robin counter `sigma`: the last visited entry, counted from `start`.
     pub(crate) position: usize,
-    /// The upstreams that have earned the next slots.
+    /// Upstreams that have earned the next slots.
     pub(crate) lookahead: VecDeque<usize>,
 }
 
 impl Rotation {
-    /// Returns its entries of the subset.
+    /// Returns the entries of the subset that belong to the rotation.
     pub(crate) fn entries<'a>(&self, subset: &'a [usize]) -> &'a [usize] {
         &subset[self.start..self.start + self.len]
     }
 
-    /// Returns its upstreams, the next one first.
+    /// Returns the upstreams of the rotation, beginning with the next one.
     pub(crate) fn upcoming<'a>(&self, subset: &'a [usize]) -> impl Iterator<Item = usize> + use<'a> {
         let (start, len, position) = (self.start, self.len, self.position);
         (1..=len).map(move |k| subset[start + (position + k) % len])
--- a/crates/core/src/settings_change.rs
+++ b/crates/core/src/settings_change.rs
@@ -1,4 +1,4 @@
-//! The change of settings while requests are in flight.
+//! Changes of the settings while requests are in flight.
 
 use crate::interface::*;
 use crate::latency_estimator::ClassStatistics;
@@ -8,8 +8,8 @@
 use crate::upstream::ClassHealth;
 
 impl Balancer {
-    /// Puts other settings in force. What was learned stays; a request in flight keeps its class, and its
-    /// further attempts obey the stricter of both settings.
+    /// Applies new settings. Learned state is retained; a request in flight keeps its class, and its further
+    /// attempts obey the stricter of the old and the new settings.
     pub(crate) fn change_settings(&mut self, settings: &Settings, removed_tenants: &[TenantId]) {
         if settings.check().is_err() || settings.classes.len() < self.classes.len() {
             return;
--- a/crates/core/src/state_transfer.rs
+++ b/crates/core/src/state_transfer.rs
@@ -1,4 +1,4 @@
-//! The transfer of learned state from one process to the next. Times are seconds.
+//! Transfer of learned state from one process to the next. Times are in seconds.
 
 use crate::interface::{LearnedClass, LearnedState, LearnedTenant, LearnedThroughput, LearnedUpstream};
 use crate::latency_estimator::ClassStatistics;
@@ -7,13 +7,13 @@
 use crate::token_bucket::TokenBucket;
 use crate::upstream::Upstream;
 
-/// Seconds for which an ejection taken over may last at the most.
+/// Longest remaining ejection, in seconds, that is restored.
 const MAX_EJECTION_S: f64 = 60.0;
-/// The largest latency ratio that is taken over.
+/// Largest latency ratio that is restored.
 const MAX_LATENCY_RATIO: f64 = 5.0;
 
 impl Balancer {
-    /// Returns what the next process may know of this one.
+    /// Returns the learned state for the next process.
     pub fn learned_state(&self) -> LearnedState {
         let listed = self.upstreams.iter().filter(|u| u.is_listed());
         LearnedState {
@@ -24,11 +24,11 @@
         }
     }
 
-    /// Goes on where the process before this one stands: else every replacement would begin with slow starts
-    /// and full buckets, and learn the same again at the clients' cost.
+    /// Restores the learned state of the previous process. Without it, every replacement would begin with
+    /// slow starts and full buckets, and learn the same again at the clients' cost.
     pub(crate) fn restore_learned_state(&mut self, learned: &LearnedState) {
         if let Some(learned) = learned.throughput {
-            // One that had nothing to do has learned nothing that a fresh start does not grant.
+            // A process without traffic may have learned less than the initial values grant.
             self.throughput.per_weight = learned.per_weight.max(self.throughput.per_weight);
             self.throughput.per_second = learned.per_second.max(self.throughput.per_second);
         }
@@ -54,7 +54,7 @@
         let upstream = &mut self.upstreams[*index];
         let window = self.settings.slow_start_window.as_secs_f64();
         if let Some(elapsed) = learned.in_slow_start_for.filter(|elapsed| *elapsed < window) {
-            // The later start of the two: of what is listed and what is handed over.
+            // Uses the later of the listed start and the restored one.
             let since = self.now_s - elapsed;
             upstream.slow_start_since = Some(upstream.slow_start_since.map_or(since, |s| s.max(since)));
             upstream.credit = 0.0;
@@ -66,12 +66,12 @@
     }
 }
 
-/// Takes over what was learned of a class, within what its latency objective makes plausible.
+/// Restores the statistics of a class, within the range that its latency objective makes plausible.
 fn restore_class(statistics: &mut ClassStatistics, learned: &LearnedClass, objective: f64, now: f64) {
-    let longest = 2.0 * objective;
-    statistics.mean_latency = learned.mean_latency.min(longest);
-    statistics.answered_latency = learned.answered_latency.min(longest);
-    statistics.baseline_latency = learned.baseline_latency.min(longest);
+    let max_latency = 2.0 * objective;
+    statistics.mean_latency = learned.mean_latency.min(max_latency);
+    statistics.answered_latency = learned.answered_latency.min(max_latency);
+    statistics.baseline_latency = learned.baseline_latency.min(max_latency);
     let (shortest_delay, longest_delay) = ClassStatistics::hedge_delay_bounds(objective);
     statistics.hedge_delay = learned.hedge_delay.clamp(shortest_delay, longest_delay);
     statistics.admitted_share = learned.admitted_share.min(1.0);
--- a/crates/core/src/subsetting.rs
+++ b/crates/core/src/subsetting.rs
@@ -1,51 +1,50 @@
-//! Subsetting: which of the listed upstreams this balancer sends requests to.
+//! Subsetting: selects the listed upstreams that this balancer sends requests to.
 
 use crate::interface::{Action, Settings};
 use crate::random::SeededRandom;
-use crate::slow_start::{SAFE_SHARE, slow_start_share};
+use crate::slow_start::{SAFE_OVERLOAD_SHARE, slow_start_share};
 use crate::state::{Balancer, allowance_per_balancer};
 use crate::upstream::Upstream;
 
-/// The upstreams in a subset for each request a second that the balancer may get, and the least.
-const UPSTREAMS_PER_RATE: f64 = 0.7;
+/// Upstreams in a subset per request per second that the balancer may get, and the smallest subset.
+const UPSTREAMS_PER_REQUEST_RATE: f64 = 0.7;
 const MIN_SUBSET_SIZE: f64 = 2.0;
-/// The subsets that each upstream is in at the least.
+/// Minimum number of subsets that each upstream belongs to.
 const MIN_SUBSETS_PER_UPSTREAM: usize = 4;
-/// The slots a second below which upstreams in slow start alone would leave nearly all requests rejected.
+/// Slots per second below which a subset of upstreams in slow start rejects nearly all requests.
 const MIN_SLOW_START_RATE: f64 = 0.1;
 
-/// The subset while it is chosen.
-struct Selection {
+/// Intermediate state of a subset selection.
+struct SubsetSelection {
     min_size: usize,
-    /// Whether the subset is all upstreams.
-    takes_all: bool,
+    /// True if the subset includes all candidates.
+    includes_all: bool,
     size: usize,
-    /// The members that count as warm.
-    warm: usize,
+    /// Number of members that count as warm.
+    warm_count: usize,
 }
 
 impl Balancer {
-    /// Chooses the subset: all upstreams that are ready, or a part where one balancer sees too little to keep
-    /// a connection to each in use and to learn what it needs of each. Balancers that share a shuffled order
-    /// of the ids get neighbouring parts of it, so that each upstream is in about as many subsets as any
-    /// other. This guards against upstreams that run out of connections and against decisions by stale news;
-    /// an upstream that is ejected is replaced by the next in the order. Its price is that there are fewer to
-    /// choose from.
+    /// Chooses the subset: all ready upstreams, or a part of them if one balancer sees too little traffic to
+    /// keep a connection to each in use and to learn their state. Balancers share a shuffled order of the ids
+    /// and take neighbouring parts of it, so that each upstream is in about as many subsets as any other.
+    /// This prevents upstreams from running out of connections and decisions from using stale data. An
+    /// ejected upstream is replaced by the next in the order. The price is a smaller choice of upstreams.
     pub(crate) fn choose_subset(&mut self) {
         let mut candidates = self.candidates();
-        let mut selection = self.new_selection(candidates.len());
+        let mut selection = self.start_selection(candidates.len());
         self.drop_unusable_members();
-        self.plan_next_choice();
-        if !selection.takes_all {
+        self.schedule_next_choice();
+        if !selection.includes_all {
             self.sort_candidates(&mut candidates, selection.min_size);
         }
         self.keep_members(&candidates, &mut selection);
         self.add_members(&candidates, &mut selection);
         self.remove_members(&candidates, &mut selection);
-        self.adopt_subset(candidates);
+        self.activate_subset(candidates);
     }
 
-    /// Returns whether a traffic split, if one is in force, sends any request to an upstream's zone.
+    /// Returns true if the traffic split, if any, sends requests to an upstream's zone.
     fn is_reached(&self, upstream: &Upstream) -> bool {
         self.split.as_ref().is_none_or(|split| split.reaches(upstream.zone))
     }
@@ -58,36 +57,36 @@
         (0..self.upstreams.len()).filter(is_candidate).collect()
     }
 
-    /// Few balancers take more upstreams each: every upstream is in several subsets, and a single balancer
-    /// takes all.
-    fn new_selection(&self, candidates: usize) -> Selection {
+    /// Starts a selection. With few balancers each takes more upstreams, so that every upstream is in several
+    /// subsets; a single balancer takes all.
+    fn start_selection(&self, candidates: usize) -> SubsetSelection {
         let balancers = (self.settings.balancers as usize).max(1);
         let min_size = self.min_subset_size.max(MIN_SUBSETS_PER_UPSTREAM * candidates / balancers);
-        let takes_all = min_size * 5 >= candidates * 4;
-        Selection { min_size, takes_all, size: 0, warm: 0 }
+        let includes_all = min_size * 5 >= candidates * 4;
+        SubsetSelection { min_size, includes_all, size: 0, warm_count: 0 }
     }
 
-    /// Takes upstreams out of the subset that are no candidates. Time outside the subset earns no slots.
+    /// Removes non-candidates from the subset. Time outside the subset earns no slots.
     fn drop_unusable_members(&mut self) {
         let split = self.split.as_deref();
         for upstream in &mut self.upstreams {
             let is_reached = split.is_none_or(|split| split.reaches(upstream.zone));
             upstream.is_in_subset &= upstream.is_ready && is_reached;
             if !upstream.is_in_subset {
-                upstream.weighed_at = self.now_s;
+                upstream.weight_updated_at = self.now_s;
                 upstream.uncredited_s = 0.0;
             }
         }
     }
 
-    /// Plans the next choice for the moment when an upstream comes back from ejection.
-    fn plan_next_choice(&mut self) {
+    /// Schedules the next choice for the end of the earliest ejection.
+    fn schedule_next_choice(&mut self) {
         let ejected_until = self.upstreams.iter().map(|u| u.ejected_until);
         let still_ejected = ejected_until.filter(|until| *until > self.now_s);
         self.next_subset_choice_at = still_ejected.fold(f64::INFINITY, f64::min);
     }
 
-    /// Sorts the candidates by the shuffled order that balancers share, from this balancer's part of it on.
+    /// Sorts the candidates by the shared shuffled order, beginning with this balancer's part.
     fn sort_candidates(&self, candidates: &mut [usize], min_size: usize) {
         let count = candidates.len();
         let parts = (count / min_size.max(1)).max(1);
@@ -101,64 +100,66 @@
         candidates.rotate_left(start % count.max(1));
     }
 
-    /// Keeps the members that can be used, so that connections stay warm, and adds new upstreams that have
-    /// their place by the order.
-    fn keep_members(&mut self, candidates: &[usize], selection: &mut Selection) {
+    /// Keeps usable members, so that their connections stay warm, and adds new upstreams whose rank is within
+    /// the subset size.
+    fn keep_members(&mut self, candidates: &[usize], selection: &mut SubsetSelection) {
         for (rank, index) in candidates.iter().enumerate() {
             let upstream = &mut self.upstreams[*index];
             let is_usable = !upstream.is_ejected(self.now_s);
-            let belongs = upstream.is_in_subset || (upstream.is_new && rank < selection.min_size);
-            upstream.is_in_subset = selection.takes_all || (is_usable && belongs);
+            let is_member = upstream.is_in_subset || (upstream.is_new && rank < selection.min_size);
+            upstream.is_in_subset = selection.includes_all || (is_usable && is_member);
             upstream.is_new &= !is_usable;
             selection.size += usize::from(upstream.is_in_subset);
         }
         let members = self.upstreams.iter().filter(|u| u.is_in_subset);
-        selection.warm = members.filter(|u| self.counts_as_warm(u)).count();
+        selection.warm_count = members.filter(|u| self.counts_as_warm(u)).count();
     }
 
-    /// Returns whether an upstream is warm, or whether so many slots are to be had in slow start that it does
-    /// not matter: the subset is not to be of upstreams in slow start alone while any is warm.
+    /// Returns true if an upstream is warm, or if slow start gives enough slots for the difference not to
+    /// matter. The subset must not consist of upstreams in slow start alone while any upstream is warm.
     fn counts_as_warm(&self, upstream: &Upstream) -> bool {
-        let slow_start_rate = SAFE_SHARE * self.settings.overload_multiple * self.throughput.per_second;
+        let slow_start_rate =
+            SAFE_OVERLOAD_SHARE * self.settings.overload_multiple * self.throughput.per_second;
         slow_start_rate >= MIN_SLOW_START_RATE
             || slow_start_share(&self.settings, self.now_s, upstream) >= 1.0
     }
 
-    /// Adds upstreams, in order, until there are enough and one of them is warm.
-    fn add_members(&mut self, candidates: &[usize], selection: &mut Selection) {
+    /// Adds upstreams, in order, until the subset is large enough and has a warm member.
+    fn add_members(&mut self, candidates: &[usize], selection: &mut SubsetSelection) {
         for index in candidates {
             let is_warm = self.counts_as_warm(&self.upstreams[*index]);
             let upstream = &mut self.upstreams[*index];
-            let is_wanted = selection.size < selection.min_size || (selection.warm == 0 && is_warm);
-            if is_wanted && !upstream.is_in_subset && !upstream.is_ejected(self.now_s) {
+            let is_needed = selection.size < selection.min_size || (selection.warm_count == 0 && is_warm);
+            if is_needed && !upstream.is_in_subset && !upstream.is_ejected(self.now_s) {
                 upstream.is_in_subset = true;
                 selection.size += 1;
-                selection.warm += usize::from(is_warm);
+                selection.warm_count += usize::from(is_warm);
             }
         }
     }
 
-    /// Removes upstreams, from the end of the order, while there are too many.
-    fn remove_members(&mut self, candidates: &[usize], selection: &mut Selection) {
-        if selection.takes_all {
+    /// Removes upstreams, from the end of the order, while the subset is too large.
+    fn remove_members(&mut self, candidates: &[usize], selection: &mut SubsetSelection) {
+        if selection.includes_all {
             return;
         }
         for index in candidates.iter().rev() {
             let is_warm = self.counts_as_warm(&self.upstreams[*index]);
             let upstream = &mut self.upstreams[*index];
-            let max_size = selection.min_size + usize::from(selection.warm == 1);
-            let is_spare = selection.warm > 1 || !is_warm;
-            if selection.size > max_size && upstream.is_in_subset && is_spare {
+            let max_size = selection.min_size + usize::from(selection.warm_count == 1);
+            let is_removable = selection.warm_count > 1 || !is_warm;
+            if selection.size > max_size && upstream.is_in_subset && is_removable {
                 upstream.is_in_subset = false;
                 selection.size -= 1;
-                selection.warm -= usize::from(is_warm);
+                selection.warm_count -= usize::from(is_warm);
                 self.actions.push(Action::CloseIdle { upstream: upstream.id });
             }
         }
     }
 
-    /// Puts the subset in force. Each balancer has its own order, so that rotations don't march in step.
-    fn adopt_subset(&mut self, candidates: Vec<usize>) {
+    /// Activates the subset in an order specific to this balancer, so that rotations don't advance in
+    /// lockstep.
+    fn activate_subset(&mut self, candidates: Vec<usize>) {
         self.subset = candidates;
         self.subset.retain(|index| self.upstreams[*index].is_in_subset);
         self.rng.shuffle(&mut self.subset);
@@ -172,7 +173,7 @@
     }
 }
 
-/// Returns the least size of a subset by the requests that the balancer may get.
+/// Returns the minimum subset size for the balancer's part of the allowances.
 pub(crate) fn min_subset_size(settings: &Settings) -> usize {
-    (UPSTREAMS_PER_RATE * allowance_per_balancer(settings)).clamp(MIN_SUBSET_SIZE, 1e6) as usize
+    (UPSTREAMS_PER_REQUEST_RATE * allowance_per_balancer(settings)).clamp(MIN_SUBSET_SIZE, 1e6) as usize
 }
--- a/crates/core/src/throughput.rs
+++ b/crates/core/src/throughput.rs
@@ -1,34 +1,34 @@
-//! What a balancer counts of its requests and of the upstreams' load reports, to estimate headroom from.
-//! Times are seconds.
+//! Counters of completions, rejections and reported CPU utilization, from which headroom is estimated. Times
+//! are in seconds.
 
-/// Seconds over which the throughput is counted.
-pub(crate) const THROUGHPUT_OVER_S: f64 = 2.0;
-/// Seconds over which rejected requests are counted, and the fewest requests that count as the whole.
-const REJECTED_OVER_S: f64 = 1.0;
+/// Seconds over which the throughput is averaged.
+pub(crate) const THROUGHPUT_WINDOW_S: f64 = 2.0;
+/// Seconds over which rejections are averaged, and the fewest requests that their share is based on.
+const REJECTED_WINDOW_S: f64 = 1.0;
 const REJECTED_MIN_REQUESTS: f64 = 10.0;
-/// The weight of the newest report in the CPU utilization.
+/// Weight of the newest report in the CPU utilization.
 const NEWEST_REPORT_WEIGHT: f64 = 0.02;
 
-/// The completions of a balancer's requests.
+/// Completion rates of a balancer's requests.
 #[derive(Default)]
 pub(crate) struct Throughput {
-    /// Completions a second for each unit of weight: `C`.
+    /// Completions per second for each unit of weight, `C`.
     pub(crate) per_weight: f64,
     /// Completions since the last tick.
     pub(crate) completed: f64,
-    /// Completions a second, smoothed.
+    /// Completions per second, smoothed.
     pub(crate) per_second: f64,
 }
 
 impl Throughput {
-    pub(crate) fn count_tick(&mut self, elapsed: f64) {
+    pub(crate) fn update_rate(&mut self, elapsed: f64) {
         let per_second = self.completed / elapsed.max(1e-6);
-        self.per_second += (elapsed / THROUGHPUT_OVER_S).min(1.0) * (per_second - self.per_second);
+        self.per_second += (elapsed / THROUGHPUT_WINDOW_S).min(1.0) * (per_second - self.per_second);
         self.completed = 0.0;
     }
 }
 
-/// The requests that arrived of late, and those of them that were rejected; both fade.
+/// Recently arrived requests and how many of them were rejected; both counts decay.
 #[derive(Default)]
 pub(crate) struct RecentArrivals {
     pub(crate) requests: f64,
@@ -37,7 +37,7 @@
 
 impl RecentArrivals {
     pub(crate) fn fade(&mut self, elapsed: f64) {
-        let factor = (-elapsed / REJECTED_OVER_S).exp();
+        let factor = (-elapsed / REJECTED_WINDOW_S).exp();
         self.requests *= factor;
         self.rejected *= factor;
     }
@@ -47,7 +47,7 @@
     }
 }
 
-/// The CPU utilization of the upstreams by their load reports.
+/// CPU utilization of the upstreams, averaged over their load reports.
 #[derive(Default)]
 pub(crate) struct CpuUtilization {
     pub(crate) share: f64,
@@ -55,7 +55,7 @@
 }
 
 impl CpuUtilization {
-    /// Takes in the utilization that a load report tells of one upstream.
+    /// Records the CPU utilization from one upstream's load report.
     pub(crate) fn record(&mut self, share: f64, now: f64) {
         self.share += NEWEST_REPORT_WEIGHT * (share - self.share);
         self.reported_at = now;
--- a/crates/core/src/zone_observations.rs
+++ b/crates/core/src/zone_observations.rs
@@ -1,4 +1,4 @@
-//! The report of what a balancer observes of its zones and groups: no decisions.
+//! Reports of the observed zones and groups; no decisions.
 
 use crate::observations::{GroupObservation, Observations, ZoneObservation};
 use crate::slow_start::slow_start_share;
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 impl Balancer {
-    /// Returns each zone of which an upstream is listed, or to which anything was sent, in order. It visits
-    /// every upstream: it is meant for a periodic report, not for each request.
+    /// Returns the observation of each zone with a listed upstream or a sent attempt, ordered by zone. Visits
+    /// every upstream, so it suits periodic reports, not every request.
     pub fn zone_observations(&self, now: Duration) -> Vec<ZoneObservation> {
         let now = now.as_secs_f64().max(self.now_s);
         let mut zones = [const { None }; 256];
@@ -20,12 +20,12 @@
         for upstream in &self.upstreams {
             let zone = &mut zones[usize::from(upstream.zone.0)];
             let observation = zone.get_or_insert_with(|| Observations::unused_zone(upstream.zone, now));
-            self.add_upstream(observation, upstream, shares, now);
+            self.add_upstream_weights(observation, upstream, shares, now);
         }
         zones.into_iter().flatten().collect()
     }
 
-    fn add_upstream(&self, zone: &mut ZoneObservation, upstream: &Upstream, shares: f64, now: f64) {
+    fn add_upstream_weights(&self, zone: &mut ZoneObservation, upstream: &Upstream, shares: f64, now: f64) {
         zone.in_flight += u64::from(upstream.in_flight);
         if !upstream.is_ready {
             return;
@@ -34,7 +34,7 @@
         if upstream.is_ejected(now) {
             return;
         }
-        // An upstream ejected for one class is of use to the others.
+        // An upstream ejected for one class still serves the others.
         let ejected = upstream.health.iter().zip(&self.classes).filter(|(h, _)| h.is_ejected);
         let usable = 1.0 - ejected.map(|(_, class)| class.admitted_share).sum::<f64>() / shares.max(1e-9);
         let warm_share = slow_start_share(&self.settings, now, upstream);
@@ -42,7 +42,7 @@
         zone.warming_weight += upstream.size * (1.0 - warm_share);
     }
 
-    /// Returns each group of the traffic split in force, by position.
+    /// Returns the counters of each group of the traffic split in force, by position.
     pub fn group_observations(&self) -> &[GroupObservation] {
         self.observations.groups()
     }
