--- a/crates/core/src/hedging.rs
+++ b/crates/core/src/hedging.rs
@@ -50,9 +50,9 @@
         if let Some(index) = self.index_by_id.get(&overdue.upstream).copied() {
             self.refresh_queue.push(index, self.upstreams.len());
             let upstream = &mut self.upstreams[index];
-            // Queues serve in order, so an attempt overtaken by this margin is not queued. An attempt without
-            // a later one can't be overtaken: it stops counting as overdue, so that its upstream receives
-            // another attempt.
+            // Queues serve in order, so an attempt overtaken by this margin is not queued. If no later
+            // attempt was sent, none can overtake: the attempt stops counting as overdue, so that its
+            // upstream receives another one.
             let health = &upstream.health[request.class];
             let newest_answered_sent_at = health.answered_sent_at;
             overdue.is_lost = !is_first_time
--- a/crates/core/src/interface/event.rs
+++ b/crates/core/src/interface/event.rs
@@ -74,9 +74,9 @@
         /// Load report with values in the order of [`Settings::report_fields`]; empty if none was received.
         report: &'a [f32],
     },
-    /// The settings have changed. Classes and tenants keep their positions, and new ones may be appended;
-    /// none are dropped. Requests in flight keep their class, and their further attempts obey both the old
-    /// and the new settings.
+    /// The settings have changed. Classes and tenants keep their positions; new ones may be appended, and
+    /// none is dropped. Requests in flight keep their class, and their further attempts obey both the old and
+    /// the new settings.
     SettingsChanged {
         /// New settings. They are ignored if [`Settings::check`] rejects them or they have fewer classes.
         settings: &'a Settings,
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -98,7 +98,7 @@
     pub late_fail: f64,
     /// One probe.
     pub probe: f64,
-    /// Wasted upstream work, in the amount that an average request takes.
+    /// Wasted upstream work of one average request.
     pub waste: f64,
 }
 
@@ -287,8 +287,8 @@
 impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::NoClasses => write!(f, "settings name no request class"),
-            Self::NoBalancers => write!(f, "settings count no balancers"),
+            Self::NoClasses => write!(f, "settings: there is no request class"),
+            Self::NoBalancers => write!(f, "settings: there are no balancers"),
             Self::OutOfRange(name) => write!(f, "settings: {name} is out of range"),
         }
     }
--- a/crates/core/src/interface/traffic_split.rs
+++ b/crates/core/src/interface/traffic_split.rs
@@ -61,12 +61,8 @@
             Self::TooManyZones(row) => {
                 write!(f, "traffic split: row {row} names more than {MAX_ZONES_PER_GROUP} zones")
             }
-            Self::OutOfRange(row) => {
-                write!(f, "traffic split: a share or limit of row {row} is out of range")
-            }
-            Self::DuplicateZone(row, zone) => {
-                write!(f, "traffic split: row {row} names zone {} twice", zone.0)
-            }
+            Self::OutOfRange(row) => write!(f, "traffic split: row {row} has a number out of range"),
+            Self::DuplicateZone(row, zone) => write!(f, "traffic split: row {row} repeats zone {}", zone.0),
             Self::ForbiddenZone(row, zone) => {
                 write!(f, "traffic split: row {row} has a share for zone {}, which it forbids", zone.0)
             }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -20,7 +20,7 @@
 const LOAD_PER_DISTANCE: f64 = 1e6;
 
 impl Balancer {
-    /// Adds the share of a retry that an admitted request earns to the retry budget.
+    /// Adds the earnings of one admitted request to the retry budget.
     pub(crate) fn earn_retry_budget(&mut self) {
         self.retry_budget = (self.retry_budget + RETRY_BUDGET_PER_REQUEST).min(MAX_RETRY_BUDGET);
     }
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -103,7 +103,7 @@
         upstreams + self.requests.len() + self.overdue_timers.len()
     }
 
-    /// Returns the numbers of listed upstreams and of those that get no requests now.
+    /// Returns the number of listed upstreams, and the number that get no requests now.
     pub fn upstream_counts(&self) -> UpstreamCounts {
         let is_ejected = |u: &Upstream| u.is_ejected(self.now_s) && self.traits.respects_ejections;
         let listed = || self.upstreams.iter().filter(|u| u.is_listed());
--- a/crates/core/src/subsetting.rs
+++ b/crates/core/src/subsetting.rs
@@ -57,8 +57,8 @@
         (0..self.upstreams.len()).filter(is_candidate).collect()
     }
 
-    /// Starts a selection. With few balancers each takes more upstreams, so that every upstream is in several
-    /// subsets; a single balancer takes all.
+    /// Starts a selection. With few balancers, each takes more upstreams, so that every upstream is in
+    /// several subsets; a single balancer takes all upstreams.
     fn start_selection(&self, candidates: usize) -> SubsetSelection {
         let balancers = (self.settings.balancers as usize).max(1);
         let min_size = self.min_subset_size.max(MIN_SUBSETS_PER_UPSTREAM * candidates / balancers);
