--- a/crates/core/src/headroom.rs
+++ b/crates/core/src/headroom.rs
@@ -45,7 +45,7 @@
         let slack =
             self.latency_slack(if has_reports { MAX_LATENCY_SHARE_WITH_REPORTS } else { MAX_LATENCY_SHARE });
         let mut max_latency = (self.mean_latency() + slack).max(0.0);
-        self.throughput.update_rate(elapsed);
+        self.throughput.update_per_second(elapsed);
         if has_reports {
             self.follow_target_utilization(elapsed);
             max_latency = max_latency.min(self.mean_latency());
--- a/crates/core/src/idle_connections.rs
+++ b/crates/core/src/idle_connections.rs
@@ -21,8 +21,8 @@
 #[derive(Default)]
 pub(crate) struct IdleConnections {
     /// Shares of unanswered attempts, on connections in use and on idle ones.
-    unanswered_in_use: f64,
-    unanswered_idle: f64,
+    unanswered_share_in_use: f64,
+    unanswered_share_idle: f64,
     /// Idle seconds after which a connection may be dead.
     max_safe_idle_s: f64,
     close_idle_until: f64,
@@ -33,10 +33,11 @@
     pub(crate) fn record(&mut self, result: &AttemptResult, now: f64) {
         let was_idle = result.idle_before_s > MIN_IDLE_S;
         if result.is_ok() || result.is_unanswered() {
-            let share = if was_idle { &mut self.unanswered_idle } else { &mut self.unanswered_in_use };
+            let share =
+                if was_idle { &mut self.unanswered_share_idle } else { &mut self.unanswered_share_in_use };
             *share += NEWEST_ATTEMPT_WEIGHT * (f64::from(u8::from(result.is_unanswered())) - *share);
         }
-        let is_frequent = self.unanswered_idle > MIN_UNANSWERED_SHARE;
+        let is_frequent = self.unanswered_share_idle > MIN_UNANSWERED_SHARE;
         if result.is_unanswered() && was_idle && is_frequent && self.is_caused_by_idleness() {
             let previous_limit =
                 if now < self.close_idle_until { self.max_safe_idle_s } else { f64::INFINITY };
@@ -51,6 +52,6 @@
     }
 
     fn is_caused_by_idleness(&self) -> bool {
-        self.unanswered_idle > MIN_UNANSWERED_RATIO * self.unanswered_in_use
+        self.unanswered_share_idle > MIN_UNANSWERED_RATIO * self.unanswered_share_in_use
     }
 }
--- a/crates/core/src/split_table.rs
+++ b/crates/core/src/split_table.rs
@@ -121,11 +121,12 @@
 
     /// Returns true if a retry of a request may go to a zone.
     pub(crate) fn may_send_retry(&self, zone: ZoneId, request: &Request) -> bool {
-        self.allowed.contains(zone) && (self.may_send_first_attempt(zone) || self.has_left_region(request))
+        self.allowed.contains(zone)
+            && (self.may_send_first_attempt(zone) || self.has_attempt_outside_region(request))
     }
 
-    /// Returns true if an attempt of a request has left the region.
-    fn has_left_region(&self, request: &Request) -> bool {
+    /// Returns true if a request has an attempt outside the region.
+    fn has_attempt_outside_region(&self, request: &Request) -> bool {
         request.attempts.iter().any(|a| !self.region.contains(a.zone))
     }
 }
@@ -184,7 +185,7 @@
     pub(crate) fn record_attempt(&mut self, request: &Request, zone: ZoneId) {
         let row = self.row(request.class, request.tenant);
         let group = &mut self.rows[row];
-        if !group.region.contains(zone) && !group.has_left_region(request) {
+        if !group.region.contains(zone) && !group.has_attempt_outside_region(request) {
             group.cross_region_credit -= 1.0;
         }
     }
--- a/crates/core/src/throughput.rs
+++ b/crates/core/src/throughput.rs
@@ -21,7 +21,7 @@
 }
 
 impl Throughput {
-    pub(crate) fn update_rate(&mut self, elapsed: f64) {
+    pub(crate) fn update_per_second(&mut self, elapsed: f64) {
         let per_second = self.completed / elapsed.max(1e-6);
         self.per_second += (elapsed / THROUGHPUT_WINDOW_S).min(1.0) * (per_second - self.per_second);
         self.completed = 0.0;
--- a/crates/core/src/token_bucket.rs
+++ b/crates/core/src/token_bucket.rs
@@ -10,9 +10,9 @@
 const MIN_SIZE: f64 = 3.0;
 /// Relative cut of a guarantee per share of excess requests in flight: for demand over the guarantee, and for
 /// demand within the guarantee once the excess share passes the third value.
-const CUT_OVER_GUARANTEE: f64 = 20.0;
-const CUT_WITHIN_GUARANTEE: f64 = 2.0;
-const CUT_WITHIN_GUARANTEE_FROM: f64 = 0.25;
+const CUT_FACTOR_OVER_GUARANTEE: f64 = 20.0;
+const CUT_FACTOR_WITHIN_GUARANTEE: f64 = 2.0;
+const MIN_EXCESS_FOR_CUT_WITHIN_GUARANTEE: f64 = 0.25;
 
 /// Token bucket of a tenant, with its demand and guarantee.
 pub(crate) struct TokenBucket {
@@ -59,9 +59,9 @@
     pub(crate) fn refill(&mut self, refill: &Refill) {
         let size = MIN_SIZE + (SIZE_SHARE_OF_DEMAND * self.demand).max(self.guarantee);
         let cut = if self.demand > self.guarantee {
-            CUT_OVER_GUARANTEE * refill.excess_share
+            CUT_FACTOR_OVER_GUARANTEE * refill.excess_share
         } else {
-            CUT_WITHIN_GUARANTEE * (refill.excess_share - CUT_WITHIN_GUARANTEE_FROM)
+            CUT_FACTOR_WITHIN_GUARANTEE * (refill.excess_share - MIN_EXCESS_FOR_CUT_WITHIN_GUARANTEE)
         };
         let share = if refill.total_demand > 0.0 { self.demand / refill.total_demand } else { 0.0 };
         // Only whole tokens reduce the share of the headroom; otherwise a share below one request would never
