--- a/crates/config-follower/src/engine_lease.rs
+++ b/crates/config-follower/src/engine_lease.rs
@@ -8,11 +8,11 @@
 pub fn engine_lease(active: &ActiveVersion, mode: EnforcementMode, now: Instant) -> Lease {
     match (mode, active.lease_end) {
         (EnforcementMode::Current, Some(end)) => {
-            Lease::Until { until: end.into(), first_too: active.conservative_rules.is_none() }
+            Lease::Until { until: end.into(), covers_first_attempts: active.conservative_rules.is_none() }
         }
         // A member that rejects all requests does not write what it has accepted before, either.
-        (EnforcementMode::RejectAll, _) => Lease::Until { until: now.into(), first_too: true },
-        _ => Lease::Free,
+        (EnforcementMode::RejectAll, _) => Lease::Until { until: now.into(), covers_first_attempts: true },
+        _ => Lease::Unlimited,
     }
 }
 
--- a/crates/config-follower/src/engine_lease/tests.rs
+++ b/crates/config-follower/src/engine_lease/tests.rs
@@ -20,19 +20,19 @@
     let (conservative, rejecting) = (active_version(true), active_version(false));
     assert_eq!(
         engine_lease(&conservative, conservative.mode(now), now),
-        Lease::Until { until: lease_end.into(), first_too: false }
+        Lease::Until { until: lease_end.into(), covers_first_attempts: false }
     );
     assert_eq!(
         engine_lease(&rejecting, rejecting.mode(now), now),
-        Lease::Until { until: lease_end.into(), first_too: true }
+        Lease::Until { until: lease_end.into(), covers_first_attempts: true }
     );
     assert_eq!(
         engine_lease(&conservative, conservative.mode(after), after),
-        Lease::Free,
+        Lease::Unlimited,
         "its rules are the conservative ones"
     );
     assert_eq!(
         engine_lease(&rejecting, rejecting.mode(after), after),
-        Lease::Until { until: after.into(), first_too: true }
+        Lease::Until { until: after.into(), covers_first_attempts: true }
     );
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -11,15 +11,15 @@
 use crate::label::Label;
 use crate::ledger::{Bounds, Identity};
 use crate::lists::Lists;
-use crate::parts::answer::{AnswerBody, Served};
-use crate::parts::attempt::Outgoing;
-use crate::parts::body::{Fault, Payload, Upload, take_in};
+use crate::parts::answer::{ResponseBody, UpstreamResponse};
+use crate::parts::attempt::OutboundRequest;
+use crate::parts::body::{Fault, Payload, Upload, receive_body};
+use crate::parts::body_memory::BodyMemory;
 use crate::parts::descriptors::Descriptors;
-use crate::parts::desk::{Desk, Inside};
-use crate::parts::driver::{Answer, Asked, Driver, Trace};
-use crate::parts::room::Room;
+use crate::parts::dispatcher::{Dispatcher, InFlightGuard};
+use crate::parts::driver::{Answer, Driver, RequestContext, Trace};
 use crate::parts::upstream::{Lease, Upstreams};
-use crate::source::{Entry, Fixed, News, Source};
+use crate::source::{EndpointUpdate, Entry, Fixed, Source};
 use crate::tally::{Counting, Tally};
 use hyper::Uri;
 use hyper::body::Body;
@@ -178,7 +178,7 @@
         let balancer = Balancer::new(self.settings.clone(), self.seed)
             .map_err(|e| wrong(format!("settings: {e}").into()))?;
         let descriptors = Descriptors::for_upstreams(self.connections).map_err(|e| wrong(e.into()))?;
-        let (room, forwarding) = (Room::new(self.bodies), self.forwarding);
+        let (room, forwarding) = (BodyMemory::new(self.bodies), self.forwarding);
         let upstreams = Upstreams::new(
             &self.settings,
             Rc::clone(&descriptors),
@@ -188,19 +188,19 @@
         );
         let upstreams = Rc::new(upstreams);
         let (idle, resized) = (Rc::clone(&upstreams), Rc::clone(&upstreams));
-        descriptors.relieved_by(move || idle.close_oldest());
-        descriptors.tells(move || resized.resized());
+        descriptors.add_relief(move || idle.close_oldest());
+        descriptors.on_limits_changed(move || resized.apply_descriptor_limit());
         let fixed = self.fixed.unwrap_or_default();
-        let known = News { scope: UpdateScope::Cached, ..fixed.news() };
+        let known = EndpointUpdate { scope: UpdateScope::Cached, ..fixed.news() };
         let source = match self.source {
             Some(make) => make(&descriptors),
             None => Rc::new(fixed),
         };
-        spawn_local(descriptors.watch());
+        spawn_local(descriptors.watch_process_limit());
         let driver = Driver::start(balancer, Rc::clone(&upstreams), source, known);
         let numbers: Vec<String> = (0..self.settings.classes.len()).map(|n| n.to_string()).collect();
         let counting = Counting::new(self.tally, &numbers);
-        let desk = Desk::new(driver, counting, self.ledger, self.seed);
+        let desk = Dispatcher::new(driver, counting, self.ledger, self.seed);
         let desk = desk.map_err(|e| wrong(format!("ledger: {e}").into()))?;
         Ok(Rc::new(Core { desk, room, forwarding, upstreams, classes, tenants }))
     }
@@ -349,8 +349,8 @@
 
 /// What lives on the engine's thread.
 struct Core {
-    desk: Rc<Desk>,
-    room: Room,
+    desk: Rc<Dispatcher>,
+    room: BodyMemory,
     forwarding: Forwarding,
     upstreams: Rc<Upstreams>,
     classes: RefCell<Vec<Class>>,
@@ -391,13 +391,13 @@
             return;
         }
         settings.has_endpoint_discovery = true;
-        self.upstreams.lease(lease);
+        self.upstreams.set_lease(lease);
         let driver = self.desk.driver();
-        let mut told = driver.lists();
+        let mut told = driver.full_list_count();
         let before = *told.borrow_and_update();
         self.tenants.set(settings.tenants.len());
         let next = classes(&settings, passages);
-        driver.retune(settings, gone);
+        driver.update_settings(settings, gone);
         *self.classes.borrow_mut() = next;
         let listed = list.is_some_and(|(lists, entries)| lists.set(entries));
         spawn_local(async move {
@@ -419,13 +419,13 @@
                         let _ = reply.send(refused(Why::Ending));
                     }
                     Some(Command::Adopt { version, reply }) => self.adopt(*version, reply),
-                    Some(Command::Lease(lease)) => self.upstreams.lease(lease),
+                    Some(Command::Lease(lease)) => self.upstreams.set_lease(lease),
                     Some(Command::Call { call, sent, reply }) => Rc::clone(&self).begin(*call, sent, reply),
                     Some(Command::Shutdown(at)) => end = Some(end.map_or(at, |end| end.min(at))),
                     // Nobody is left who could ask.
                     None => break,
                 },
-                () = self.desk.is_empty(), if end.is_some() => break,
+                () = self.desk.wait_until_idle(), if end.is_some() => break,
                 () = sleep_until(until.unwrap_or_else(tokio::time::Instant::now)), if end.is_some() => break,
             }
         }
@@ -435,13 +435,13 @@
                 let _ = reply.send(refused(Why::Ending));
             }
         }
-        self.desk.driver().cut_off();
-        let _ = timeout(LAST_WORDS, self.desk.is_empty()).await;
+        self.desk.driver().abort_attempts();
+        let _ = timeout(LAST_WORDS, self.desk.wait_until_idle()).await;
     }
 
     /// A call has come.
     fn begin(self: Rc<Self>, call: Call, sent: Instant, mut reply: oneshot::Sender<Outcome>) {
-        let inside = self.desk.enter();
+        let inside = self.desk.track();
         spawn_local(async move {
             tokio::select! {
                 biased;
@@ -462,9 +462,9 @@
         let passage = Rc::clone(&rules.passage);
         let body = match body {
             CallBody::Whole(body) if body.len() as u64 > passage.body_most => return Err(Why::TooLong),
-            CallBody::Whole(body) => Payload::Whole(body),
+            CallBody::Whole(body) => Payload::Buffered(body),
             CallBody::Stream(body) => {
-                let taken = timeout_at(deadline, take_in(body, &passage, &self.room, wait)).await;
+                let taken = timeout_at(deadline, receive_body(body, &passage, &self.room, wait)).await;
                 taken.unwrap_or(Err(Fault::Slow)).map_err(|fault| match fault {
                     Fault::TooLong => Why::TooLong,
                     Fault::BrokeOff | Fault::Slow => Why::BrokeOff,
@@ -476,8 +476,8 @@
         let upload = body.upload();
         // The time of a body that streams is its own.
         let deadline = if upload.is_some() { deadline + passage.patience().1 } else { deadline };
-        let outgoing = Outgoing { method, target, headers, body, passage };
-        let asked = Asked {
+        let outgoing = OutboundRequest { method, target, headers, body, passage };
+        let asked = RequestContext {
             class,
             tenant,
             deadline,
@@ -492,23 +492,23 @@
             class: class.0,
             id,
         });
-        let told = self.desk.ask(asked, identity).await;
-        upload.iter().for_each(Upload::answered);
+        let told = self.desk.dispatch(asked, identity).await;
+        upload.iter().for_each(Upload::discard_rest);
         match (&told.0, upload.and_then(|upload| upload.fault())) {
             // Idempotent, so that it matters to nobody whether it ran.
-            (Answer::Refused(_), Some(Fault::TooLong)) => Err(Why::TooLong),
-            (Answer::Refused(_), Some(_)) => Err(Why::BrokeOff),
+            (Answer::Rejected(_), Some(Fault::TooLong)) => Err(Why::TooLong),
+            (Answer::Rejected(_), Some(_)) => Err(Why::BrokeOff),
             _ => Ok(told),
         }
     }
 
     /// Gives a call its answer; a body that streams is passed on as long as somebody reads it.
-    fn tell(&self, answer: Answer, trace: Trace, reply: oneshot::Sender<Outcome>, inside: Inside) {
+    fn tell(&self, answer: Answer, trace: Trace, reply: oneshot::Sender<Outcome>, inside: InFlightGuard) {
         let outcome = match answer {
-            Answer::Served(Served { status, headers, body }) => {
+            Answer::Served(UpstreamResponse { status, headers, body }) => {
                 let body = match body {
-                    AnswerBody::Whole(body) => ReplyBody::Whole(body),
-                    AnswerBody::Stream(_) => {
+                    ResponseBody::Buffered(body) => ReplyBody::Whole(body),
+                    ResponseBody::Stream(_) => {
                         let (frames, received) = mpsc::channel(1);
                         let hint = body.size_hint();
                         spawn_local(pump(body, frames, inside));
@@ -518,7 +518,7 @@
                 let Trace { attempts, upstream } = trace;
                 Outcome::Served(Reply { status, headers, body, attempts, upstream })
             }
-            Answer::Refused(retry_after) => Outcome::Refused(Refusal { why: Why::NoRoom, retry_after }),
+            Answer::Rejected(retry_after) => Outcome::Refused(Refusal { why: Why::NoRoom, retry_after }),
             Answer::Failed => Outcome::Failed,
         };
         let _ = reply.send(outcome);
--- a/crates/engine/src/engine/pump.rs
+++ b/crates/engine/src/engine/pump.rs
@@ -1,13 +1,13 @@
 //! Passes an answer that streams on to whoever reads it.
 
 use crate::call::Piece;
-use crate::parts::answer::AnswerBody;
-use crate::parts::desk::Inside;
+use crate::parts::answer::ResponseBody;
+use crate::parts::dispatcher::InFlightGuard;
 use http_body_util::BodyExt;
 use tokio::sync::mpsc;
 
 /// Passes frames on until the last of them, or until nobody reads them any more; its request counts as inside until then.
-pub(super) async fn pump(mut body: AnswerBody, frames: mpsc::Sender<Piece>, inside: Inside) {
+pub(super) async fn pump(mut body: ResponseBody, frames: mpsc::Sender<Piece>, inside: InFlightGuard) {
     loop {
         let piece = tokio::select! {
             piece = body.frame() => piece,
--- a/crates/engine/src/lists.rs
+++ b/crates/engine/src/lists.rs
@@ -1,6 +1,6 @@
 //! A list of upstreams that is set while the engine runs.
 
-use crate::source::{Entry, News, Source, Task};
+use crate::source::{EndpointUpdate, Entry, Source, Task};
 use maplehook_core::UpdateScope;
 use std::time::Instant;
 use tokio::sync::watch;
@@ -25,17 +25,17 @@
     }
 
     /// The list.
-    pub fn news(&self) -> News {
-        News { scope: UpdateScope::Full, entries: self.0.borrow().clone() }
+    pub fn news(&self) -> EndpointUpdate {
+        EndpointUpdate { scope: UpdateScope::Full, entries: self.0.borrow().clone() }
     }
 }
 
 impl Source for Lists {
-    fn fetch(&self) -> Task<'_, News> {
+    fn fetch(&self) -> Task<'_, EndpointUpdate> {
         Box::pin(std::future::ready(self.news()))
     }
 
-    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(News)) -> Task<'a, ()> {
+    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
         Box::pin(async move {
             let mut changes = self.0.subscribe();
             loop {
--- a/crates/engine/src/parts/answer.rs
+++ b/crates/engine/src/parts/answer.rs
@@ -19,26 +19,26 @@
 
 /// An upstream's answer.
 #[derive(Debug)]
-pub struct Served {
+pub struct UpstreamResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its end-to-end headers.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
 }
 
-impl Served {
+impl UpstreamResponse {
     /// The same again, where it is held whole.
     pub fn copy(&self) -> Option<Self> {
-        let AnswerBody::Whole(body) = &self.body else { return None };
-        let body = AnswerBody::Whole(body.clone());
+        let ResponseBody::Buffered(body) = &self.body else { return None };
+        let body = ResponseBody::Buffered(body.clone());
         Some(Self { status: self.status, headers: self.headers.clone(), body })
     }
 
     /// About how many bytes it takes to keep it; `None` where it is not held.
     pub fn length(&self) -> Option<usize> {
-        let AnswerBody::Whole(body) = &self.body else { return None };
+        let ResponseBody::Buffered(body) = &self.body else { return None };
         let headers: usize = self.headers.iter().map(|(n, v)| n.as_str().len() + v.len() + 32).sum();
         Some(headers + body.len())
     }
@@ -46,14 +46,14 @@
 
 /// The body of an answer.
 #[derive(Debug)]
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// Held whole.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Passed on as it comes.
     Stream(Box<Stream>),
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Failure;
 
@@ -62,22 +62,22 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Failure>>> {
         match &mut *self {
-            Self::Whole(body) if body.is_empty() => Poll::Ready(None),
-            Self::Whole(body) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(body))))),
+            Self::Buffered(body) if body.is_empty() => Poll::Ready(None),
+            Self::Buffered(body) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(body))))),
             Self::Stream(stream) => stream.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.is_empty(),
+            Self::Buffered(body) => body.is_empty(),
             Self::Stream(stream) => stream.connection.is_none(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => SizeHint::with_exact(body.len() as u64),
+            Self::Buffered(body) => SizeHint::with_exact(body.len() as u64),
             // Of what has been read already nothing was said.
             Self::Stream(stream) if stream.read.is_empty() => stream.incoming.size_hint(),
             Self::Stream(_) => SizeHint::new(),
@@ -143,7 +143,7 @@
     }
 
     /// It is the answer to this request.
-    pub fn owed(&mut self, owed: Owed) {
+    pub fn track_outcome(&mut self, owed: Owed) {
         self.owed = Some(owed);
     }
 
--- a/crates/engine/src/parts/attempt.rs
+++ b/crates/engine/src/parts/attempt.rs
@@ -5,11 +5,11 @@
 
 mod reply;
 
-use crate::parts::answer::{AnswerBody, Served, Stream};
+use crate::parts::answer::{ResponseBody, Stream, UpstreamResponse};
+use crate::parts::attempt_limits::{AttemptLimits, WithheldReason};
 use crate::parts::body::Payload;
 use crate::parts::connection::{Connection, Permit, head_length, wire_length};
 use crate::parts::headers::{LOAD, TIME_LEFT};
-use crate::parts::terms::{Terms, Withheld};
 use crate::parts::upstream::{Upstream, Upstreams};
 use bytes::Bytes;
 use hyper::body::Body;
@@ -30,7 +30,7 @@
 
 /// A request as it is passed on.
 #[derive(Clone, Debug)]
-pub struct Outgoing {
+pub struct OutboundRequest {
     /// Its method.
     pub method: Method,
     /// Path and query.
@@ -45,26 +45,31 @@
 
 /// How an attempt or a probe ended, or that its answer streams from now on.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     /// The outcome.
     pub outcome: Outcome,
     /// The final answer, if it is one.
-    pub served: Option<Served>,
+    pub response: Option<UpstreamResponse>,
     /// An error in the upstream's own words, for when nothing is left to try.
-    pub words: Option<Served>,
+    pub words: Option<UpstreamResponse>,
     /// A load report, in the order of the settings; empty if none came.
     pub report: Vec<f32>,
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, served: None, words: None, report: Vec::new() }
+        Self { outcome, response: None, words: None, report: Vec::new() }
     }
 }
 
 impl Upstreams {
     /// Sends a request to an upstream and waits for the answer, within these terms.
-    pub async fn attempt(self: &Rc<Self>, id: UpstreamId, outgoing: &Outgoing, terms: Terms) -> Ended {
+    pub async fn attempt(
+        self: &Rc<Self>,
+        id: UpstreamId,
+        outgoing: &OutboundRequest,
+        terms: AttemptLimits,
+    ) -> AttemptResult {
         self.send(id, outgoing, &terms, Some(&self.tally.sends)).await
     }
 
@@ -72,10 +77,10 @@
     async fn send(
         self: &Rc<Self>,
         id: UpstreamId,
-        outgoing: &Outgoing,
-        terms: &Terms,
+        outgoing: &OutboundRequest,
+        terms: &AttemptLimits,
         sends: Option<&Counter>,
-    ) -> Ended {
+    ) -> AttemptResult {
         let Some(upstream) = self.get(id) else { return Outcome::NotSent.into() };
         let process = upstream.process.get();
         loop {
@@ -94,7 +99,7 @@
             }
             let request = request(outgoing, told, &connection);
             let (before, head, all) = (connection.written(), head_length(&request), wire_length(&request));
-            let stated = matches!(outgoing.body, Payload::Whole(_)).then_some(all);
+            let stated = matches!(outgoing.body, Payload::Buffered(_)).then_some(all);
             connection.counts(stated, sends.cloned());
             // What has gone less far than this can't have begun.
             let begins = if outgoing.passage.begins == Begins::LastByte { all } else { head };
@@ -105,7 +110,9 @@
             let written = connection.written() - before;
             // One that streams has its end where its last byte is, whatever it says of its length.
             let may_have_begun = match &outgoing.body {
-                Payload::Upload(upload) if outgoing.passage.begins == Begins::LastByte => upload.is_whole(),
+                Payload::Upload(upload) if outgoing.passage.begins == Begins::LastByte => {
+                    upload.is_complete()
+                }
                 _ => written >= begins,
             };
             match exchanged {
@@ -119,7 +126,7 @@
                 }
                 // It was held back for too long, or had ended unseen while idle. Nothing of the request has left: it is worded
                 // anew, or another connection is taken.
-                Some(Err(_)) if written == 0 && connection.withheld() == Some(Withheld::Outdated) => {}
+                Some(Err(_)) if written == 0 && connection.withheld() == Some(WithheldReason::Outdated) => {}
                 Some(Err(_)) if written == 0 && reused && connection.withheld().is_none() => {}
                 Some(Err(e)) => {
                     tracing::debug!(upstream = id.0, written, all, "broken: {e}");
@@ -146,29 +153,29 @@
         self: &Rc<Self>,
         upstream: &Rc<Upstream>,
         process: u32,
-        terms: &Terms,
+        terms: &AttemptLimits,
         told: Duration,
-    ) -> impl Fn() -> Result<(), Withheld> + 'static {
+    ) -> impl Fn() -> Result<(), WithheldReason> + 'static {
         let (upstreams, upstream, terms) = (Rc::clone(self), Rc::clone(upstream), terms.clone());
         move || {
             if !upstream.takes(process) || !upstreams.may_write(terms.repeat) {
-                return Err(Withheld::TooLate);
+                return Err(WithheldReason::TooLate);
             }
             terms.allow(told)
         }
     }
 
     /// Asks an upstream how it is.
-    pub async fn probe(self: &Rc<Self>, id: UpstreamId) -> Ended {
+    pub async fn probe(self: &Rc<Self>, id: UpstreamId) -> AttemptResult {
         let target =
             Uri::from_static(if self.reports.get() == Reports::Off { "/health/live" } else { "/stats" });
         let mut headers = HeaderMap::with_capacity(3);
         headers.insert(HOST, HeaderValue::from_static("upstream"));
-        let (body, passage) = (Payload::Whole(Bytes::new()), Rc::clone(&self.probing));
-        let outgoing = Outgoing { method: Method::GET, target, headers, body, passage };
-        let terms = Terms::first(Instant::now() + PROBE_TIMEOUT);
+        let (body, passage) = (Payload::Buffered(Bytes::new()), Rc::clone(&self.probing));
+        let outgoing = OutboundRequest { method: Method::GET, target, headers, body, passage };
+        let terms = AttemptLimits::first(Instant::now() + PROBE_TIMEOUT);
         let mut ended = self.send(id, &outgoing, &terms, None).await;
-        if let Some(Served { body: AnswerBody::Whole(body), .. }) = &ended.served
+        if let Some(UpstreamResponse { body: ResponseBody::Buffered(body), .. }) = &ended.response
             && self.reports.get() != Reports::Off
             && ended.report.is_empty()
         {
@@ -182,10 +189,10 @@
         self: &Rc<Self>,
         (id, upstream, process): (UpstreamId, Rc<Upstream>, u32),
         connection: Connection,
-        outgoing: &Outgoing,
+        outgoing: &OutboundRequest,
         reply: Reply,
         whole: u64,
-    ) -> Ended {
+    ) -> AttemptResult {
         let Reply { parts: Parts { status, mut headers, .. }, means, body } = reply;
         let load = headers.remove(LOAD).filter(|_| self.reports.get() == Reports::Inline);
         let report = load.map_or_else(Vec::new, |load| self.read_report(load.as_bytes()));
@@ -194,15 +201,15 @@
         // An answer that came before the request had left whole leaves the rest in the way.
         let payload = outgoing.body.clone();
         let has_left = move |connection: &Connection| match &payload {
-            Payload::Whole(_) => connection.written() >= whole,
-            Payload::Upload(upload) => upload.is_whole() && connection.is_flushed(),
+            Payload::Buffered(_) => connection.written() >= whole,
+            Payload::Upload(upload) => upload.is_complete() && connection.is_flushed(),
         };
         let body = match body {
             Coming::Whole(body) => {
                 if has_left(&connection) {
                     self.put_back(id, &upstream, process, connection);
                 }
-                AnswerBody::Whole(body)
+                ResponseBody::Buffered(body)
             }
             Coming::Streams(read, incoming) => {
                 let (upstreams, (idle, total)) = (Rc::clone(self), outgoing.passage.patience());
@@ -212,23 +219,24 @@
                     }
                 });
                 let until = Instant::now() + total;
-                AnswerBody::Stream(Stream::new(read, incoming, connection, put_back, idle, until))
+                ResponseBody::Stream(Stream::new(read, incoming, connection, put_back, idle, until))
             }
         };
-        let (served, spoke) = (Served { status, headers, body }, outgoing.passage.last_error_passes);
-        let (outcome, served, words) = match means {
-            Means::Final { well: true } => (Outcome::Ok, Some(served), None),
-            Means::Final { well: false } => (Outcome::Error, Some(served), None),
+        let (response, spoke) =
+            (UpstreamResponse { status, headers, body }, outgoing.passage.last_error_passes);
+        let (outcome, response, words) = match means {
+            Means::Final { well: true } => (Outcome::Ok, Some(response), None),
+            Means::Final { well: false } => (Outcome::Error, Some(response), None),
             Means::TurnedAway => (Outcome::Rejected, None, None),
-            Means::Overload => (Outcome::Overloaded, None, Some(served).filter(|_| spoke)),
-            Means::Error => (Outcome::Error, None, Some(served).filter(|_| spoke)),
+            Means::Overload => (Outcome::Overloaded, None, Some(response).filter(|_| spoke)),
+            Means::Error => (Outcome::Error, None, Some(response).filter(|_| spoke)),
         };
-        Ended { outcome, served, words, report }
+        AttemptResult { outcome, response, words, report }
     }
 }
 
 /// A permit that tells the terms when it is given.
-fn begin_with(permit: impl Fn() -> Result<(), Withheld> + 'static, terms: &Terms) -> Permit {
+fn begin_with(permit: impl Fn() -> Result<(), WithheldReason> + 'static, terms: &AttemptLimits) -> Permit {
     let terms = terms.clone();
     Box::new(move || {
         permit()?;
@@ -239,9 +247,9 @@
 
 /// Whether an answer can't be that to the request which has left whole once its connection has written `whole`: it began to
 /// come before that, and upstreams of this kind begin with the last byte. It is a second answer to the request before.
-fn is_anothers(reply: &Reply, outgoing: &Outgoing, connection: &Connection, whole: u64) -> bool {
+fn is_anothers(reply: &Reply, outgoing: &OutboundRequest, connection: &Connection, whole: u64) -> bool {
     outgoing.passage.begins == Begins::LastByte
-        && matches!(outgoing.body, Payload::Whole(_))
+        && matches!(outgoing.body, Payload::Buffered(_))
         && matches!(reply.means, Means::Final { .. })
         && connection.written_when_heard().is_some_and(|written| written < whole)
 }
@@ -254,7 +262,7 @@
 /// What comes in time. A body that streams has times of its own.
 async fn within<T>(body: &Payload, give_up: Instant, exchange: impl Future<Output = T>) -> Option<T> {
     match body {
-        Payload::Whole(_) => timeout_at(give_up, exchange).await.ok(),
+        Payload::Buffered(_) => timeout_at(give_up, exchange).await.ok(),
         Payload::Upload(upload) => tokio::select! {
             done = exchange => Some(done),
             () = upload.is_over() => None,
@@ -264,7 +272,7 @@
 
 /// The request of one attempt: how long the balancer will wait is its own.
 fn request(
-    outgoing: &Outgoing,
+    outgoing: &OutboundRequest,
     left: Duration,
     connection: &Connection,
 ) -> Request<crate::parts::body::Outbound> {
--- a/crates/engine/src/parts/attempt/reply.rs
+++ b/crates/engine/src/parts/attempt/reply.rs
@@ -2,7 +2,7 @@
 
 use crate::parts::answer::is_unreadable;
 use crate::parts::body::{Failure, Gathered, gather};
-use crate::parts::room::{Room, Taken};
+use crate::parts::body_memory::{BodyMemory, MemoryReservation};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Frame, Incoming};
@@ -69,7 +69,7 @@
 pub(super) async fn exchange(
     answer: impl Future<Output = hyper::Result<Response<Incoming>>>,
     passage: &Passage,
-    room: &Room,
+    room: &BodyMemory,
 ) -> Result<Reply, Broken> {
     let (parts, body) = answer.await?.into_parts();
     if parts.headers.contains_key(CONTENT_LENGTH) && parts.headers.contains_key(TRANSFER_ENCODING) {
@@ -105,7 +105,12 @@
 }
 
 /// A body that did not say how long it is: whole if it ends within `buffer` bytes and by `until`.
-async fn held(mut body: Incoming, buffer: usize, until: Instant, taken: Taken) -> Result<Coming, Broken> {
+async fn held(
+    mut body: Incoming,
+    buffer: usize,
+    until: Instant,
+    taken: MemoryReservation,
+) -> Result<Coming, Broken> {
     let mut read = Gathered::default();
     let mut trailers = None;
     while read.len() <= buffer && trailers.is_none() {
@@ -123,7 +128,7 @@
 }
 
 /// A whole body of `most` bytes at the most, if there is room for it.
-async fn whole(body: Incoming, most: usize, room: &Room) -> Result<Bytes, Broken> {
+async fn whole(body: Incoming, most: usize, room: &BodyMemory) -> Result<Bytes, Broken> {
     let stated = body.size_hint().exact().map_or(most, |n| usize::try_from(n).unwrap_or(usize::MAX));
     if stated > most {
         return Err(Broken::Spoilt(format!("{stated} bytes are too long").into()));
--- a/crates/engine/src/parts/attempt/tests.rs
+++ b/crates/engine/src/parts/attempt/tests.rs
@@ -1,8 +1,8 @@
 //! How attempts end, against upstreams that behave in every way.
 
 use super::*;
-use crate::parts::room::Room;
-use crate::parts::upstream::Place;
+use crate::parts::body_memory::BodyMemory;
+use crate::parts::upstream::EndpointState;
 use http_body_util::BodyExt;
 use maplehook_core::ZoneId;
 use maplehook_core::{Availability, Settings};
@@ -16,29 +16,29 @@
 const SHORT: usize = 64 * 1024;
 const ROOM: usize = 4 << 20;
 
-fn outgoing() -> Outgoing {
-    Outgoing {
+fn outgoing() -> OutboundRequest {
+    OutboundRequest {
         method: Method::POST,
         target: Uri::from_static("/book"),
         headers: HeaderMap::new(),
-        body: Payload::Whole(Bytes::from_static(b"x")),
+        body: Payload::Buffered(Bytes::from_static(b"x")),
         passage: Rc::new(Passage::platform()),
     }
 }
 
-async fn upstreams(most_open: usize) -> (Rc<Upstreams>, TcpListener, Place) {
+async fn upstreams(most_open: usize) -> (Rc<Upstreams>, TcpListener, EndpointState) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let settings = Settings { connect_timeout: LONG, connection_idle_timeout: LONG, ..Settings::default() };
     let upstreams = Rc::new(Upstreams::new(
         &settings,
         crate::parts::pool::tests::descriptors(most_open),
-        Room::new(ROOM),
+        BodyMemory::new(ROOM),
         maplehook_http_semantics::Forwarding::platform(),
         Arc::default(),
     ));
     let endpoint = Some(listener.local_addr().unwrap());
-    let place = Place { endpoint, availability: Availability::Ready, boot_ms: 0 };
-    upstreams.place(ID, ZoneId(0), &place);
+    let place = EndpointState { endpoint, availability: Availability::Ready, boot_ms: 0 };
+    upstreams.update_endpoint(ID, ZoneId(0), &place);
     (upstreams, listener, place)
 }
 
@@ -48,24 +48,23 @@
     use crate::parts::upstream::Lease;
     let (upstreams, listener, _) = upstreams(8).await;
     let until = Instant::now();
-    upstreams.lease(Lease::Until { until, first_too: false });
+    upstreams.set_lease(Lease::Until { until, covers_first_attempts: false });
     let request = outgoing();
-    let ended = upstreams.attempt(ID, &request, Terms::repeat(Instant::now() + LONG, None)).await;
+    let ended = upstreams.attempt(ID, &request, AttemptLimits::repeat(Instant::now() + LONG, None)).await;
     assert_eq!(ended.outcome, Outcome::NotSent);
-    upstreams.lease(Lease::Until { until, first_too: true });
-    let ended = upstreams.attempt(ID, &request, Terms::first(Instant::now() + LONG)).await;
+    upstreams.set_lease(Lease::Until { until, covers_first_attempts: true });
+    let ended = upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)).await;
     assert_eq!(ended.outcome, Outcome::NotSent);
     // Within its time, and for a first attempt where that may go on, it is written.
     for lease in [
-        Lease::Until { until: Instant::now() + LONG, first_too: true },
-        Lease::Until { until, first_too: false },
+        Lease::Until { until: Instant::now() + LONG, covers_first_attempts: true },
+        Lease::Until { until, covers_first_attempts: false },
     ] {
-        upstreams.lease(lease);
+        upstreams.set_lease(lease);
         let held = Rc::clone(&upstreams);
-        let attempt =
-            spawn_local(
-                async move { held.attempt(ID, &outgoing(), Terms::first(Instant::now() + LONG)).await },
-            );
+        let attempt = spawn_local(async move {
+            held.attempt(ID, &outgoing(), AttemptLimits::first(Instant::now() + LONG)).await
+        });
         // The first ones were made for what was not written.
         loop {
             let (mut stream, _) = listener.accept().await.unwrap();
@@ -83,17 +82,19 @@
 async fn an_attempt_that_waits_for_a_connection_heeds_a_drain() {
     let (upstreams, listener, mut place) = upstreams(1).await;
     let held = Rc::clone(&upstreams);
-    let first =
-        spawn_local(async move { held.attempt(ID, &outgoing(), Terms::first(Instant::now() + LONG)).await });
+    let first = spawn_local(async move {
+        held.attempt(ID, &outgoing(), AttemptLimits::first(Instant::now() + LONG)).await
+    });
     let (mut stream, _) = listener.accept().await.unwrap();
     assert!(stream.read(&mut [0; 1024]).await.unwrap() > 0);
     // The only place is taken: this one waits.
     let waits = Rc::clone(&upstreams);
-    let second =
-        spawn_local(async move { waits.attempt(ID, &outgoing(), Terms::first(Instant::now() + LONG)).await });
+    let second = spawn_local(async move {
+        waits.attempt(ID, &outgoing(), AttemptLimits::first(Instant::now() + LONG)).await
+    });
     tokio::task::yield_now().await;
     place.availability = Availability::Draining;
-    upstreams.place(ID, ZoneId(0), &place);
+    upstreams.update_endpoint(ID, ZoneId(0), &place);
     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.unwrap();
     assert_eq!(first.await.unwrap().outcome, Outcome::Ok, "what it has it finishes");
     assert_eq!(second.await.unwrap().outcome, Outcome::NotSent);
@@ -117,8 +118,10 @@
                 (stream, later)
             };
             let request = outgoing();
-            let (ended, (mut stream, later)) =
-                tokio::join!(upstreams.attempt(ID, &request, Terms::first(Instant::now() + LONG)), first);
+            let (ended, (mut stream, later)) = tokio::join!(
+                upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)),
+                first
+            );
             assert_eq!(ended.outcome, Outcome::Ok);
             // No task runs between this and the next attempt, but for this write.
             assert_eq!(stream.try_write(later).unwrap(), later.len());
@@ -129,10 +132,15 @@
                 stream
             };
             let both = async {
-                tokio::join!(upstreams.attempt(ID, &request, Terms::first(Instant::now() + LONG)), second)
+                tokio::join!(
+                    upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)),
+                    second
+                )
             };
             let (ended, _second) = timeout_at(Instant::now() + LONG, both).await.expect("a new connection");
-            let AnswerBody::Whole(body) = ended.served.expect("an answer").body else { panic!("it streams") };
+            let ResponseBody::Buffered(body) = ended.response.expect("an answer").body else {
+                panic!("it streams")
+            };
             assert_eq!(body, "new");
             let _ = stream.read(&mut [0; 1]).await;
         }
@@ -153,7 +161,7 @@
         let request = outgoing();
         // Without the guard the request goes into the old connection and no new one ever comes.
         let both = async {
-            tokio::join!(upstreams.attempt(ID, &request, Terms::first(Instant::now() + LONG)), answer)
+            tokio::join!(upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)), answer)
         };
         let (ended, stream) = timeout_at(Instant::now() + LONG, both).await.expect("a new connection");
         assert_eq!(ended.outcome, Outcome::Ok);
@@ -198,7 +206,7 @@
         };
         let request = outgoing();
         let both = async {
-            tokio::join!(upstreams.attempt(ID, &request, Terms::first(Instant::now() + LONG)), answer)
+            tokio::join!(upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)), answer)
         };
         let (ended, _open) = timeout_at(Instant::now() + LONG, both).await.expect("a new connection");
         assert_eq!(ended.outcome, outcome, "{:?}", &text[..text.len().min(80)]);
@@ -211,8 +219,10 @@
             stream.write_all(text.as_bytes()).await.unwrap();
         };
         let request = outgoing();
-        let (ended, ()) =
-            tokio::join!(upstreams.attempt(ID, &request, Terms::first(Instant::now() + LONG)), answer);
+        let (ended, ()) = tokio::join!(
+            upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)),
+            answer
+        );
         assert_eq!(ended.outcome, Outcome::Reset, "{text:?}");
     }
 }
@@ -238,7 +248,7 @@
             ),
         };
         upstreams.close_idle(ID);
-        let request = Outgoing { passage: Rc::clone(&passage), ..outgoing() };
+        let request = OutboundRequest { passage: Rc::clone(&passage), ..outgoing() };
         let answers = async {
             let (mut stream, _) = listener.accept().await.unwrap();
             assert!(stream.read(&mut [0; 1024]).await.unwrap() > 0);
@@ -247,10 +257,12 @@
                 let _ = stream.read(&mut [0; 1]).await;
             });
         };
-        let (ended, ()) =
-            tokio::join!(upstreams.attempt(ID, &request, Terms::first(Instant::now() + LONG)), answers);
-        let served = ended.served.expect("an answer");
-        let streams = matches!(served.body, AnswerBody::Stream(_));
+        let (ended, ()) = tokio::join!(
+            upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)),
+            answers
+        );
+        let served = ended.response.expect("an answer");
+        let streams = matches!(served.body, ResponseBody::Stream(_));
         assert_eq!(streams, n >= 64, "{n}");
         if streams {
             assert_eq!(served.body.collect().await.unwrap().to_bytes().len(), length, "{n}");
@@ -268,7 +280,7 @@
 async fn connections_stay_under_the_limit() {
     let (upstreams, listener, place) = upstreams(1).await;
     let other = UpstreamId(8);
-    upstreams.place(other, ZoneId(0), &place);
+    upstreams.update_endpoint(other, ZoneId(0), &place);
     for id in [ID, other] {
         let answer = async {
             let (mut stream, _) = listener.accept().await.unwrap();
@@ -277,13 +289,16 @@
             stream
         };
         let request = outgoing();
-        let (ended, _stream) =
-            tokio::join!(upstreams.attempt(id, &request, Terms::first(Instant::now() + LONG)), answer);
+        let (ended, _stream) = tokio::join!(
+            upstreams.attempt(id, &request, AttemptLimits::first(Instant::now() + LONG)),
+            answer
+        );
         assert_eq!(ended.outcome, Outcome::Ok);
         assert_eq!(upstreams.pool.open(), 1);
     }
     let _taken = upstreams.pool.slot().await;
-    let ended =
-        upstreams.attempt(ID, &outgoing(), Terms::first(Instant::now() + Duration::from_millis(50))).await;
+    let ended = upstreams
+        .attempt(ID, &outgoing(), AttemptLimits::first(Instant::now() + Duration::from_millis(50)))
+        .await;
     assert_eq!(ended.outcome, Outcome::NotSent);
 }
--- a/crates/engine/src/parts/terms.rs
+++ b/crates/engine/src/parts/attempt_limits.rs
@@ -16,7 +16,7 @@
 
 /// Why nothing (more) of a request was written though its connection stood.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Withheld {
+pub enum WithheldReason {
     /// It may not be written any more.
     TooLate,
     /// The time that it tells is more than what is left by now: it has to be worded anew.
@@ -46,7 +46,7 @@
 
 /// What one attempt is bound to.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct AttemptLimits {
     /// Until when its answer is waited for.
     pub give_up: Instant,
     /// Its last byte is written before this: a repeat outside the window of its key would be a second effect.
@@ -59,7 +59,7 @@
     begun: Rc<Cell<bool>>,
 }
 
-impl Terms {
+impl AttemptLimits {
     /// Those of a request's first attempt.
     pub fn first(give_up: Instant) -> Self {
         Self { give_up, write_by: None, repeat: false, presence: None, begun: Rc::default() }
@@ -71,7 +71,7 @@
     }
 
     /// The same for whoever is there by this.
-    pub fn asked_by(self, presence: Option<Presence>) -> Self {
+    pub fn with_presence(self, presence: Option<Presence>) -> Self {
         Self { presence, ..self }
     }
 
@@ -91,16 +91,16 @@
     }
 
     /// Whether a request that tells `told` may be written now.
-    pub(crate) fn allow(&self, told: Duration) -> Result<(), Withheld> {
+    pub(crate) fn allow(&self, told: Duration) -> Result<(), WithheldReason> {
         let left = self.left();
         if left.is_zero() || self.write_by.is_some_and(|by| Instant::now() >= by) {
-            return Err(Withheld::TooLate);
+            return Err(WithheldReason::TooLate);
         }
         if self.presence.as_ref().is_some_and(|presence| !presence.is_there()) {
-            return Err(Withheld::TooLate);
+            return Err(WithheldReason::TooLate);
         }
         if told > left + TOLD_OVER_MOST {
-            return Err(Withheld::Outdated);
+            return Err(WithheldReason::Outdated);
         }
         Ok(())
     }
--- a/crates/engine/src/parts/body.rs
+++ b/crates/engine/src/parts/body.rs
@@ -6,8 +6,8 @@
 mod gather;
 mod upload;
 
-pub use gather::{Gathered, gather, take_in};
-pub use upload::{Patience, Sending, Upload, Written};
+pub use gather::{Gathered, gather, receive_body};
+pub use upload::{Sending, Upload, UploadTimeouts, Written};
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub enum Payload {
     /// Held whole.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Passed on as it comes.
     Upload(Rc<Upload>),
 }
@@ -47,14 +47,14 @@
     /// The body, where it streams.
     pub fn upload(&self) -> Option<Rc<Upload>> {
         match self {
-            Self::Whole(_) => None,
+            Self::Buffered(_) => None,
             Self::Upload(upload) => Some(Rc::clone(upload)),
         }
     }
 
     /// Whether there is nothing in it.
     pub fn is_empty(&self) -> bool {
-        matches!(self, Self::Whole(body) if body.is_empty())
+        matches!(self, Self::Buffered(body) if body.is_empty())
     }
 }
 
@@ -84,7 +84,7 @@
 /// The body of one attempt.
 pub enum Outbound {
     /// Held whole.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// Passed on as it comes.
     Upload(Sending),
 }
@@ -93,7 +93,7 @@
     /// What a payload is on a connection.
     pub fn of(payload: &Payload, written: &Rc<Written>) -> Self {
         match payload {
-            Payload::Whole(body) => Self::Whole(Full::new(body.clone())),
+            Payload::Buffered(body) => Self::Buffered(Full::new(body.clone())),
             Payload::Upload(upload) => Self::Upload(upload.send(Rc::clone(written))),
         }
     }
@@ -101,7 +101,7 @@
 
 impl Default for Outbound {
     fn default() -> Self {
-        Self::Whole(Full::default())
+        Self::Buffered(Full::default())
     }
 }
 
@@ -114,25 +114,25 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Failure>>> {
         match &mut *self {
-            Self::Whole(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            Self::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
             Self::Upload(sending) => sending.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(body) if body.is_end_stream())
+        matches!(self, Self::Buffered(body) if body.is_end_stream())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
+            Self::Buffered(body) => body.size_hint(),
             Self::Upload(sending) => sending.length().map_or_else(SizeHint::new, SizeHint::with_exact),
         }
     }
 }
 
 /// Reads away a body that nobody wants, within bounds, so that its sender can read the answer.
-pub async fn read_away<B>(mut body: B)
+pub async fn discard_body<B>(mut body: B)
 where
     B: Body<Data = Bytes> + Unpin,
 {
--- a/crates/engine/src/parts/body/gather.rs
+++ b/crates/engine/src/parts/body/gather.rs
@@ -1,7 +1,7 @@
 //! Bodies taken in: whole, where they are short enough.
 
-use super::{Failure, Fault, Patience, Payload, Upload, read_away};
-use crate::parts::room::Room;
+use super::{Failure, Fault, Payload, Upload, UploadTimeouts, discard_body};
+use crate::parts::body_memory::BodyMemory;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::Body;
@@ -66,10 +66,10 @@
 /// Takes a request's body in: whole, where its class and the room allow that, else as one that streams. How long it may take
 /// is up to whoever waits.
 /// `answer` is how long its sender waits for the answer from then on.
-pub async fn take_in<B>(
+pub async fn receive_body<B>(
     mut body: B,
     passage: &Passage,
-    room: &Room,
+    room: &BodyMemory,
     answer: Duration,
 ) -> Result<Payload, Fault>
 where
@@ -77,12 +77,12 @@
     B::Error: Into<Failure>,
 {
     if body.is_end_stream() {
-        return Ok(Payload::Whole(Bytes::new()));
+        return Ok(Payload::Buffered(Bytes::new()));
     }
     let hint = body.size_hint();
     // What is said to be too long is not read.
     if hint.lower() > passage.body_most {
-        spawn_local(read_away(body));
+        spawn_local(discard_body(body));
         return Err(Fault::TooLong);
     }
     let mut read = Gathered::default();
@@ -104,13 +104,13 @@
     }
     let read = read.whole();
     if ended {
-        return Ok(Payload::Whole(match taken {
+        return Ok(Payload::Buffered(match taken {
             Some(taken) => taken.with(read),
             None => read,
         }));
     }
     if read.len() as u64 > passage.body_most {
-        spawn_local(read_away(body));
+        spawn_local(discard_body(body));
         return Err(Fault::TooLong);
     }
     let (idle, total) = passage.patience();
@@ -119,6 +119,6 @@
         None => read,
     };
     let rest = Box::pin(body.map_err(Into::into));
-    let patience = Patience { idle, sender: passage.sender_idle, total, answer };
+    let patience = UploadTimeouts { idle, sender: passage.sender_idle, total, answer };
     Ok(Payload::Upload(Upload::new(read, rest, hint.exact(), passage.body_most, patience)))
 }
--- a/crates/engine/src/parts/body/upload.rs
+++ b/crates/engine/src/parts/body/upload.rs
@@ -1,6 +1,6 @@
 //! Bodies that stream: what has left of one on a connection, and how long it may take.
 
-use super::{Failure, Fault, READ_AWAY, Source, read_away};
+use super::{Failure, Fault, READ_AWAY, Source, discard_body};
 use bytes::Bytes;
 use hyper::body::Frame;
 use prometheus_client::metrics::counter::Counter;
@@ -58,7 +58,7 @@
 
 /// How long a body may take.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct UploadTimeouts {
     /// The longest time in which the upstream takes nothing of it.
     pub idle: Duration,
     /// The longest time in which nothing comes from its sender that could be passed on.
@@ -76,7 +76,7 @@
     /// Its length, where it was stated.
     length: Option<u64>,
     most: u64,
-    patience: Patience,
+    patience: UploadTimeouts,
     since: Instant,
     /// When the last of it went on.
     moved: Cell<Instant>,
@@ -98,7 +98,13 @@
 
 impl Upload {
     /// One of which `prefix` was read already; `most` is the longest that it may be.
-    pub fn new(prefix: Bytes, rest: Source, length: Option<u64>, most: u64, patience: Patience) -> Rc<Self> {
+    pub fn new(
+        prefix: Bytes,
+        rest: Source,
+        length: Option<u64>,
+        most: u64,
+        patience: UploadTimeouts,
+    ) -> Rc<Self> {
         let now = Instant::now();
         Rc::new(Self {
             prefix,
@@ -133,12 +139,12 @@
     }
 
     /// How long nothing may come from its sender.
-    pub fn sender_most(&self) -> Duration {
+    pub fn sender_timeout(&self) -> Duration {
         self.patience.sender
     }
 
     /// Whether it has left whole.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.whole.get()
     }
 
@@ -156,7 +162,7 @@
     pub async fn is_over(&self) {
         let mut looked = false;
         loop {
-            let Patience { idle, sender, total, answer } = self.patience;
+            let UploadTimeouts { idle, sender, total, answer } = self.patience;
             let starved = self.starved.get().filter(|_| !self.whole.get());
             let due = match starved {
                 Some(since) => since + sender,
@@ -184,7 +190,7 @@
 
     /// Its answer is there though it has not been read whole: the rest is read away, for a while. A connection that is
     /// closed with bytes unread is reset, and a reset takes the answer along that its client has not read yet.
-    pub fn answered(self: &Rc<Self>) {
+    pub fn discard_rest(self: &Rc<Self>) {
         if self.whole.get() || self.fault.get() == Some(Fault::BrokeOff) {
             return;
         }
@@ -200,7 +206,7 @@
                 }
             };
             if let Some(rest) = rest {
-                read_away(rest).await;
+                discard_body(rest).await;
             }
         });
     }
--- a/crates/engine/src/parts/body/upload/tests.rs
+++ b/crates/engine/src/parts/body/upload/tests.rs
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc;
 use tokio::time::advance;
 
-const PATIENCE: Patience = Patience {
+const PATIENCE: UploadTimeouts = UploadTimeouts {
     idle: Duration::from_secs(10),
     sender: Duration::from_millis(2500),
     total: Duration::from_secs(60),
--- a/crates/engine/src/parts/room.rs
+++ b/crates/engine/src/parts/body_memory.rs
@@ -7,32 +7,32 @@
 /// Bodies this short cost no more than the connection that they came on.
 const FREE: usize = 4 * 1024;
 
-/// Room for bodies. Whoever holds one may be on another thread.
+/// BodyMemory for bodies. Whoever holds one may be on another thread.
 #[derive(Clone, Debug)]
-pub struct Room(Arc<AtomicUsize>);
+pub struct BodyMemory(Arc<AtomicUsize>);
 
 /// Part of the room, given back when it is dropped.
 #[derive(Debug)]
-pub struct Taken {
-    room: Room,
+pub struct MemoryReservation {
+    room: BodyMemory,
     length: usize,
 }
 
-impl Room {
+impl BodyMemory {
     /// So many bytes.
     pub fn new(bytes: usize) -> Self {
         Self(Arc::new(AtomicUsize::new(bytes)))
     }
 
     /// Takes so many bytes, if they are there.
-    pub fn take(&self, length: usize) -> Option<Taken> {
+    pub fn take(&self, length: usize) -> Option<MemoryReservation> {
         let less = |left: usize| left.checked_sub(length);
         self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, less).ok()?;
-        Some(Taken { room: self.clone(), length })
+        Some(MemoryReservation { room: self.clone(), length })
     }
 
     /// The same, but for bodies so short that it is not worth counting.
-    pub fn take_long(&self, length: usize) -> Option<Taken> {
+    pub fn take_long(&self, length: usize) -> Option<MemoryReservation> {
         self.take(if length <= FREE { 0 } else { length })
     }
 
@@ -42,13 +42,13 @@
     }
 }
 
-impl Drop for Taken {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.room.0.fetch_add(self.length, Ordering::Relaxed);
     }
 }
 
-impl Taken {
+impl MemoryReservation {
     /// Only so many of these bytes; the others are given back.
     pub fn shrunk(mut self, length: usize) -> Self {
         let length = length.min(self.length);
@@ -63,7 +63,7 @@
     }
 }
 
-struct Held(Bytes, #[expect(dead_code, reason = "held for its drop")] Taken);
+struct Held(Bytes, #[expect(dead_code, reason = "held for its drop")] MemoryReservation);
 
 impl AsRef<[u8]> for Held {
     fn as_ref(&self) -> &[u8] {
@@ -78,7 +78,7 @@
     /// Guards the memory against bodies that are given back on another thread at the same moment.
     #[test]
     fn what_is_taken_comes_back_from_any_thread() {
-        let room = Room::new(1 << 20);
+        let room = BodyMemory::new(1 << 20);
         std::thread::scope(|scope| {
             for _ in 0..4 {
                 scope.spawn(|| {
--- a/crates/engine/src/parts/connection.rs
+++ b/crates/engine/src/parts/connection.rs
@@ -1,7 +1,7 @@
 //! One client-side connection: it knows how much of a request the kernel has taken.
 
+use crate::parts::attempt_limits::WithheldReason;
 use crate::parts::body::{Outbound, Payload, Written};
-use crate::parts::terms::Withheld;
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, Response};
@@ -29,7 +29,7 @@
 
 /// Looked at in the moment in which a request's first byte would be written. hyper writes in a task of its own, later than
 /// [`Connection::send`], and much may have changed by then.
-pub type Permit = Box<dyn Fn() -> Result<(), Withheld>>;
+pub type Permit = Box<dyn Fn() -> Result<(), WithheldReason>>;
 
 /// When bytes last came on an idle connection, of all those that share this.
 pub type Unasked = Rc<Cell<Option<Instant>>>;
@@ -41,7 +41,7 @@
     permit: RefCell<Option<Permit>>,
     /// No byte of it is written from then on.
     write_by: Cell<Option<Instant>>,
-    withheld: Cell<Option<Withheld>>,
+    withheld: Cell<Option<WithheldReason>>,
     /// What the connection had written when the first byte came back.
     written_when_heard: Cell<Option<u64>>,
     /// hyper holds bytes that the kernel has not taken.
@@ -92,12 +92,12 @@
             permit().map_err(|why| self.withhold(why))?;
         }
         match self.exchange.write_by.get() {
-            Some(by) if by <= Instant::now() => Err(self.withhold(Withheld::TooLate)),
+            Some(by) if by <= Instant::now() => Err(self.withhold(WithheldReason::TooLate)),
             _ => Ok(()),
         }
     }
 
-    fn withhold(&self, why: Withheld) -> io::Error {
+    fn withhold(&self, why: WithheldReason) -> io::Error {
         self.exchange.withheld.set(Some(why));
         io::Error::other("withheld")
     }
@@ -267,7 +267,7 @@
     }
 
     /// Why nothing more was written of the request, if it was held back here.
-    pub fn withheld(&self) -> Option<Withheld> {
+    pub fn withheld(&self) -> Option<WithheldReason> {
         self.exchange.withheld.get()
     }
 
@@ -317,7 +317,7 @@
             if method == "POST" {
                 request = request.header(CONTENT_LENGTH, body.len());
             }
-            let request = request.body(connection.outbound(&Payload::Whole(body.into()))).unwrap();
+            let request = request.body(connection.outbound(&Payload::Buffered(body.into()))).unwrap();
             let length = wire_length(&request);
             let upstream = async {
                 let (mut stream, _) = listener.accept().await.unwrap();
--- a/crates/engine/src/parts/discovery.rs
+++ b/crates/engine/src/parts/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: the whole list when asked for it, and the watch on its changes.
 //!
 //! A call is given up when its time is up, and a watch when it has been silent for too long; both end with
-//! [`News::failed`], and the decision module asks again. The figures, and why a change is known in time whatever
+//! [`EndpointUpdate::failed`], and the decision module asks again. The figures, and why a change is known in time whatever
 //! hangs or is refused, stand in [`maplehook_core::discovery_timing`].
 
 mod documents;
@@ -11,10 +11,10 @@
 
 use crate::parts::body::Outbound;
 use crate::parts::connection::Connection;
-use crate::parts::descriptors::{self, Descriptors, out_of_descriptors};
-use crate::parts::seldom::Seldom;
-use crate::parts::upstream::Place;
-use crate::source::{Entry, News, Source, Task};
+use crate::parts::descriptors::{self, Descriptors, is_descriptor_exhaustion};
+use crate::parts::rate_limited_log::RateLimitedLog;
+use crate::parts::upstream::EndpointState;
+use crate::source::{EndpointUpdate, Entry, Source, Task};
 use documents::{DOCUMENT_MOST, Documents, Said};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -22,7 +22,7 @@
 use hyper::{Request, StatusCode};
 use maplehook_core::{Availability, CellId, KindId, UpdateScope, ZoneId};
 use maplehook_platform_settings::IdNames;
-pub use patience::Patience;
+pub use patience::DiscoveryTimeouts;
 use patience::Silence;
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -71,8 +71,8 @@
     descriptors: Rc<Descriptors>,
     /// The version of the list in hand; 0: none.
     rev: Cell<u64>,
-    patience: Cell<Patience>,
-    odd: Seldom,
+    patience: Cell<DiscoveryTimeouts>,
+    odd: RateLimitedLog,
 }
 
 type Failure = Box<dyn Error + Send + Sync>;
@@ -85,13 +85,13 @@
             names: RefCell::new(names),
             descriptors,
             rev: Cell::new(0),
-            patience: Cell::new(Patience::SERVICE),
-            odd: Seldom::default(),
+            patience: Cell::new(DiscoveryTimeouts::SERVICE),
+            odd: RateLimitedLog::default(),
         }
     }
 
     /// How long each step of a call may take.
-    pub fn wait_for(&self, patience: Patience) {
+    pub fn set_timeouts(&self, patience: DiscoveryTimeouts) {
         self.patience.set(patience);
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// The list is known up to here from elsewhere.
-    pub fn resume(&self, rev: u64) {
+    pub fn set_rev(&self, rev: u64) {
         self.rev.set(rev);
     }
 
@@ -111,12 +111,12 @@
     }
 
     /// Zones and kinds have these numbers from now on.
-    pub fn rename(&self, names: IdNames) {
+    pub fn set_names(&self, names: IdNames) {
         *self.names.borrow_mut() = names;
     }
 
     /// Reads a list, or what has changed. An entry that can't be read is skipped; a list that can't be read is an error.
-    fn read(&self, text: &[u8], whole: bool) -> Result<News, Failure> {
+    fn read(&self, text: &[u8], whole: bool) -> Result<EndpointUpdate, Failure> {
         let list: RawList<'_> = serde_json::from_slice(text)?;
         let (whole, held) = (whole || list.all, self.rev.get());
         if !whole && list.rev < held {
@@ -129,7 +129,7 @@
         });
         let entries = entries.collect();
         self.rev.set(list.rev);
-        Ok(News { scope: if whole { UpdateScope::Full } else { UpdateScope::Changes }, entries })
+        Ok(EndpointUpdate { scope: if whole { UpdateScope::Full } else { UpdateScope::Changes }, entries })
     }
 
     fn entry(&self, text: &str) -> Result<Entry, Failure> {
@@ -152,13 +152,14 @@
             kind: KindId(place(&names.kinds, &raw.model).map_or(u16::MAX, |k| k as u16)),
             cell: CellId(raw.pod_group),
             weight: raw.capacity_hint,
-            place: Place { endpoint, availability, boot_ms: raw.boot_ms.max(0.0) as u64 },
+            state: EndpointState { endpoint, availability, boot_ms: raw.boot_ms.max(0.0) as u64 },
         })
     }
 
     /// The list from the configuration, as [`UpdateScope::Cached`].
-    pub fn known(&self, text: &str) -> News {
-        let read = if text.is_empty() { Ok(News::failed()) } else { self.read(text.as_bytes(), true) };
+    pub fn parse_cached_list(&self, text: &str) -> EndpointUpdate {
+        let read =
+            if text.is_empty() { Ok(EndpointUpdate::failed()) } else { self.read(text.as_bytes(), true) };
         let entries = read.map_or_else(
             |e| {
                 tracing::warn!("the list known before the start is unreadable: {e}");
@@ -166,16 +167,16 @@
             },
             |news| news.entries,
         );
-        News { scope: UpdateScope::Cached, entries }
+        EndpointUpdate { scope: UpdateScope::Cached, entries }
     }
 
     /// From now on discovery is elsewhere. The list in hand, and how far it was followed, stay as they are.
     /// `true` if that is news: a watch that there is has to be begun anew.
-    pub fn move_to(&self, address: SocketAddr) -> bool {
+    pub fn set_address(&self, address: SocketAddr) -> bool {
         self.address.replace(address) != address
     }
 
-    async fn follow(&self, tell: &mut dyn FnMut(News)) -> Result<(), Failure> {
+    async fn follow(&self, tell: &mut dyn FnMut(EndpointUpdate)) -> Result<(), Failure> {
         let mut silence = Silence::new(self.patience.get(), Instant::now());
         let target = format!("/registry/instances?stream=1&index={}", self.rev.get());
         let (_connection, mut body) = self.ask(&target, &mut silence).await?;
@@ -188,7 +189,7 @@
                     Said::Document(text) => tell(self.read(&text, false).map_err(|e| self.distrust(e))?),
                     Said::EndOfLine if silence.answered() => {}
                     // Nothing has changed since the list in hand: that is an answer.
-                    Said::EndOfLine if self.rev.get() > 0 => tell(News::unchanged()),
+                    Said::EndOfLine if self.rev.get() > 0 => tell(EndpointUpdate::unchanged()),
                     Said::EndOfLine => continue,
                 }
                 silence.said(Instant::now());
@@ -217,7 +218,7 @@
         Ok((connection, response.into_body()))
     }
 
-    async fn list(&self) -> Result<News, Failure> {
+    async fn list(&self) -> Result<EndpointUpdate, Failure> {
         let mut silence = Silence::new(self.patience.get(), Instant::now());
         let (_connection, body) = self.ask("/registry/instances", &mut silence).await?;
         let body = http_body_util::Limited::new(body, DOCUMENT_MOST);
@@ -229,9 +230,9 @@
     async fn connect(&self, address: SocketAddr) -> io::Result<Connection> {
         loop {
             match Connection::open(address, ()).await {
-                Err(e) if out_of_descriptors(&e) => {
-                    self.descriptors.starved("discovery");
-                    sleep(descriptors::PAUSE).await;
+                Err(e) if is_descriptor_exhaustion(&e) => {
+                    self.descriptors.record_exhaustion("discovery");
+                    sleep(descriptors::EXHAUSTION_BACKOFF).await;
                 }
                 ended => return ended,
             }
@@ -240,21 +241,21 @@
 }
 
 impl Source for Discovery {
-    fn fetch(&self) -> Task<'_, News> {
+    fn fetch(&self) -> Task<'_, EndpointUpdate> {
         Box::pin(async {
             self.list().await.unwrap_or_else(|e| {
                 self.odd.warn(|| format!("no list: {e}"));
-                News::failed()
+                EndpointUpdate::failed()
             })
         })
     }
 
-    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(News)) -> Task<'a, ()> {
+    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
         Box::pin(async {
             if let Err(e) = self.follow(tell).await {
                 self.odd.warn(|| format!("watch ended: {e}"));
             }
-            tell(News::failed());
+            tell(EndpointUpdate::failed());
         })
     }
 }
--- a/crates/engine/src/parts/discovery/patience.rs
+++ b/crates/engine/src/parts/discovery/patience.rs
@@ -6,14 +6,14 @@
 
 /// How long a call waits for the first steps of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct DiscoveryTimeouts {
     /// For the connection.
     pub(super) connect: Duration,
     /// For the head of the answer, on a connection that has come up.
     pub(super) head: Duration,
 }
 
-impl Patience {
+impl DiscoveryTimeouts {
     /// With one service for all balancers, which works through its calls in turn. The time of the whole call bounds it;
     /// a connection that does not come up is tried anew before.
     pub const SERVICE: Self = Self { connect: Duration::from_millis(1000), head: CALL_TIMEOUT };
@@ -25,7 +25,7 @@
 /// When a call, and then the watch that it has become, counts as broken.
 #[derive(Debug)]
 pub(super) struct Silence {
-    patience: Patience,
+    patience: DiscoveryTimeouts,
     answer_by: Instant,
     answered: bool,
     broken_at: Instant,
@@ -33,7 +33,7 @@
 
 impl Silence {
     /// Of a call that is begun now.
-    pub(super) fn new(patience: Patience, now: Instant) -> Self {
+    pub(super) fn new(patience: DiscoveryTimeouts, now: Instant) -> Self {
         let answer_by = now + CALL_TIMEOUT;
         Self { patience, answer_by, answered: false, broken_at: answer_by.min(now + patience.connect) }
     }
--- a/crates/engine/src/parts/discovery/tests.rs
+++ b/crates/engine/src/parts/discovery/tests.rs
@@ -1,7 +1,7 @@
 //! What a watch says, in every form and in pieces of every size; when silence breaks it; and what lists mean.
 
 use super::documents::{Documents, Malformed, Said};
-use super::patience::{Patience, Silence};
+use super::patience::{DiscoveryTimeouts, Silence};
 use super::*;
 use maplehook_core::discovery_timing::{
     CALL_TIMEOUT, INITIAL_BACKOFF, PROPAGATION_LIMIT, WATCH_IDLE_TIMEOUT,
@@ -80,7 +80,7 @@
 fn silence_at_every_step_leaves_time_for_another_call() {
     let start = Instant::now();
     let after = |ms| start + Duration::from_millis(ms);
-    for patience in [Patience::SERVICE, Patience::AGENT] {
+    for patience in [DiscoveryTimeouts::SERVICE, DiscoveryTimeouts::AGENT] {
         for (connected, headed, lines) in
             [(None, None, 0), (Some(100), None, 0), (Some(100), Some(200), 0), (Some(200), Some(2400), 3)]
         {
@@ -101,7 +101,7 @@
             assert!(silence.broken_at() + INITIAL_BACKOFF + CALL_TIMEOUT < last + PROPAGATION_LIMIT);
         }
     }
-    let mut agent = Silence::new(Patience::AGENT, start);
+    let mut agent = Silence::new(DiscoveryTimeouts::AGENT, start);
     let grace = Duration::from_millis(500);
     assert!(agent.broken_at() < start + grace, "what an agent has at the return counts at once");
     agent.connected(start);
@@ -125,13 +125,13 @@
 #[test]
 fn a_version_that_goes_back_is_taken_with_a_whole_list_alone() {
     let discovery = discovery(([127, 0, 0, 1], 9).into());
-    discovery.resume(41);
+    discovery.set_rev(41);
     assert!(discovery.read(text(3, false).as_bytes(), false).is_err());
     assert_eq!(discovery.rev(), 41);
     let news = discovery.read(text(41, false).as_bytes(), false).unwrap();
     assert_eq!(news.scope, UpdateScope::Changes);
     for whole in [false, true] {
-        discovery.resume(41);
+        discovery.set_rev(41);
         let news = discovery.read(text(3, !whole).as_bytes(), whole).unwrap();
         assert_eq!((news.scope, news.entries.len(), discovery.rev()), (UpdateScope::Full, 1, 3));
     }
@@ -141,7 +141,7 @@
 #[test]
 fn a_list_that_cannot_be_read_changes_nothing() {
     let discovery = discovery(([127, 0, 0, 1], 9).into());
-    discovery.resume(41);
+    discovery.set_rev(41);
     for bad in ["", "[]", "{}", r#"{"rev":-1,"targets":[]}"#, r#"{"rev":50}"#, r#"{"rev":50,"targets":{}}"#] {
         assert!(discovery.read(bad.as_bytes(), true).is_err(), "{bad}");
         assert_eq!(discovery.rev(), 41);
@@ -156,8 +156,11 @@
 async fn an_empty_line_answers_whoever_has_a_list() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let discovery = discovery(listener.local_addr().unwrap());
-    for (rev, told) in [(41, vec![News::unchanged(), News::failed()]), (0, vec![News::failed()])] {
-        discovery.resume(rev);
+    for (rev, told) in [
+        (41, vec![EndpointUpdate::unchanged(), EndpointUpdate::failed()]),
+        (0, vec![EndpointUpdate::failed()]),
+    ] {
+        discovery.set_rev(rev);
         let mut news = Vec::new();
         let serve = async {
             let (mut stream, _) = listener.accept().await.unwrap();
--- a/crates/engine/src/parts/desk.rs
+++ b/crates/engine/src/parts/dispatcher.rs
@@ -1,8 +1,8 @@
 //! The desk: where requests come in. One that must not run twice and can be known again goes through the ledger.
 
 use crate::ledger::{Bounds, BoundsError, Ending, EntryId, Identity, Ledger, Opened, Waiter};
-use crate::parts::answer::Served;
-use crate::parts::driver::{Answer, Asked, Driver, Trace};
+use crate::parts::answer::UpstreamResponse;
+use crate::parts::driver::{Answer, Driver, RequestContext, Trace};
 use crate::tally::{Counting, Tally};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -19,7 +19,7 @@
 
 /// An answer as the ledger keeps it.
 struct Kept {
-    served: Served,
+    served: UpstreamResponse,
     trace: Trace,
 }
 
@@ -30,7 +30,7 @@
 }
 
 /// Where requests come in.
-pub struct Desk {
+pub struct Dispatcher {
     driver: Rc<Driver>,
     counting: Rc<Counting>,
     ledger: RefCell<Ledger<Rc<Kept>>>,
@@ -41,9 +41,9 @@
 }
 
 /// Counts as inside until it is dropped.
-pub struct Inside(Rc<Desk>);
+pub struct InFlightGuard(Rc<Dispatcher>);
 
-impl Drop for Inside {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let inside = self.0.inside.get() - 1;
         self.0.inside.set(inside);
@@ -55,7 +55,7 @@
 
 /// Somebody who waits for an entry's ending, until it is dropped.
 struct Waits {
-    desk: Rc<Desk>,
+    desk: Rc<Dispatcher>,
     entry: EntryId,
     waiter: Waiter,
 }
@@ -68,7 +68,7 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// One before this driver; it counts what it is asked.
     pub fn new(
         driver: Rc<Driver>,
@@ -98,13 +98,13 @@
     }
 
     /// Somebody is inside from now on.
-    pub fn enter(self: &Rc<Self>) -> Inside {
+    pub fn track(self: &Rc<Self>) -> InFlightGuard {
         self.inside.set(self.inside.get() + 1);
-        Inside(Rc::clone(self))
+        InFlightGuard(Rc::clone(self))
     }
 
     /// Waits until nobody is inside.
-    pub async fn is_empty(&self) {
+    pub async fn wait_until_idle(&self) {
         loop {
             let left = self.left.notified();
             if self.inside.get() == 0 {
@@ -116,22 +116,22 @@
 
     /// The final answer to a request. When this is dropped before, the client has gone: what is out is called back,
     /// but for what has an identity, which goes on, so that whoever asks again has its answer.
-    pub async fn ask(self: &Rc<Self>, asked: Asked, identity: Option<Identity>) -> Told {
+    pub async fn dispatch(self: &Rc<Self>, asked: RequestContext, identity: Option<Identity>) -> Told {
         let owed = self.counting.taken(asked.class, asked.tenant);
         let (mut answer, trace) = self.answer(asked, identity).await;
         owed.answered(&mut answer);
         (answer, trace)
     }
 
-    async fn answer(self: &Rc<Self>, asked: Asked, identity: Option<Identity>) -> Told {
-        let Some(identity) = identity else { return self.driver.ask(asked).answer().await };
+    async fn answer(self: &Rc<Self>, asked: RequestContext, identity: Option<Identity>) -> Told {
+        let Some(identity) = identity else { return self.driver.submit(asked).answer().await };
         let (waiter, deadline) = (self.next.replace(self.next.get() + 1), asked.deadline);
         let opened = self.ledger.borrow_mut().open(self.driver.now(), &identity, waiter);
         let entry = match opened {
             Opened::First(entry) => {
-                let (desk, inside) = (Rc::clone(self), self.enter());
+                let (desk, inside) = (Rc::clone(self), self.track());
                 spawn_local(async move {
-                    let (answer, trace) = desk.driver.ask(asked).answer().await;
+                    let (answer, trace) = desk.driver.submit(asked).answer().await;
                     desk.finish(entry, answer, trace);
                     drop(inside);
                 });
@@ -139,7 +139,7 @@
             }
             Opened::Joined(entry) => entry,
             Opened::Ended(ending) => return told(&ending),
-            Opened::Crowded | Opened::Full => return (Answer::Refused(Some(COME_BACK)), Trace::default()),
+            Opened::Crowded | Opened::Full => return (Answer::Rejected(Some(COME_BACK)), Trace::default()),
         };
         self.wait(entry, waiter, deadline).await
     }
@@ -163,7 +163,7 @@
                 (Some(served), Some(length)) => (Ending::Served(Rc::new(Kept { served, trace })), length),
                 _ => (Ending::ServedNotKept, 0),
             },
-            Answer::Refused(_) => (Ending::Refused, 0),
+            Answer::Rejected(_) => (Ending::Refused, 0),
             Answer::Failed => (Ending::Failed, 0),
         };
         // Whoever waits has it, also where it is too long to be kept.
@@ -182,6 +182,6 @@
     match ending {
         Ending::Served(kept) => kept.told(),
         Ending::ServedNotKept | Ending::Failed => (Answer::Failed, Trace::default()),
-        Ending::Refused => (Answer::Refused(Some(COME_BACK)), Trace::default()),
+        Ending::Refused => (Answer::Rejected(Some(COME_BACK)), Trace::default()),
     }
 }
--- a/crates/engine/src/parts/driver.rs
+++ b/crates/engine/src/parts/driver.rs
@@ -12,15 +12,15 @@
 
 use clock::Clock;
 use held::Held;
-pub use pending::Pending;
-pub use places::{Connects, Sights};
+pub use pending::PendingAnswer;
+pub use places::{ConnectStats, Observations};
 
 use crate::label::Label;
-use crate::parts::answer::{AnswerBody, Served};
-use crate::parts::attempt::{Ended, Outgoing};
-use crate::parts::terms::Presence;
+use crate::parts::answer::{ResponseBody, UpstreamResponse};
+use crate::parts::attempt::{AttemptResult, OutboundRequest};
+use crate::parts::attempt_limits::Presence;
 use crate::parts::upstream::Upstreams;
-use crate::source::{Heard, News, Source};
+use crate::source::{EndpointUpdate, Reachability, Source};
 use maplehook_core::{
     Action, AttemptNo, Balancer, ClassId, Event, LearnedState, Outcome, RequestId, Settings, TenantId,
     TimerId, TrafficSplit, UpdateScope, UpstreamCounts, UpstreamId,
@@ -38,9 +38,9 @@
 #[derive(Debug)]
 pub enum Answer {
     /// An upstream's.
-    Served(Served),
+    Served(UpstreamResponse),
     /// Trying again is harmless, after some time if one is given.
-    Refused(Option<Duration>),
+    Rejected(Option<Duration>),
     /// Nothing is promised.
     Failed,
 }
@@ -55,7 +55,7 @@
 }
 
 /// A request for the module to decide on.
-pub struct Asked {
+pub struct RequestContext {
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
@@ -67,7 +67,7 @@
     /// The client says that it has tried this before.
     pub repeat: bool,
     /// What is passed on.
-    pub outgoing: Outgoing,
+    pub outgoing: OutboundRequest,
     /// What its client calls it, for the log.
     pub label: Label,
     /// Its client, where no attempt may begin once that has gone.
@@ -75,16 +75,16 @@
 }
 
 enum Happening {
-    Fleet(News),
+    Fleet(EndpointUpdate),
     /// The source of the list is elsewhere.
     DiscoveryMoved,
     Asked(RequestId),
-    AttemptEnded(RequestId, AttemptNo, Ended),
+    AttemptEnded(RequestId, AttemptNo, AttemptResult),
     /// The body of this attempt has begun to stream.
     Uploads(RequestId, AttemptNo),
     /// The answer that streams has ended.
     StreamEnded(RequestId, AttemptNo, Outcome),
-    ProbeEnded(UpstreamId, Duration, Ended),
+    ProbeEnded(UpstreamId, Duration, AttemptResult),
     Gone(RequestId),
     Timer(TimerId),
     Retuned(Box<Settings>, Vec<TenantId>),
@@ -127,7 +127,7 @@
         balancer: Balancer,
         upstreams: Rc<Upstreams>,
         source: Rc<dyn Source>,
-        known: News,
+        known: EndpointUpdate,
     ) -> Rc<Self> {
         let core = Core { balancer, requests: FxHashMap::default(), actions: Vec::new(), next_id: 0 };
         let driver = Rc::new(Self {
@@ -166,7 +166,7 @@
 
     /// Hands a request to the module. Its final answer comes from what is returned; when that is dropped
     /// before, the client has gone.
-    pub fn ask(self: &Rc<Self>, asked: Asked) -> Pending {
+    pub fn submit(self: &Rc<Self>, asked: RequestContext) -> PendingAnswer {
         let (reply, answer) = oneshot::channel();
         let id = {
             let core = &mut *self.core.borrow_mut();
@@ -180,31 +180,31 @@
             id
         };
         self.happened(Happening::Asked(id));
-        Pending::new(Rc::clone(self), id, answer)
+        PendingAnswer::new(Rc::clone(self), id, answer)
     }
 
     /// The settings have changed; see [`Event::SettingsChanged`].
-    pub fn retune(self: &Rc<Self>, settings: Settings, gone: Vec<TenantId>) {
+    pub fn update_settings(self: &Rc<Self>, settings: Settings, gone: Vec<TenantId>) {
         self.happened(Happening::Retuned(Box::new(settings), gone));
     }
 
     /// What the process before this one had learned.
-    pub fn inherit(self: &Rc<Self>, heritage: LearnedState) {
+    pub fn restore_learned_state(self: &Rc<Self>, heritage: LearnedState) {
         self.happened(Happening::Inherited(Box::new(heritage)));
     }
 
     /// What the next process may know of this one.
-    pub fn heritage(&self) -> LearnedState {
+    pub fn learned_state(&self) -> LearnedState {
         self.core.borrow().balancer.learned_state()
     }
 
     /// Waits until a list is known, were it an empty one.
-    pub async fn knows_a_list(&self) {
+    pub async fn wait_for_list(&self) {
         let _ = self.knows.subscribe().wait_for(|knows| *knows).await;
     }
 
     /// Counts the whole lists that the module has been told: whoever changes the list sees here when that acts.
-    pub fn lists(&self) -> watch::Receiver<u64> {
+    pub fn full_list_count(&self) -> watch::Receiver<u64> {
         self.lists.subscribe()
     }
 
@@ -215,7 +215,7 @@
 
     /// Ends all attempts that are out, and each that may follow, so that the module gives what it holds its
     /// final answer: the process is about to end.
-    pub fn cut_off(&self) {
+    pub fn abort_attempts(&self) {
         self.cut_off.send_replace(true);
     }
 
@@ -280,15 +280,18 @@
                 );
                 match ended.outcome {
                     Outcome::Ok | Outcome::Error | Outcome::Rejected | Outcome::Overloaded => {
-                        self.source.heard(upstream, Heard::Answered);
+                        self.source.record_reachability(upstream, Reachability::Answered);
+                    }
+                    Outcome::ConnectFailed => {
+                        self.source.record_reachability(upstream, Reachability::Unreachable)
                     }
-                    Outcome::ConnectFailed => self.source.heard(upstream, Heard::Unreachable),
                     _ => {}
                 }
-                let streams = matches!(&ended.served, Some(Served { body: AnswerBody::Stream(_), .. }));
+                let streams =
+                    matches!(&ended.response, Some(UpstreamResponse { body: ResponseBody::Stream(_), .. }));
                 if streams && held.reply.is_some() {
                     let latency = (!std::mem::replace(&mut attempt.streams, true)).then_some(latency);
-                    self.pass_on(held, id, no, upstream, ended.served);
+                    self.pass_on(held, id, no, upstream, ended.response);
                     let event = Event::StreamStarted { id, attempt: no, latency };
                     core.balancer.handle(now, event, &mut actions);
                     self.forget_if_over(core, id);
@@ -299,7 +302,7 @@
                 self.upstreams.tally.attempts_ended.count(ended.outcome.name());
                 // A second copy's answer comes to a request that is over: it is dropped.
                 if held.reply.is_some() {
-                    self.pass_on(held, id, no, upstream, ended.served);
+                    self.pass_on(held, id, no, upstream, ended.response);
                     held.words = ended.words.map(|words| (words, upstream)).or(held.words.take());
                 }
                 let finished = held.reply.is_none();
--- a/crates/engine/src/parts/driver/deeds.rs
+++ b/crates/engine/src/parts/driver/deeds.rs
@@ -2,9 +2,9 @@
 
 use super::held::{Attempt, Held};
 use super::{Answer, Core, Driver, Happening, Trace};
-use crate::parts::answer::{AnswerBody, Served};
+use crate::parts::answer::{ResponseBody, UpstreamResponse};
 use crate::parts::body::Payload;
-use crate::source::News;
+use crate::source::EndpointUpdate;
 use maplehook_core::{Action, AttemptNo, Endpoint, Outcome, RequestId, UpdateScope, UpstreamId};
 use rustc_hash::FxHashSet;
 use std::rc::Rc;
@@ -30,12 +30,12 @@
         id: RequestId,
         no: AttemptNo,
         upstream: UpstreamId,
-        served: Option<Served>,
+        served: Option<UpstreamResponse>,
     ) {
         let Some(mut served) = served else { return };
         let Some(reply) = held.reply.take() else { return };
         tracing::debug!(id = id.0, no = no.0, upstream = upstream.0, "served");
-        if let AnswerBody::Stream(stream) = &mut served.body {
+        if let ResponseBody::Stream(stream) = &mut served.body {
             let driver = Rc::clone(self);
             stream.on_end(Box::new(move |outcome| {
                 driver.happened(Happening::StreamEnded(id, no, outcome));
@@ -47,21 +47,21 @@
     }
 
     /// Applies news to the connections and words them for the module.
-    pub(super) fn fleet(&self, news: &News) -> Vec<Endpoint> {
+    pub(super) fn fleet(&self, news: &EndpointUpdate) -> Vec<Endpoint> {
         if matches!(news.scope, UpdateScope::Full | UpdateScope::Cached) {
             let ids: FxHashSet<UpstreamId> = news.entries.iter().map(|e| e.id).collect();
-            self.upstreams.keep_only(|id| ids.contains(&id));
+            self.upstreams.retain_listed(|id| ids.contains(&id));
         }
         let listed = news.entries.iter().map(|entry| {
-            self.upstreams.place(entry.id, entry.zone, &entry.place);
+            self.upstreams.update_endpoint(entry.id, entry.zone, &entry.state);
             Endpoint {
                 id: entry.id,
                 zone: entry.zone,
                 kind: entry.kind,
                 cell: entry.cell,
-                availability: entry.place.availability,
+                availability: entry.state.availability,
                 weight: entry.weight,
-                started: self.clock.at_unix_ms(entry.place.boot_ms),
+                started: self.clock.at_unix_ms(entry.state.boot_ms),
             }
         });
         listed.collect()
@@ -78,7 +78,7 @@
                     self.queue.borrow_mut().push_back(cancelled);
                 }
             }
-            Action::Reject { id, retry_after } => self.answer(core, id, Answer::Refused(retry_after)),
+            Action::Reject { id, retry_after } => self.answer(core, id, Answer::Rejected(retry_after)),
             Action::Fail { id } => self.answer(core, id, Answer::Failed),
             Action::Timer { after, timer } => {
                 let driver = Rc::clone(self);
@@ -126,14 +126,14 @@
 
     /// Follows a list that is pushed to an agent on this machine. The module asks for none there, and all that the
     /// agent holds counts as told, so the watch begins at once and is begun again soon after each end.
-    pub fn follow(self: &Rc<Self>) {
+    pub fn follow_pushed_list(self: &Rc<Self>) {
         self.follows.set(true);
         self.watch();
     }
 
     /// The source has moved. What was out at its old place is given up without a word, and it is asked anew at once,
     /// whether a call was out, a failed one is to be made again later, or a watch was open.
-    pub fn watch_anew(self: &Rc<Self>) {
+    pub fn restart_watch(self: &Rc<Self>) {
         if self.follows.get() {
             self.watch();
             return;
@@ -154,7 +154,7 @@
         let Some(held) = core.requests.get_mut(&id) else { return };
         let (sent, no) = (Instant::now(), AttemptNo(held.attempts.len() as u8));
         // The time of a body that streams is its own.
-        let timeout = timeout.filter(|_| matches!(held.asked.outgoing.body, Payload::Whole(_)));
+        let timeout = timeout.filter(|_| matches!(held.asked.outgoing.body, Payload::Buffered(_)));
         let give_up = timeout.map_or(held.asked.deadline, |t| held.asked.deadline.min(sent + t));
         let terms = held.terms(give_up, self.upstreams.window(held.asked.class));
         let (driver, asked, bound) = (Rc::clone(self), Rc::clone(&held.asked), terms.clone());
--- a/crates/engine/src/parts/driver/held.rs
+++ b/crates/engine/src/parts/driver/held.rs
@@ -1,8 +1,8 @@
 //! A request that the module decides on, and its attempts.
 
-use super::{Answer, Asked, Trace};
-use crate::parts::answer::Served;
-use crate::parts::terms::Terms;
+use super::{Answer, RequestContext, Trace};
+use crate::parts::answer::UpstreamResponse;
+use crate::parts::attempt_limits::AttemptLimits;
 use maplehook_core::{Outcome, UpstreamId};
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 pub(super) struct Attempt {
     pub(super) upstream: UpstreamId,
     pub(super) sent: Instant,
-    pub(super) terms: Terms,
+    pub(super) terms: AttemptLimits,
     pub(super) task: AbortHandle,
     /// The module has not been told how it ended.
     pub(super) out: bool,
@@ -30,7 +30,7 @@
 
 impl Attempt {
     /// One that begins.
-    pub(super) fn new(upstream: UpstreamId, sent: Instant, terms: Terms, task: AbortHandle) -> Self {
+    pub(super) fn new(upstream: UpstreamId, sent: Instant, terms: AttemptLimits, task: AbortHandle) -> Self {
         Self { upstream, sent, terms, task, out: true, streams: false, never_ran: false }
     }
 
@@ -43,12 +43,12 @@
 
 /// A request.
 pub(super) struct Held {
-    pub(super) asked: Rc<Asked>,
-    /// Taken with the final answer.
+    pub(super) asked: Rc<RequestContext>,
+    /// MemoryReservation with the final answer.
     pub(super) reply: Option<oneshot::Sender<(Answer, Trace)>>,
     pub(super) attempts: Vec<Attempt>,
     /// The last error in an upstream's own words, and whose they are.
-    pub(super) words: Option<(Served, UpstreamId)>,
+    pub(super) words: Option<(UpstreamResponse, UpstreamId)>,
     /// How long its key was remembered when it came; `None`: it has none.
     window: Option<Duration>,
 }
@@ -56,7 +56,7 @@
 impl Held {
     /// One that has come.
     pub(super) fn new(
-        asked: Asked,
+        asked: RequestContext,
         reply: oneshot::Sender<(Answer, Trace)>,
         window: Option<Duration>,
     ) -> Self {
@@ -65,15 +65,15 @@
 
     /// The terms of an attempt that is sent now. A repeat of a key keeps to the window of the settings that were in force when
     /// the request came, and to `window`, that of those in force now.
-    pub(super) fn terms(&self, give_up: Instant, window: Option<Duration>) -> Terms {
+    pub(super) fn terms(&self, give_up: Instant, window: Option<Duration>) -> AttemptLimits {
         let presence = self.asked.presence.clone();
         if self.attempts.is_empty() {
-            return Terms::first(give_up).asked_by(presence);
+            return AttemptLimits::first(give_up).with_presence(presence);
         }
         let earliest = self.attempts.iter().filter(|a| !a.never_ran).map(|a| a.sent).min();
         let window = self.window.into_iter().chain(window).min();
         let write_by = earliest.zip(window).map(|(at, window)| at + window.saturating_sub(ON_THE_WAY));
-        Terms::repeat(give_up, write_by).asked_by(presence)
+        AttemptLimits::repeat(give_up, write_by).with_presence(presence)
     }
 
     /// Attempts of which nothing has been written though their request is over.
--- a/crates/engine/src/parts/driver/pending.rs
+++ b/crates/engine/src/parts/driver/pending.rs
@@ -6,13 +6,13 @@
 use tokio::sync::oneshot;
 
 /// A request that is owed its final answer.
-pub struct Pending {
+pub struct PendingAnswer {
     driver: Rc<Driver>,
     id: RequestId,
     answer: Option<oneshot::Receiver<(Answer, Trace)>>,
 }
 
-impl Pending {
+impl PendingAnswer {
     /// One whose answer comes by this.
     pub(super) fn new(driver: Rc<Driver>, id: RequestId, answer: oneshot::Receiver<(Answer, Trace)>) -> Self {
         Self { driver, id, answer: Some(answer) }
@@ -28,7 +28,7 @@
     }
 }
 
-impl Drop for Pending {
+impl Drop for PendingAnswer {
     fn drop(&mut self) {
         if self.answer.take().is_some() {
             self.driver.happened(Happening::Gone(self.id));
--- a/crates/engine/src/parts/driver/places.rs
+++ b/crates/engine/src/parts/driver/places.rs
@@ -8,36 +8,36 @@
 
 /// What is seen of zones and groups of requests. Counters go on from the start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sights {
+pub struct Observations {
     /// Each zone of which an upstream is listed, or to which anything was sent.
     pub zones: Vec<ZoneObservation>,
     /// Each group of the shares in force, by position; none without shares.
     pub groups: Vec<GroupObservation>,
     /// Connections by zone, where any was made.
-    pub connects: Vec<(ZoneId, Connects)>,
+    pub connects: Vec<(ZoneId, ConnectStats)>,
 }
 
 /// Connections that were made to the upstreams of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Connects {
+pub struct ConnectStats {
     /// How many.
-    pub made: u64,
+    pub count: u64,
     /// How long they took together.
-    pub took: Duration,
+    pub total_time: Duration,
 }
 
 impl Driver {
     /// Which zones each group of requests goes to from now on; see [`Event::TrafficSplit`](maplehook_core::Event::TrafficSplit).
-    pub fn share(self: &Rc<Self>, shares: Option<TrafficSplit>) -> Result<(), TrafficSplitError> {
+    pub fn set_traffic_split(self: &Rc<Self>, shares: Option<TrafficSplit>) -> Result<(), TrafficSplitError> {
         shares.as_ref().map_or(Ok(()), TrafficSplit::check)?;
         self.happened(Happening::Shared(shares.map(Box::new)));
         Ok(())
     }
 
     /// What is seen now. One look over the fleet: for a report now and then.
-    pub fn sights(&self) -> Sights {
+    pub fn observations(&self) -> Observations {
         let core = self.core.borrow();
-        Sights {
+        Observations {
             zones: core.balancer.zone_observations(self.clock.now()),
             groups: core.balancer.group_observations().to_vec(),
             connects: self.upstreams.connects(),
--- a/crates/engine/src/parts/mod.rs
+++ b/crates/engine/src/parts/mod.rs
@@ -3,25 +3,25 @@
 //!
 //! | part | what it does |
 //! | --- | --- |
-//! | [`desk`] | takes requests in; the ledger stands here |
+//! | [`dispatcher`] | takes requests in; the ledger stands here |
 //! | [`driver`] | the only owner of the decision module: events in, actions carried out |
 //! | [`upstream`], [`attempt`], [`connection`] | where upstreams are, one request at one of them, one connection |
-//! | [`terms`] | until when an attempt may be written and waited for |
-//! | [`body`], [`answer`], [`room`] | bodies of requests and answers, and the memory that they share |
+//! | [`attempt_limits`] | until when an attempt may be written and waited for |
+//! | [`body`], [`answer`], [`body_memory`] | bodies of requests and answers, and the memory that they share |
 //! | [`descriptors`] | who may hold how many, and what is done when none is left |
 //! | [`discovery`] | the platform's list |
 
 pub mod answer;
 pub mod attempt;
+pub mod attempt_limits;
 pub mod body;
+pub mod body_memory;
 pub mod connection;
 pub mod descriptors;
-pub mod desk;
 pub mod discovery;
+pub mod dispatcher;
 pub mod driver;
 pub mod headers;
 pub(crate) mod pool;
-pub mod room;
-pub mod seldom;
-pub mod terms;
+pub mod rate_limited_log;
 pub mod upstream;
--- a/crates/engine/src/parts/pool.rs
+++ b/crates/engine/src/parts/pool.rs
@@ -2,7 +2,7 @@
 
 use crate::parts::connection::{Connection, Unasked};
 use crate::parts::descriptors::Descriptors;
-use crate::parts::seldom::Seldom;
+use crate::parts::rate_limited_log::RateLimitedLog;
 use maplehook_admission::DescriptorClass;
 use maplehook_core::UpstreamId;
 use rustc_hash::FxHashMap;
@@ -81,7 +81,7 @@
     /// A connection that was idle.
     Idle(Connection),
     /// Room for a new one.
-    Room(Slot),
+    Slot(Slot),
 }
 
 /// An idle connection.
@@ -122,14 +122,14 @@
     idle_most: Cell<Duration>,
     /// When an upstream last spoke on an idle connection.
     unasked: Unasked,
-    full: Seldom,
+    full: RateLimitedLog,
 }
 
 impl Pool {
     /// At most so many connections as there are descriptors for, each of use while it has not been idle for
     /// `idle_most`.
     pub fn new(descriptors: Rc<Descriptors>, idle_most: Duration) -> Self {
-        let full = Seldom::default();
+        let full = RateLimitedLog::default();
         Self {
             idle: RefCell::default(),
             open: Rc::default(),
@@ -216,7 +216,7 @@
             if let Some(connection) = self.take_rested(upstream) {
                 return Found::Idle(connection);
             }
-            let most = self.descriptors.of(DescriptorClass::Upstreams);
+            let most = self.descriptors.limit_of(DescriptorClass::Upstreams);
             if self.open.count.get() < most {
                 break;
             }
@@ -230,12 +230,13 @@
             self.open.changed().await;
         }
         self.open.count.set(self.open.count.get() + 1);
-        Found::Room(Slot(Rc::clone(&self.open)))
+        Found::Slot(Slot(Rc::clone(&self.open)))
     }
 
     /// There are fewer descriptors than there were: closes idle connections as far as that helps.
     pub fn shrink(&self) {
-        let over = self.open.count.get().saturating_sub(self.descriptors.of(DescriptorClass::Upstreams));
+        let over =
+            self.open.count.get().saturating_sub(self.descriptors.limit_of(DescriptorClass::Upstreams));
         for _ in 0..over {
             if !self.close_oldest() {
                 break;
@@ -281,7 +282,7 @@
     pub async fn slot(&self) -> Slot {
         const NOBODY: UpstreamId = UpstreamId(u64::MAX);
         match self.found(NOBODY).await {
-            Found::Room(slot) => slot,
+            Found::Slot(slot) => slot,
             Found::Idle(_) => unreachable!("nobody has a connection"),
         }
     }
@@ -301,7 +302,7 @@
         };
         let shared_out = MIN_DESCRIPTORS - BASE_DESCRIPTORS - DISCOVERY_DESCRIPTORS - REJECTION_DESCRIPTORS;
         let descriptors = Descriptors::new(MIN_DESCRIPTORS, 0, (n as f64 + 0.5) / shared_out as f64).unwrap();
-        assert_eq!(descriptors.of(DescriptorClass::Upstreams), n);
+        assert_eq!(descriptors.limit_of(DescriptorClass::Upstreams), n);
         descriptors
     }
 
--- a/crates/engine/src/parts/seldom.rs
+++ b/crates/engine/src/parts/rate_limited_log.rs
@@ -7,12 +7,12 @@
 
 /// Lets one line a second pass and counts the others.
 #[derive(Default)]
-pub struct Seldom {
+pub struct RateLimitedLog {
     last: Cell<Option<Instant>>,
     skipped: Cell<u64>,
 }
 
-impl Seldom {
+impl RateLimitedLog {
     /// A warning, unless one has passed within the second.
     pub fn warn(&self, what: impl FnOnce() -> String) {
         let now = Instant::now();
--- a/crates/engine/src/parts/upstream.rs
+++ b/crates/engine/src/parts/upstream.rs
@@ -1,12 +1,12 @@
 //! The upstreams: where they are, whether they take requests, the connections to them.
 
+use crate::parts::body_memory::BodyMemory;
 use crate::parts::connection::Connection;
-use crate::parts::descriptors::{self, Descriptors, out_of_descriptors, own_fault};
-use crate::parts::driver::Connects;
+use crate::parts::descriptors::{self, Descriptors, is_descriptor_exhaustion, is_local_failure};
+use crate::parts::driver::ConnectStats;
 use crate::parts::headers;
 use crate::parts::pool::{Found, Pool};
-use crate::parts::room::Room;
-use crate::parts::seldom::Seldom;
+use crate::parts::rate_limited_log::RateLimitedLog;
 use crate::tally::Tally;
 use maplehook_core::{
     Availability, ClassId, Effect, LoadField, Outcome, Reports, Settings, UpstreamId, ZoneId,
@@ -27,7 +27,7 @@
 
 /// An entry of the list, as far as connections go.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct EndpointState {
     /// Where it listens; `None` if the list did not say so in a readable way.
     pub endpoint: Option<SocketAddr>,
     /// Whether it takes requests.
@@ -58,7 +58,7 @@
     known: RefCell<FxHashMap<UpstreamId, Rc<Upstream>>>,
     pub(crate) pool: Pool,
     descriptors: Rc<Descriptors>,
-    pub(crate) room: Room,
+    pub(crate) room: BodyMemory,
     pub(crate) forwarding: Forwarding,
     pub(crate) probing: Rc<Passage>,
     pub(crate) tally: Arc<Tally>,
@@ -67,24 +67,24 @@
     windows: RefCell<Vec<Option<Duration>>>,
     pub(crate) reports: Cell<Reports>,
     report_fields: RefCell<Vec<LoadField>>,
-    odd_reports: Seldom,
-    short: Seldom,
+    odd_reports: RateLimitedLog,
+    short: RateLimitedLog,
     lease: Cell<Lease>,
     /// Connections made, by zone.
-    connects: RefCell<BTreeMap<u8, Connects>>,
+    connects: RefCell<BTreeMap<u8, ConnectStats>>,
 }
 
 /// Until when the rules hold by which requests were decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lease {
     /// For good.
-    Free,
-    /// Until then; after that nothing is written a second time, and where `first_too` nothing at all.
+    Unlimited,
+    /// Until then; after that nothing is written a second time, and where `covers_first_attempts` nothing at all.
     Until {
         /// When it ends.
         until: Instant,
         /// Whether that is so of a first attempt too.
-        first_too: bool,
+        covers_first_attempts: bool,
     },
 }
 
@@ -93,7 +93,7 @@
     pub fn new(
         settings: &Settings,
         descriptors: Rc<Descriptors>,
-        room: Room,
+        room: BodyMemory,
         forwarding: Forwarding,
         tally: Arc<Tally>,
     ) -> Self {
@@ -109,24 +109,26 @@
             windows: RefCell::new(windows(settings)),
             reports: Cell::new(settings.reports),
             report_fields: RefCell::new(settings.report_fields.clone()),
-            odd_reports: Seldom::default(),
-            short: Seldom::default(),
-            lease: Cell::new(Lease::Free),
+            odd_reports: RateLimitedLog::default(),
+            short: RateLimitedLog::default(),
+            lease: Cell::new(Lease::Unlimited),
             connects: RefCell::default(),
         }
     }
 
     /// Until when the rules hold. It is looked at in the moment of writing: a process that was stopped must not go on by rules
     /// that have run out meanwhile.
-    pub fn lease(&self, lease: Lease) {
+    pub fn set_lease(&self, lease: Lease) {
         self.lease.set(lease);
     }
 
     /// Whether an attempt may be written now.
     pub(crate) fn may_write(&self, repeat: bool) -> bool {
         match self.lease.get() {
-            Lease::Free => true,
-            Lease::Until { until, first_too } => !(repeat || first_too) || Instant::now() < until,
+            Lease::Unlimited => true,
+            Lease::Until { until, covers_first_attempts } => {
+                !(repeat || covers_first_attempts) || Instant::now() < until
+            }
         }
     }
 
@@ -145,7 +147,7 @@
     }
 
     /// Takes in what the list says of one.
-    pub fn place(&self, id: UpstreamId, zone: ZoneId, place: &Place) {
+    pub fn update_endpoint(&self, id: UpstreamId, zone: ZoneId, place: &EndpointState) {
         let mut known = self.known.borrow_mut();
         if place.availability == Availability::Removed {
             if let Some(upstream) = known.remove(&id) {
@@ -187,7 +189,7 @@
     }
 
     /// Forgets all that `listed` does not name: they are gone.
-    pub fn keep_only(&self, listed: impl Fn(UpstreamId) -> bool) {
+    pub fn retain_listed(&self, listed: impl Fn(UpstreamId) -> bool) {
         self.known.borrow_mut().retain(|id, upstream| {
             let stays = listed(*id);
             if !stays {
@@ -209,7 +211,7 @@
     }
 
     /// There are fewer descriptors than there were, or more.
-    pub fn resized(&self) {
+    pub fn apply_descriptor_limit(&self) {
         self.pool.shrink();
     }
 
@@ -237,7 +239,7 @@
         loop {
             // Out of descriptors or of time says nothing of the upstream.
             let slot = match timeout_at(until, self.pool.found(id)).await {
-                Ok(Found::Room(slot)) => slot,
+                Ok(Found::Slot(slot)) => slot,
                 Ok(Found::Idle(mut connection)) => match timeout_at(until, connection.is_usable()).await {
                     Ok(true) => return Ok((connection, true)),
                     Ok(false) => continue,
@@ -250,17 +252,17 @@
                 Ok(Ok(connection)) => {
                     let connects = &mut *self.connects.borrow_mut();
                     let of = connects.entry(upstream.zone.get().0).or_default();
-                    (of.made, of.took) = (of.made + 1, of.took + begun.elapsed());
+                    (of.count, of.total_time) = (of.count + 1, of.total_time + begun.elapsed());
                     return Ok((connection, false));
                 }
-                Ok(Err(e)) if out_of_descriptors(&e) => {
-                    self.descriptors.starved("connect");
-                    if Instant::now() + descriptors::PAUSE >= until {
+                Ok(Err(e)) if is_descriptor_exhaustion(&e) => {
+                    self.descriptors.record_exhaustion("connect");
+                    if Instant::now() + descriptors::EXHAUSTION_BACKOFF >= until {
                         return Err(Outcome::NotSent);
                     }
-                    sleep(descriptors::PAUSE).await;
+                    sleep(descriptors::EXHAUSTION_BACKOFF).await;
                 }
-                Ok(Err(e)) if own_fault(&e) => {
+                Ok(Err(e)) if is_local_failure(&e) => {
                     self.short.warn(|| format!("no connection to {endpoint}: {e}"));
                     return Err(Outcome::NotSent);
                 }
@@ -275,7 +277,7 @@
     }
 
     /// Connections made, by zone.
-    pub(crate) fn connects(&self) -> Vec<(ZoneId, Connects)> {
+    pub(crate) fn connects(&self) -> Vec<(ZoneId, ConnectStats)> {
         self.connects.borrow().iter().map(|(zone, of)| (ZoneId(*zone), *of)).collect()
     }
 
--- a/crates/engine/src/source.rs
+++ b/crates/engine/src/source.rs
@@ -1,6 +1,6 @@
 //! Where the list of upstreams comes from. Every kind of discovery stands behind [`Source`].
 
-pub use crate::parts::upstream::Place;
+pub use crate::parts::upstream::EndpointState;
 use maplehook_core::{Availability, CellId, KindId, UpdateScope, UpstreamId, ZoneId};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -21,19 +21,19 @@
     /// Its weight.
     pub weight: f64,
     /// Where it is, and how it stands.
-    pub place: Place,
+    pub state: EndpointState,
 }
 
-/// News of the list.
+/// Update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct EndpointUpdate {
     /// How complete it is.
     pub scope: UpdateScope,
     /// The entries.
     pub entries: Vec<Entry>,
 }
 
-impl News {
+impl EndpointUpdate {
     /// That nothing has changed, in answer to a call.
     pub fn unchanged() -> Self {
         Self { scope: UpdateScope::Changes, entries: Vec::new() }
@@ -52,14 +52,14 @@
 /// when it has failed; it keeps no time of its own for that. What bounds a call and a watch stands in
 /// [`maplehook_core::discovery_timing`].
 pub trait Source {
-    /// The whole list, or [`News::failed`].
-    fn fetch(&self) -> Task<'_, News>;
+    /// The whole list, or [`EndpointUpdate::failed`].
+    fn fetch(&self) -> Task<'_, EndpointUpdate>;
 
-    /// Follows the list until that fails, and tells what comes; the last word is [`News::failed`].
-    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(News)) -> Task<'a, ()>;
+    /// Follows the list until that fails, and tells what comes; the last word is [`EndpointUpdate::failed`].
+    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()>;
 
     /// What passes on the sockets says more of an upstream than its absence from a list.
-    fn heard(&self, _upstream: UpstreamId, _heard: Heard) {}
+    fn record_reachability(&self, _upstream: UpstreamId, _heard: Reachability) {}
 
     /// When the list was last known to be what its origin says, with all of that told; `None`: never, or nobody can say.
     fn confirmed(&self) -> Option<Instant> {
@@ -69,7 +69,7 @@
 
 /// What an attempt says of its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Reachability {
     /// It has answered.
     Answered,
     /// No connection to it could be made.
@@ -94,7 +94,7 @@
             kind: KindId(0),
             cell: CellId(0),
             weight,
-            place: Place {
+            state: EndpointState {
                 endpoint: Some(address),
                 availability: if drained { Availability::Draining } else { Availability::Ready },
                 boot_ms: 0,
@@ -109,17 +109,17 @@
     }
 
     /// The list.
-    pub fn news(&self) -> News {
-        News { scope: UpdateScope::Full, entries: self.0.clone() }
+    pub fn news(&self) -> EndpointUpdate {
+        EndpointUpdate { scope: UpdateScope::Full, entries: self.0.clone() }
     }
 }
 
 impl Source for Fixed {
-    fn fetch(&self) -> Task<'_, News> {
+    fn fetch(&self) -> Task<'_, EndpointUpdate> {
         Box::pin(std::future::ready(self.news()))
     }
 
-    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(News)) -> Task<'a, ()> {
+    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
         tell(self.news());
         Box::pin(std::future::pending())
     }
--- a/crates/engine/src/tally.rs
+++ b/crates/engine/src/tally.rs
@@ -7,7 +7,7 @@
 
 pub use reasons::Reasons;
 
-use crate::parts::answer::{AnswerBody, Served};
+use crate::parts::answer::{ResponseBody, UpstreamResponse};
 use crate::parts::driver::Answer;
 use maplehook_core::{ClassId, Outcome, TenantId};
 use prometheus_client::encoding::EncodeLabelSet;
@@ -210,10 +210,14 @@
     /// It has this answer; one that streams ends later, with its last byte.
     pub fn answered(self, answer: &mut Answer) {
         match answer {
-            Answer::Served(Served { body: AnswerBody::Stream(stream), .. }) => stream.owed(self),
-            Answer::Served(Served { status, .. }) if status.is_server_error() => self.count(End::Failed),
+            Answer::Served(UpstreamResponse { body: ResponseBody::Stream(stream), .. }) => {
+                stream.track_outcome(self)
+            }
+            Answer::Served(UpstreamResponse { status, .. }) if status.is_server_error() => {
+                self.count(End::Failed)
+            }
             Answer::Served(_) => self.count(End::Served),
-            Answer::Refused(_) => self.count(End::Refused),
+            Answer::Rejected(_) => self.count(End::Refused),
             Answer::Failed => self.count(End::Failed),
         }
     }
@@ -254,8 +258,8 @@
     use hyper::{HeaderMap, StatusCode};
 
     fn served(status: StatusCode) -> Answer {
-        let body = AnswerBody::Whole(Bytes::new());
-        Answer::Served(Served { status, headers: HeaderMap::new(), body })
+        let body = ResponseBody::Buffered(Bytes::new());
+        Answer::Served(UpstreamResponse { status, headers: HeaderMap::new(), body })
     }
 
     fn has(tally: &Tally, line: &str) -> bool {
@@ -272,7 +276,7 @@
         assert!(has(&tally, "balancer_current 6"));
         let answers = [
             Some(served(StatusCode::OK)),
-            Some(Answer::Refused(None)),
+            Some(Answer::Rejected(None)),
             Some(Answer::Failed),
             Some(served(StatusCode::BAD_GATEWAY)),
             None,
@@ -337,7 +341,7 @@
         counting.look(None);
         counting.taken(ClassId(0), TenantId(0)).answered(&mut Answer::Failed);
         one.answered(&mut served(StatusCode::OK));
-        two.answered(&mut Answer::Refused(None));
+        two.answered(&mut Answer::Rejected(None));
         streams.streamed(Outcome::Reset);
         drop(left);
         assert_eq!(*seen.0.borrow(), [(0, End::Served), (0, End::Refused), (0, End::Failed)]);
--- a/crates/engine/tests/answers_out_of_turn.rs
+++ b/crates/engine/tests/answers_out_of_turn.rs
@@ -7,9 +7,9 @@
 use http_body_util::{BodyExt, Full};
 use hyper::Method;
 use hyper::body::Body;
-use maplehook::parts::attempt::{Ended, Outgoing};
-use maplehook::parts::body::{Patience, Payload, Upload};
-use maplehook::parts::terms::Terms;
+use maplehook::parts::attempt::{AttemptResult, OutboundRequest};
+use maplehook::parts::attempt_limits::AttemptLimits;
+use maplehook::parts::body::{Payload, Upload, UploadTimeouts};
 use maplehook::parts::upstream::Upstreams;
 use maplehook_core::{Availability, Effect, Outcome, UpstreamId, ZoneId};
 use maplehook_http_semantics::Passage;
@@ -26,13 +26,15 @@
 
 fn one_upstream() -> (Peer, Rc<Upstreams>) {
     let (peer, upstreams) = (Peer::start(), upstreams(&settings(), 8));
-    upstreams.place(ID, ZoneId(0), &entry(0, peer.address, Availability::Ready, 0).place);
+    upstreams.update_endpoint(ID, ZoneId(0), &entry(0, peer.address, Availability::Ready, 0).state);
     (peer, upstreams)
 }
 
-fn begin(upstreams: &Rc<Upstreams>, request: Outgoing) -> JoinHandle<Ended> {
+fn begin(upstreams: &Rc<Upstreams>, request: OutboundRequest) -> JoinHandle<AttemptResult> {
     let upstreams = Rc::clone(upstreams);
-    spawn_local(async move { upstreams.attempt(ID, &request, Terms::first(Instant::now() + LONG)).await })
+    spawn_local(
+        async move { upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)).await },
+    )
 }
 
 /// Guards a client from another's answer: an answer that has come before the request has left whole can't be that to it, where
@@ -40,15 +42,15 @@
 #[tokio::test(flavor = "local")]
 async fn an_answer_before_the_end_of_its_request_is_none() {
     let (mut peer, upstreams) = one_upstream();
-    let body = Payload::Whole(Bytes::from(vec![b'y'; LONG_BODY]));
-    let request = Outgoing { body, ..outgoing(BOOK, "one") };
+    let body = Payload::Buffered(Bytes::from(vec![b'y'; LONG_BODY]));
+    let request = OutboundRequest { body, ..outgoing(BOOK, "one") };
     let attempt = begin(&upstreams, request);
     settle("its connection comes", || peer.accept()).await;
     settle("it has begun", || peer.has_begun(0)).await;
     peer.write(0, &ok("another's"));
     let ended = attempt.await.unwrap();
     assert_eq!(ended.outcome, Outcome::ConnectFailed);
-    assert!(ended.served.is_none());
+    assert!(ended.response.is_none());
 }
 
 /// Guards requests from standing in line behind the unread rest of another's body: a connection whose answer came early is kept
@@ -56,15 +58,16 @@
 #[tokio::test(flavor = "local")]
 async fn a_connection_with_unread_bytes_is_not_kept() {
     let (mut peer, upstreams) = one_upstream();
-    let patience = Patience { idle: LONG, sender: LONG, total: LONG, answer: LONG };
+    let patience = UploadTimeouts { idle: LONG, sender: LONG, total: LONG, answer: LONG };
     let (most, length) = (u64::MAX, LONG_BODY as u64);
     let rest = Full::new(Bytes::from(vec![b'y'; LONG_BODY])).map_err(|never| match never {});
     let upload = Upload::new(Bytes::new(), Box::pin(rest), Some(length), most, patience);
     let passage = Rc::new(Passage::general(Effect::Idempotent));
-    let request = Outgoing { body: Payload::Upload(Rc::clone(&upload)), passage, ..outgoing(BOOK, "one") };
+    let request =
+        OutboundRequest { body: Payload::Upload(Rc::clone(&upload)), passage, ..outgoing(BOOK, "one") };
     let attempt = begin(&upstreams, request);
     settle("its connection comes", || peer.accept()).await;
-    settle("all of it is on its way", || upload.is_whole()).await;
+    settle("all of it is on its way", || upload.is_complete()).await;
     peer.write(0, &ok("enough"));
     assert_eq!(attempt.await.unwrap().outcome, Outcome::Ok);
     let next = begin(&upstreams, outgoing(BOOK, "two"));
@@ -82,10 +85,10 @@
     for ((method, line), at_once) in cases.into_iter().flat_map(|case| [(case.clone(), true), (case, false)])
     {
         let (mut peer, upstreams) = one_upstream();
-        let request = Outgoing {
+        let request = OutboundRequest {
             method,
             passage: Rc::clone(&passage),
-            body: Payload::Whole(Bytes::new()),
+            body: Payload::Buffered(Bytes::new()),
             ..outgoing(BOOK, "1")
         };
         let attempt = begin(&upstreams, request.clone());
@@ -95,7 +98,7 @@
         peer.write(0, now);
         let ended = attempt.await.unwrap();
         assert_eq!(ended.outcome, Outcome::Ok, "{line}");
-        assert!(ended.served.unwrap().body.is_end_stream());
+        assert!(ended.response.unwrap().body.is_end_stream());
         peer.write(0, later);
         let next = begin(&upstreams, request);
         settle("another connection comes", || {
@@ -156,8 +159,8 @@
     let text = "HTTP/1.1 103 Early Hints\r\nX-A: b\r\n\r\n".repeat(10_000);
     let upstream = Upstream::start(Then::Answer(text.leak()));
     let upstreams = upstreams(&settings(), 8);
-    upstreams.place(ID, ZoneId(0), &entry(0, upstream.address, Availability::Ready, 0).place);
-    let terms = Terms::first(Instant::now() + Duration::from_secs(3));
+    upstreams.update_endpoint(ID, ZoneId(0), &entry(0, upstream.address, Availability::Ready, 0).state);
+    let terms = AttemptLimits::first(Instant::now() + Duration::from_secs(3));
     let ended = upstreams.attempt(ID, &outgoing(BOOK, "one"), terms).await;
     assert_eq!(ended.outcome, Outcome::Error);
 }
--- a/crates/engine/tests/attempt_states.rs
+++ b/crates/engine/tests/attempt_states.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::{BOOK, ERROR, KEYED, LOOK, Peer, TURNED_AWAY, WINDOW, asked, entry, ok, settings, upstreams};
-use maplehook::parts::answer::AnswerBody;
+use maplehook::parts::answer::ResponseBody;
 use maplehook::parts::driver::{Answer, Driver};
-use maplehook::source::{Entry, News, Source, Task};
+use maplehook::source::{EndpointUpdate, Entry, Source, Task};
 use maplehook_core::{Availability, Balancer, Settings, UpdateScope, ZoneId};
 use maplehook_http_semantics::Passage;
 use maplehook_test_servers::LONG;
@@ -76,14 +76,14 @@
 }
 
 /// A list that the test pushes.
-struct Pushed(RefCell<mpsc::UnboundedReceiver<News>>);
+struct Pushed(RefCell<mpsc::UnboundedReceiver<EndpointUpdate>>);
 
 impl Source for Pushed {
-    fn fetch(&self) -> Task<'_, News> {
-        Box::pin(std::future::ready(News::failed()))
+    fn fetch(&self) -> Task<'_, EndpointUpdate> {
+        Box::pin(std::future::ready(EndpointUpdate::failed()))
     }
 
-    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(News)) -> Task<'a, ()> {
+    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
         Box::pin(std::future::poll_fn(move |cx| {
             while let std::task::Poll::Ready(Some(news)) = self.0.borrow_mut().poll_recv(cx) {
                 tell(news);
@@ -115,7 +115,7 @@
 
 struct World {
     driver: Rc<Driver>,
-    news: mpsc::UnboundedSender<News>,
+    news: mpsc::UnboundedSender<EndpointUpdate>,
     peers: Vec<Peer>,
     listed: Vec<Entry>,
     asked: Vec<Asked>,
@@ -133,12 +133,12 @@
             ..entry(n, peer.address, Availability::Ready, 0)
         };
         let listed: Vec<_> = peers.iter().enumerate().map(ready).collect();
-        let known = News { scope: UpdateScope::Cached, entries: listed.clone() };
+        let known = EndpointUpdate { scope: UpdateScope::Cached, entries: listed.clone() };
         let (news, pushed) = mpsc::unbounded_channel();
         let (upstreams, balancer) = (upstreams(&settings, most_open), Balancer::new(settings, 7).unwrap());
         let source = Rc::new(Pushed(RefCell::new(pushed)));
         let driver = Driver::start(balancer, upstreams, source, known);
-        driver.follow();
+        driver.follow_pushed_list();
         let (asked, spoilt, given) = Default::default();
         Self { driver, news, peers, listed, asked, spoilt, given }
     }
@@ -166,14 +166,14 @@
                 }
             }
             Op::List(peer, state) => {
-                self.listed[*peer].place.availability = *state;
+                self.listed[*peer].state.availability = *state;
                 self.tell(*peer);
             }
             Op::Restart(peer) => {
-                self.listed[*peer].place.boot_ms += 1;
+                self.listed[*peer].state.boot_ms += 1;
                 self.tell(*peer);
             }
-            Op::Stop => self.driver.cut_off(),
+            Op::Stop => self.driver.abort_attempts(),
             Op::Pass => {}
         }
     }
@@ -181,14 +181,14 @@
     fn ask(&mut self, class: u16) {
         let asked = asked(class, &self.asked.len().to_string());
         let passage = Rc::clone(&asked.outgoing.passage);
-        let pending = self.driver.ask(asked);
+        let pending = self.driver.submit(asked);
         let task = spawn_local(async move {
             match pending.answer().await.0 {
                 Answer::Served(served) => match served.body {
-                    AnswerBody::Whole(body) => ("served", String::from_utf8(body.to_vec()).unwrap()),
-                    AnswerBody::Stream(_) => ("streams", String::new()),
+                    ResponseBody::Buffered(body) => ("served", String::from_utf8(body.to_vec()).unwrap()),
+                    ResponseBody::Stream(_) => ("streams", String::new()),
                 },
-                Answer::Refused(_) => ("refused", String::new()),
+                Answer::Rejected(_) => ("refused", String::new()),
                 Answer::Failed => ("failed", String::new()),
             }
         });
@@ -197,7 +197,7 @@
 
     fn tell(&self, peer: usize) {
         let entries = vec![self.listed[peer].clone()];
-        self.news.send(News { scope: UpdateScope::Changes, entries }).unwrap();
+        self.news.send(EndpointUpdate { scope: UpdateScope::Changes, entries }).unwrap();
     }
 
     /// An upstream does something about a request that it has.
@@ -255,7 +255,7 @@
         let Asked { class, left, runs, .. } = &self.asked[n];
         assert!(!left, "{n} is sent after its client has left");
         assert!(!self.spoilt.contains(&(peer, link)), "{n} on a spoilt connection");
-        assert_eq!(self.listed[peer].place.availability, Availability::Ready, "{n} to {peer}");
+        assert_eq!(self.listed[peer].state.availability, Availability::Ready, "{n} to {peer}");
         assert!(runs.len() < usize::from(settings().max_attempts), "{n}: too many attempts");
         let in_flight = |run: &Run| !run.over && !self.peers[run.peer].links[run.link].ended;
         assert!(!runs.iter().any(in_flight), "{n}: two in flight");
--- a/crates/engine/tests/client_gone.rs
+++ b/crates/engine/tests/client_gone.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{BOOK, ERROR, LOOK, Peer, asked, driver, name, pass, settings, settle, turn, upstreams};
-use maplehook::parts::driver::Pending;
+use maplehook::parts::driver::PendingAnswer;
 use maplehook_core::{Class, Settings};
 use std::time::Duration;
 use tokio::task::spawn_local;
@@ -27,7 +27,7 @@
 async fn leaves_as_it_connects<const N: usize>(
     peers: [Peer; N],
     which: usize,
-    pending: Pending,
+    pending: PendingAnswer,
 ) -> ([Peer; N], usize) {
     let left = spawn_local(async move {
         let mut peers = peers;
@@ -59,14 +59,14 @@
     for settings in all_settings() {
         let mut peers = [Peer::start()];
         let driver = driver(settings.clone(), upstreams(&settings, 1), &[peers[0].address]);
-        let first = driver.ask(asked(BOOK, "first"));
+        let first = driver.submit(asked(BOOK, "first"));
         let (_, link) = comes(&mut peers, "first").await;
-        let second = driver.ask(asked(BOOK, "second"));
+        let second = driver.submit(asked(BOOK, "second"));
         pass().await;
         drop(second);
         peers[0].answer(link, "done");
         assert_eq!(name(&first.answer().await.0), "served");
-        let third = driver.ask(asked(BOOK, "third"));
+        let third = driver.submit(asked(BOOK, "third"));
         let (_, link) = comes(&mut peers, "third").await;
         peers[0].answer(link, "done");
         assert_eq!(name(&third.answer().await.0), "served");
@@ -81,7 +81,7 @@
     for settings in all_settings() {
         let peer = Peer::start();
         let driver = driver(settings.clone(), upstreams(&settings, 8), &[peer.address]);
-        let pending = driver.ask(asked(BOOK, "one"));
+        let pending = driver.submit(asked(BOOK, "one"));
         let peer = leaves_as_it_connects([peer], 0, pending).await;
         is_not_written(peer).await;
     }
@@ -94,7 +94,7 @@
         let mut peers = [Peer::start(), Peer::start()];
         let driver =
             driver(settings.clone(), upstreams(&settings, 8), &peers.each_ref().map(|peer| peer.address));
-        let pending = driver.ask(asked(LOOK, "one"));
+        let pending = driver.submit(asked(LOOK, "one"));
         let (n, link) = comes(&mut peers, "one").await;
         peers[n].write(link, ERROR);
         let other = leaves_as_it_connects(peers, 1 - n, pending).await;
@@ -113,7 +113,7 @@
         let mut peers = [Peer::start(), Peer::start()];
         let driver =
             driver(settings.clone(), upstreams(&settings, 8), &peers.each_ref().map(|peer| peer.address));
-        let pending = driver.ask(asked(LOOK, "one"));
+        let pending = driver.submit(asked(LOOK, "one"));
         let (n, _) = comes(&mut peers, "one").await;
         let other = leaves_as_it_connects(peers, 1 - n, pending).await;
         is_not_written(other).await;
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -5,13 +5,13 @@
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use maplehook::label::Label;
-use maplehook::parts::attempt::Outgoing;
+use maplehook::parts::attempt::OutboundRequest;
 use maplehook::parts::body::Payload;
+use maplehook::parts::body_memory::BodyMemory;
 use maplehook::parts::descriptors::Descriptors;
-use maplehook::parts::driver::{Answer, Asked, Driver};
-use maplehook::parts::room::Room;
-use maplehook::parts::upstream::{Place, Upstreams};
-use maplehook::source::{Entry, Fixed, News};
+use maplehook::parts::driver::{Answer, Driver, RequestContext};
+use maplehook::parts::upstream::{EndpointState, Upstreams};
+use maplehook::source::{EndpointUpdate, Entry, Fixed};
 use maplehook_admission::DescriptorClass;
 use maplehook_core::{
     Availability, Balancer, CellId, Class, ClassId, DedupGroup, Effect, KindId, Settings, Tenant, TenantId,
@@ -56,8 +56,8 @@
     let shared_out =
         (MIN_DESCRIPTORS - BASE_DESCRIPTORS - DISCOVERY_DESCRIPTORS - REJECTION_DESCRIPTORS) as f64;
     let descriptors = Descriptors::new(MIN_DESCRIPTORS, 0, (most_open as f64 + 0.5) / shared_out).unwrap();
-    assert_eq!(descriptors.of(DescriptorClass::Upstreams), most_open);
-    let (room, forwarding) = (Room::new(1 << 20), Forwarding::platform());
+    assert_eq!(descriptors.limit_of(DescriptorClass::Upstreams), most_open);
+    let (room, forwarding) = (BodyMemory::new(1 << 20), Forwarding::platform());
     Rc::new(Upstreams::new(settings, descriptors, room, forwarding, Arc::default()))
 }
 
@@ -69,30 +69,36 @@
         kind: KindId(0),
         cell: CellId(0),
         weight: 1.0,
-        place: Place { endpoint: Some(address), availability, boot_ms },
+        state: EndpointState { endpoint: Some(address), availability, boot_ms },
     }
 }
 
 pub fn driver(settings: Settings, upstreams: Rc<Upstreams>, peers: &[SocketAddr]) -> Rc<Driver> {
     let ready = |(n, address): (usize, &SocketAddr)| entry(n, *address, Availability::Ready, 0);
     let entries = peers.iter().enumerate().map(ready).collect();
-    let known = News { scope: UpdateScope::Cached, entries };
+    let known = EndpointUpdate { scope: UpdateScope::Cached, entries };
     let balancer = Balancer::new(settings, 7).unwrap();
     Driver::start(balancer, upstreams, Rc::new(Fixed::default()), known)
 }
 
 /// A request under this id.
-pub fn outgoing(class: u16, id: &str) -> Outgoing {
+pub fn outgoing(class: u16, id: &str) -> OutboundRequest {
     let mut headers = HeaderMap::new();
     headers.insert("x-correlation-id", id.parse().unwrap());
     let method = if class == LOOK { Method::GET } else { Method::POST };
     let body = if class == LOOK { Bytes::new() } else { Bytes::from_static(b"words") };
     let passage = Rc::new(Passage::platform());
-    Outgoing { method, target: Uri::from_static("/day"), headers, body: Payload::Whole(body), passage }
+    OutboundRequest {
+        method,
+        target: Uri::from_static("/day"),
+        headers,
+        body: Payload::Buffered(body),
+        passage,
+    }
 }
 
-pub fn asked(class: u16, id: &str) -> Asked {
-    Asked {
+pub fn asked(class: u16, id: &str) -> RequestContext {
+    RequestContext {
         class: ClassId(class),
         tenant: TenantId(0),
         deadline: Instant::now() + LONG,
@@ -107,7 +113,7 @@
 pub fn name(answer: &Answer) -> &'static str {
     match answer {
         Answer::Served(_) => "served",
-        Answer::Refused(_) => "refused",
+        Answer::Rejected(_) => "refused",
         Answer::Failed => "failed",
     }
 }
--- a/crates/engine/tests/descriptors_short.rs
+++ b/crates/engine/tests/descriptors_short.rs
@@ -16,7 +16,7 @@
         let addresses: Vec<_> = peers.iter().map(|peer| peer.address).collect();
         let driver = driver(settings.clone(), upstreams(&settings, 1), &addresses);
         let ids = ["one", "two", "three"];
-        let all: Vec<_> = ids.map(|id| driver.ask(asked(BOOK, id))).into();
+        let all: Vec<_> = ids.map(|id| driver.submit(asked(BOOK, id))).into();
         pass().await;
         for _ in ids {
             let mut came = None;
@@ -41,10 +41,10 @@
     let mut peer = Peer::start();
     let settings = Settings { connect_timeout: LONG, ..settings() };
     let driver = driver(settings.clone(), upstreams(&settings, 1), &[peer.address]);
-    let [written, waits] = ["one", "two"].map(|id| driver.ask(asked(BOOK, id)));
+    let [written, waits] = ["one", "two"].map(|id| driver.submit(asked(BOOK, id)));
     settle("the first comes", || peer.next().is_some()).await;
     pass().await;
-    driver.cut_off();
+    driver.abort_attempts();
     assert_eq!(name(&written.answer().await.0), "failed");
     assert_eq!(name(&waits.answer().await.0), "refused");
     assert!(peer.next().is_none());
--- a/crates/engine/tests/known.rs
+++ b/crates/engine/tests/known.rs
@@ -16,7 +16,7 @@
         IdNames { zones: vec!["a".into(), "b".into()], kinds: vec!["m".into()], ..IdNames::default() };
     let descriptors = Descriptors::for_upstreams(64).expect("enough descriptors");
     let discovery = Discovery::new("127.0.0.1:9".parse().unwrap(), names, descriptors);
-    let entries = discovery.known(text).entries.len();
+    let entries = discovery.parse_cached_list(text).entries.len();
     (entries, discovery.rev())
 }
 
--- a/crates/engine/tests/moment_of_writing.rs
+++ b/crates/engine/tests/moment_of_writing.rs
@@ -5,8 +5,8 @@
 
 use common::{BOOK, Peer, driver, entry, outgoing, settings, settle, upstreams};
 use maplehook::Lease;
-use maplehook::parts::attempt::Ended;
-use maplehook::parts::terms::{Presence, Terms};
+use maplehook::parts::attempt::AttemptResult;
+use maplehook::parts::attempt_limits::{AttemptLimits, Presence};
 use maplehook::parts::upstream::Upstreams;
 use maplehook_core::{Availability, Outcome, UpstreamId, ZoneId};
 use maplehook_test_servers::LONG;
@@ -23,7 +23,7 @@
 async fn with_an_idle_connection() -> (Rc<Upstreams>, Peer) {
     let (mut peer, upstreams) = (Peer::start(), upstreams(&settings(), 8));
     list(&upstreams, peer.address, Availability::Ready, 0);
-    let first = begin(&upstreams, Terms::first(Instant::now() + LONG));
+    let first = begin(&upstreams, AttemptLimits::first(Instant::now() + LONG));
     let mut come = None;
     settle("the first request comes", || {
         come = peer.next();
@@ -36,10 +36,10 @@
 }
 
 fn list(upstreams: &Upstreams, address: SocketAddr, availability: Availability, boot_ms: u64) {
-    upstreams.place(ID, ZoneId(0), &entry(0, address, availability, boot_ms).place);
+    upstreams.update_endpoint(ID, ZoneId(0), &entry(0, address, availability, boot_ms).state);
 }
 
-fn begin(upstreams: &Rc<Upstreams>, terms: Terms) -> JoinHandle<Ended> {
+fn begin(upstreams: &Rc<Upstreams>, terms: AttemptLimits) -> JoinHandle<AttemptResult> {
     let upstreams = Rc::clone(upstreams);
     spawn_local(async move { upstreams.attempt(ID, &outgoing(BOOK, "one"), terms).await })
 }
@@ -48,9 +48,9 @@
 /// in the order in which they were woken.
 fn begin_and_then(
     upstreams: &Rc<Upstreams>,
-    terms: Terms,
+    terms: AttemptLimits,
     between: impl FnOnce() + 'static,
-) -> JoinHandle<Ended> {
+) -> JoinHandle<AttemptResult> {
     let attempt = begin(upstreams, terms);
     spawn_local(async move { between() });
     attempt
@@ -63,15 +63,17 @@
     type Between = fn(&Upstreams, SocketAddr);
     let soon = Duration::from_millis(30);
     let stopped: Between = |_, _| std::thread::sleep(Duration::from_millis(50));
-    let by = |by: Duration| Terms::repeat(Instant::now() + LONG, Some(Instant::now() + by));
-    let cases: [(&str, &dyn Fn() -> Terms, Between); 7] = [
+    let by = |by: Duration| AttemptLimits::repeat(Instant::now() + LONG, Some(Instant::now() + by));
+    let cases: [(&str, &dyn Fn() -> AttemptLimits, Between); 7] = [
         ("drains", &|| by(LONG), |u, p| list(u, p, Availability::Draining, 0)),
         ("gone", &|| by(LONG), |u, p| list(u, p, Availability::Removed, 0)),
-        ("gone from a whole list", &|| by(LONG), |u, _| u.keep_only(|_| false)),
+        ("gone from a whole list", &|| by(LONG), |u, _| u.retain_listed(|_| false)),
         ("started again", &|| by(LONG), |u, p| list(u, p, Availability::Ready, 77)),
-        ("lease", &|| by(LONG), |u, _| u.lease(Lease::Until { until: Instant::now(), first_too: false })),
+        ("lease", &|| by(LONG), |u, _| {
+            u.set_lease(Lease::Until { until: Instant::now(), covers_first_attempts: false })
+        }),
         ("the window of its key", &|| by(soon), stopped),
-        ("its time", &|| Terms::first(Instant::now() + soon), stopped),
+        ("its time", &|| AttemptLimits::first(Instant::now() + soon), stopped),
     ];
     for (what, terms, between) in cases {
         let (upstreams, mut peer) = with_an_idle_connection().await;
@@ -93,7 +95,7 @@
     let is_there = Rc::new(Cell::new(true));
     let (asks, leaves) = (Rc::clone(&is_there), Rc::clone(&is_there));
     let presence = Presence::new(move || asks.get());
-    let terms = Terms::first(Instant::now() + LONG).asked_by(Some(presence));
+    let terms = AttemptLimits::first(Instant::now() + LONG).with_presence(Some(presence));
     let attempt = begin_and_then(&upstreams, terms, move || leaves.set(false));
     assert_eq!(attempt.await.unwrap().outcome, Outcome::NotSent);
     settle("the connection ends", || {
@@ -110,7 +112,7 @@
     let (upstreams, mut peer) = with_an_idle_connection().await;
     let give_up = Instant::now() + Duration::from_secs(5);
     let stopped = || std::thread::sleep(Duration::from_millis(400));
-    let attempt = begin_and_then(&upstreams, Terms::first(give_up), stopped);
+    let attempt = begin_and_then(&upstreams, AttemptLimits::first(give_up), stopped);
     let mut come = None;
     settle("it comes", || {
         come = peer.next();
@@ -132,7 +134,7 @@
     let mut peers = [Peer::start(), Peer::start()];
     let addresses = [peers[0].address, peers[1].address];
     let driver = driver(settings.clone(), upstreams(&settings, 8), &addresses);
-    let pending = driver.ask(asked(KEYED, "one"));
+    let pending = driver.submit(asked(KEYED, "one"));
     let sent = Instant::now();
     let mut first = None;
     settle("it comes", || {
--- a/crates/engine/tests/second_copies.rs
+++ b/crates/engine/tests/second_copies.rs
@@ -28,7 +28,7 @@
             driver(settings.clone(), upstreams(&settings, 8), &peers.each_ref().map(|peer| peer.address));
         let mut warm = 0;
         while peers.iter().any(|peer| peer.links.is_empty()) {
-            let pending = driver.ask(asked(LOOK, &format!("warm-{warm}")));
+            let pending = driver.submit(asked(LOOK, &format!("warm-{warm}")));
             warm += 1;
             let mut next = None;
             settle("it comes", || {
@@ -40,7 +40,7 @@
             peers[n].answer(come.link, "warm");
             pending.answer().await;
         }
-        let pending = driver.ask(asked(LOOK, "one"));
+        let pending = driver.submit(asked(LOOK, "one"));
         let watched = spawn_local(async move {
             let (mut first, start) = (None, Instant::now());
             loop {
--- a/crates/eureka/src/client.rs
+++ b/crates/eureka/src/client.rs
@@ -146,7 +146,7 @@
             if !body.is_empty() {
                 request = request.header(CONTENT_TYPE, "application/json").header(CONTENT_LENGTH, body.len());
             }
-            let request = request.body(connection.outbound(&Payload::Whole(body))).map_err(broken)?;
+            let request = request.body(connection.outbound(&Payload::Buffered(body))).map_err(broken)?;
             let response = connection.send(request).await.map_err(broken)?;
             let (parts, body) = response.into_parts();
             let text = |name| parts.headers.get(name).and_then(|v| v.to_str().ok()).map(str::to_owned);
--- a/crates/eureka/src/registrar.rs
+++ b/crates/eureka/src/registrar.rs
@@ -3,7 +3,7 @@
 
 use crate::client::{Client, Manner};
 use hyper::{Method, StatusCode};
-use maplehook::parts::seldom::Seldom;
+use maplehook::parts::rate_limited_log::RateLimitedLog;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,14 +31,14 @@
 pub struct Registrar {
     registration: Registration,
     clients: Vec<Client>,
-    failing: Seldom,
+    failing: RateLimitedLog,
 }
 
 impl Registrar {
     /// One that registers at the first replica that takes it; replicas tell one another.
     pub fn new(registration: Registration, manner: &Manner, replicas: &[SocketAddr]) -> Self {
         let clients = replicas.iter().map(|replica| Client::new(manner.clone(), *replica)).collect();
-        Self { registration, clients, failing: Seldom::default() }
+        Self { registration, clients, failing: RateLimitedLog::default() }
     }
 
     fn place(&self) -> String {
--- a/crates/eureka/src/source.rs
+++ b/crates/eureka/src/source.rs
@@ -4,8 +4,8 @@
 use crate::mirror::{Mirror, Step, What};
 use crate::model::{Document, Listed, Mapping, Notation};
 use hyper::StatusCode;
-use maplehook::parts::seldom::Seldom;
-use maplehook::source::{Entry, Heard, News, Place, Source, Task, stable_id};
+use maplehook::parts::rate_limited_log::RateLimitedLog;
+use maplehook::source::{EndpointState, EndpointUpdate, Entry, Reachability, Source, Task, stable_id};
 use maplehook_admission::address::Network;
 use maplehook_config::Wanted;
 use maplehook_core::{Availability, CellId, KindId, UpdateScope, UpstreamId, ZoneId};
@@ -117,8 +117,8 @@
     whole_only: Cell<bool>,
     /// When the registry was last read, with what it said told.
     confirmed: Cell<Option<std::time::Instant>>,
-    odd: Seldom,
-    failing: Seldom,
+    odd: RateLimitedLog,
+    failing: RateLimitedLog,
 }
 
 impl Eureka {
@@ -127,7 +127,7 @@
         let clients = settings.replicas.iter().map(|r| Client::new(settings.manner.clone(), *r)).collect();
         let mut membership = Membership::new(settings.bounds, 2);
         let listed = known.iter().zip(names).map(|(entry, name)| Instance {
-            address: entry.place.endpoint,
+            address: entry.state.endpoint,
             weight: entry.weight,
             ..Instance::new(name, Word::Up)
         });
@@ -150,8 +150,8 @@
             failures: Cell::new(0),
             stirred: Cell::new(true),
             confirmed: Cell::new(None),
-            odd: Seldom::default(),
-            failing: Seldom::default(),
+            odd: RateLimitedLog::default(),
+            failing: RateLimitedLog::default(),
         }
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Asks once; what is news goes to `tell`. Returns when to ask again.
-    async fn poll(&self, tell: &mut dyn FnMut(News)) -> Duration {
+    async fn poll(&self, tell: &mut dyn FnMut(EndpointUpdate)) -> Duration {
         let at = self.asked.get();
         let Some(client) = self.clients.get(at) else { return self.settings.pace };
         let origin = Origin { source: REGISTRY, replica: at as u32 };
@@ -282,19 +282,19 @@
     }
 
     /// What has changed since it was told last.
-    fn news(&self) -> Option<News> {
+    fn news(&self) -> Option<EndpointUpdate> {
         let state = &mut *self.state.borrow_mut();
         let members = state.membership.members();
         let mut now: HashMap<UpstreamId, Entry> = HashMap::with_capacity(members.len());
         for member in &members {
             let entry = entry(member, &self.settings, &mut state.zones, &mut state.kinds);
-            if entry.place.endpoint.is_some() {
+            if entry.state.endpoint.is_some() {
                 now.insert(entry.id, entry);
             }
         }
         let gone = state.told.iter().filter(|(id, _)| !now.contains_key(id)).map(|(_, entry)| {
-            let place = Place { availability: Availability::Removed, ..entry.place.clone() };
-            Entry { place, ..entry.clone() }
+            let state = EndpointState { availability: Availability::Removed, ..entry.state.clone() };
+            Entry { state, ..entry.clone() }
         });
         let mut entries: Vec<Entry> = gone.collect();
         entries.extend(
@@ -305,12 +305,12 @@
         }
         state.keys = members.into_iter().map(|m| (stable_id(&m.instance.key), m.instance.key)).collect();
         state.told = now;
-        Some(News { scope: UpdateScope::Changes, entries })
+        Some(EndpointUpdate { scope: UpdateScope::Changes, entries })
     }
 
-    fn full(&self) -> News {
+    fn full(&self) -> EndpointUpdate {
         let entries = self.state.borrow().told.values().cloned().collect();
-        News { scope: UpdateScope::Full, entries }
+        EndpointUpdate { scope: UpdateScope::Full, entries }
     }
 }
 
@@ -334,7 +334,7 @@
         kind: KindId(number(kinds, &mapping.kind, usize::from(u16::MAX)) as u16),
         cell: CellId(instance.labels.get(&mapping.cell).and_then(|c| c.parse().ok()).unwrap_or(0)),
         weight: instance.weight,
-        place: Place {
+        state: EndpointState {
             endpoint: instance.address,
             availability: match member.standing {
                 Standing::Offered => Availability::Ready,
@@ -347,14 +347,14 @@
 }
 
 impl Source for Eureka {
-    fn fetch(&self) -> Task<'_, News> {
+    fn fetch(&self) -> Task<'_, EndpointUpdate> {
         Box::pin(async {
             self.poll(&mut |_| {}).await;
             self.full()
         })
     }
 
-    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(News)) -> Task<'a, ()> {
+    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
         Box::pin(async {
             // Those of the file, before the registry has said anything.
             if let Some(news) = self.news() {
@@ -371,13 +371,13 @@
         self.confirmed.get()
     }
 
-    fn heard(&self, id: UpstreamId, heard: Heard) {
+    fn record_reachability(&self, id: UpstreamId, heard: Reachability) {
         let now = self.now();
         let State { membership, keys, .. } = &mut *self.state.borrow_mut();
         let Some(key) = keys.get(&id) else { return };
         match heard {
-            Heard::Answered => membership.answered(now, key),
-            Heard::Unreachable => membership.unreachable(now, key),
+            Reachability::Answered => membership.answered(now, key),
+            Reachability::Unreachable => membership.unreachable(now, key),
         }
     }
 }
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -4,9 +4,9 @@
 use maplehook::parts::descriptors::Descriptors;
 use maplehook::parts::discovery::Discovery;
 use maplehook::parts::driver::Driver;
-use maplehook::parts::seldom::Seldom;
-use maplehook::parts::upstream::Place;
-use maplehook::source::{Entry, News, Source, Task};
+use maplehook::parts::rate_limited_log::RateLimitedLog;
+use maplehook::parts::upstream::EndpointState;
+use maplehook::source::{EndpointUpdate, Entry, Source, Task};
 use maplehook_core::LearnedState;
 use maplehook_core::{Availability, CellId, KindId, UpdateScope, UpstreamId, ZoneId};
 use maplehook_hot_restart::{
@@ -36,19 +36,19 @@
 
 impl Remembered {
     /// A list that begins with this.
-    pub fn new(discovery: Rc<Discovery>, known: &News) -> Rc<Self> {
+    pub fn new(discovery: Rc<Discovery>, known: &EndpointUpdate) -> Rc<Self> {
         let remembered = Self { discovery, list: RefCell::default() };
         remembered.take(known);
         Rc::new(remembered)
     }
 
-    fn take(&self, news: &News) {
+    fn take(&self, news: &EndpointUpdate) {
         let list = &mut *self.list.borrow_mut();
         if matches!(news.scope, UpdateScope::Full | UpdateScope::Cached) {
             list.clear();
         }
         for entry in &news.entries {
-            if entry.place.availability == Availability::Removed {
+            if entry.state.availability == Availability::Removed {
                 list.remove(&entry.id);
             } else {
                 list.insert(entry.id, entry.clone());
@@ -58,7 +58,7 @@
 }
 
 impl Source for Remembered {
-    fn fetch(&self) -> Task<'_, News> {
+    fn fetch(&self) -> Task<'_, EndpointUpdate> {
         Box::pin(async {
             let news = self.discovery.fetch().await;
             self.take(&news);
@@ -66,9 +66,9 @@
         })
     }
 
-    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(News)) -> Task<'a, ()> {
+    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
         Box::pin(async {
-            let mut tell = |news: News| {
+            let mut tell = |news: EndpointUpdate| {
                 self.take(&news);
                 tell(news);
             };
@@ -84,7 +84,7 @@
     started_ms: u64,
     /// When the file that this process wrote last was changed.
     own: Cell<Option<SystemTime>>,
-    odd: Seldom,
+    odd: RateLimitedLog,
 }
 
 /// What the process before has left.
@@ -104,7 +104,7 @@
         let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
         let file = format!("maplehook-{}.handover", name.chars().map(plain).collect::<String>());
         let path = PathBuf::from(std::env::var_os("TMPDIR")?).join(file);
-        let (own, odd) = (Cell::new(None), Seldom::default());
+        let (own, odd) = (Cell::new(None), RateLimitedLog::default());
         Some(Self { path, name: name.to_owned(), started_ms: now_ms(), own, odd })
     }
 
@@ -170,7 +170,7 @@
             let is_alone = !later && (!follows || begun.elapsed() > BESIDE);
             if std::mem::replace(&mut alone, is_alone) != is_alone {
                 tracing::info!(is_alone, "the descriptors are shared with another process, or no more");
-                descriptors.allow(if is_alone { allowed } else { allowed / 2 });
+                descriptors.set_configured_limit(if is_alone { allowed } else { allowed / 2 });
             }
             sleep(WRITE_EVERY).await;
         }
@@ -187,7 +187,7 @@
         {
             return Ok(true);
         }
-        let snapshot = self.snapshot(remembered, &driver.heritage());
+        let snapshot = self.snapshot(remembered, &driver.learned_state());
         let text =
             snapshot.encode().ok_or_else(|| io::Error::other("there is more to say than is allowed"))?;
         let new = self.path.with_extension(format!("{}.new", std::process::id()));
@@ -207,9 +207,9 @@
             id: entry.id.0,
             location: (entry.zone.0, entry.kind.0, entry.cell.0),
             weight: entry.weight,
-            endpoint: entry.place.endpoint,
-            is_ready: entry.place.availability == Availability::Ready,
-            boot_ms: entry.place.boot_ms,
+            endpoint: entry.state.endpoint,
+            is_ready: entry.state.availability == Availability::Ready,
+            boot_ms: entry.state.boot_ms,
             learned: LearnedEndpoint::default(),
         };
         let mut snapshot = HotRestartSnapshot {
@@ -230,24 +230,27 @@
 
 impl Left {
     /// The list, unless `known` by the configuration is newer.
-    pub fn list(&self, known: News, discovery: &Discovery) -> News {
+    pub fn list(&self, known: EndpointUpdate, discovery: &Discovery) -> EndpointUpdate {
         if self.snapshot.rev < discovery.rev() || self.snapshot.upstreams.is_empty() {
             return known;
         }
-        discovery.resume(self.snapshot.rev);
+        discovery.set_rev(self.snapshot.rev);
         let entry = |known: &SnapshotEndpoint| Entry {
             id: UpstreamId(known.id),
             zone: ZoneId(known.location.0),
             kind: KindId(known.location.1),
             cell: CellId(known.location.2),
             weight: known.weight,
-            place: Place {
+            state: EndpointState {
                 endpoint: known.endpoint,
                 availability: known.availability(),
                 boot_ms: known.boot_ms,
             },
         };
-        News { scope: UpdateScope::Cached, entries: self.snapshot.upstreams.iter().map(entry).collect() }
+        EndpointUpdate {
+            scope: UpdateScope::Cached,
+            entries: self.snapshot.upstreams.iter().map(entry).collect(),
+        }
     }
 
     /// What was learned.
--- a/crates/proxy/src/hearsay.rs
+++ b/crates/proxy/src/hearsay.rs
@@ -3,7 +3,7 @@
 //! What it comes to, `maplehook_cluster::merge_policy` decides. Here it is taken to and fro: the own list goes to the tier as claims,
 //! the words of others come back as news of entries that are treated with more care than the own list asks for.
 
-use maplehook::source::{Entry, Heard, News, Source, Task};
+use maplehook::source::{EndpointUpdate, Entry, Reachability, Source, Task};
 use maplehook_cluster::endpoint_gossip::EndpointClaim;
 use maplehook_cluster::merge_policy::{LocalEndpoint, MergePolicy, MergedEndpoint};
 use maplehook_core::{Availability, UpdateScope, UpstreamId};
@@ -33,13 +33,13 @@
 
 impl Hearsay {
     /// Over this source, which knew this list before it was read. Drains by hearsay take at most this share of it.
-    pub fn new(inner: Rc<dyn Source>, known: &News, member: &ClusterNode, share: f64) -> Rc<Self> {
+    pub fn new(inner: Rc<dyn Source>, known: &EndpointUpdate, member: &ClusterNode, share: f64) -> Rc<Self> {
         Self::between(inner, known, member.claims.clone(), member.gossip.clone(), share)
     }
 
     fn between(
         inner: Rc<dyn Source>,
-        known: &News,
+        known: &EndpointUpdate,
         claims: watch::Sender<Arc<Vec<EndpointClaim>>>,
         told: watch::Receiver<GossipSnapshot>,
         share: f64,
@@ -57,7 +57,7 @@
     }
 
     /// The own source has said something; returns it with the words of others laid over it.
-    fn own(&self, news: News) -> News {
+    fn own(&self, news: EndpointUpdate) -> EndpointUpdate {
         if news.scope == UpdateScope::Failed {
             return news;
         }
@@ -68,19 +68,19 @@
                 entries.clear();
             }
             for entry in &news.entries {
-                match entry.place.availability {
+                match entry.state.availability {
                     Availability::Removed => entries.remove(&entry.id),
                     _ => entries.insert(entry.id, entry.clone()),
                 };
             }
         }
         let own = news.entries.iter().map(|entry| {
-            let ready = match entry.place.availability {
+            let ready = match entry.state.availability {
                 Availability::Ready => Some(true),
                 Availability::Draining => Some(false),
                 Availability::Removed => None,
             };
-            (entry.id.0, ready.map(|ready| LocalEndpoint { is_ready: ready, boot_ms: entry.place.boot_ms }))
+            (entry.id.0, ready.map(|ready| LocalEndpoint { is_ready: ready, boot_ms: entry.state.boot_ms }))
         });
         self.care.borrow_mut().update_local(whole, own);
         self.take_words();
@@ -91,17 +91,17 @@
             let named: Vec<UpstreamId> = news.entries.iter().map(|entry| entry.id).collect();
             told.extend(self.changed(&changes).into_iter().filter(|entry| !named.contains(&entry.id)));
         }
-        News { scope: news.scope, entries: told }
+        EndpointUpdate { scope: news.scope, entries: told }
     }
 
     /// An entry of the own list, as it is to be treated.
     fn seen(&self, entry: &Entry) -> Entry {
         let mut entry = entry.clone();
         if let Some(MergedEndpoint { is_draining, boot_ms }) = self.care.borrow().published(entry.id.0) {
-            if is_draining && entry.place.availability == Availability::Ready {
-                entry.place.availability = Availability::Draining;
+            if is_draining && entry.state.availability == Availability::Ready {
+                entry.state.availability = Availability::Draining;
             }
-            entry.place.boot_ms = boot_ms;
+            entry.state.boot_ms = boot_ms;
         }
         entry
     }
@@ -136,8 +136,8 @@
     fn publish(&self) {
         let since = unix_ms().saturating_sub(STARTED);
         let claim = |entry: &Entry| {
-            let boot_ms = entry.place.boot_ms;
-            let drained = entry.place.availability == Availability::Draining;
+            let boot_ms = entry.state.boot_ms;
+            let drained = entry.state.availability == Availability::Draining;
             (drained || boot_ms > since).then_some(EndpointClaim {
                 upstream: entry.id.0,
                 boot_ms,
@@ -155,7 +155,7 @@
     }
 
     /// Follows the words of others, for good.
-    async fn listen(&self, tell: &RefCell<&mut dyn FnMut(News)>) {
+    async fn listen(&self, tell: &RefCell<&mut dyn FnMut(EndpointUpdate)>) {
         let mut told = self.told.borrow().clone();
         let mut look = interval(LOOK);
         look.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -169,18 +169,18 @@
             let changes = self.care.borrow_mut().take_changes();
             let entries = self.changed(&changes);
             if !entries.is_empty() {
-                (tell.borrow_mut())(News { scope: UpdateScope::Changes, entries });
+                (tell.borrow_mut())(EndpointUpdate { scope: UpdateScope::Changes, entries });
             }
         }
     }
 }
 
 impl Source for Hearsay {
-    fn fetch(&self) -> Task<'_, News> {
+    fn fetch(&self) -> Task<'_, EndpointUpdate> {
         Box::pin(async { self.own(self.inner.fetch().await) })
     }
 
-    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(News)) -> Task<'a, ()> {
+    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
         Box::pin(async move {
             let tell = RefCell::new(tell);
             let mut own = |news| {
@@ -194,8 +194,8 @@
         })
     }
 
-    fn heard(&self, upstream: UpstreamId, heard: Heard) {
-        self.inner.heard(upstream, heard);
+    fn record_reachability(&self, upstream: UpstreamId, heard: Reachability) {
+        self.inner.record_reachability(upstream, heard);
     }
 
     fn confirmed(&self) -> Option<Instant> {
@@ -206,23 +206,23 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use maplehook::source::Place;
+    use maplehook::source::EndpointState;
     use maplehook_cluster::endpoint_gossip::GossipedEndpoint;
     use maplehook_core::{CellId, KindId, ZoneId};
 
     /// A source that says what it is told to.
     #[derive(Default)]
     struct Says {
-        news: RefCell<Vec<News>>,
+        news: RefCell<Vec<EndpointUpdate>>,
         confirmed: Cell<Option<Instant>>,
     }
 
     impl Source for Says {
-        fn fetch(&self) -> Task<'_, News> {
-            Box::pin(std::future::ready(News::failed()))
+        fn fetch(&self) -> Task<'_, EndpointUpdate> {
+            Box::pin(std::future::ready(EndpointUpdate::failed()))
         }
 
-        fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(News)) -> Task<'a, ()> {
+        fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
             Box::pin(async move {
                 loop {
                     let news = std::mem::take(&mut *self.news.borrow_mut());
@@ -238,8 +238,8 @@
     }
 
     fn entry(id: u64, availability: Availability, boot_ms: u64) -> Entry {
-        let place = Place { endpoint: Some(([127, 0, 0, 1], 9).into()), availability, boot_ms };
-        Entry { id: UpstreamId(id), zone: ZoneId(0), kind: KindId(0), cell: CellId(0), weight: 1.0, place }
+        let state = EndpointState { endpoint: Some(([127, 0, 0, 1], 9).into()), availability, boot_ms };
+        Entry { id: UpstreamId(id), zone: ZoneId(0), kind: KindId(0), cell: CellId(0), weight: 1.0, state }
     }
 
     fn drained(upstream: u64, until: Duration) -> GossipedEndpoint {
@@ -255,18 +255,20 @@
         let (claims, claimed) = watch::channel(Arc::default());
         let says = Rc::new(Says::default());
         let ready = |id| entry(id, Availability::Ready, 5);
-        let known =
-            News { scope: UpdateScope::Cached, entries: vec![ready(1), ready(2), ready(3), ready(4)] };
+        let known = EndpointUpdate {
+            scope: UpdateScope::Cached,
+            entries: vec![ready(1), ready(2), ready(3), ready(4)],
+        };
         let source = Hearsay::between(says.clone(), &known, claims, heard, 0.5);
         assert!(claimed.borrow().is_empty(), "nothing drains, and nothing has started lately");
-        let seen: RefCell<Vec<News>> = RefCell::default();
+        let seen: RefCell<Vec<EndpointUpdate>> = RefCell::default();
         let mut tell = |news| seen.borrow_mut().push(news);
         let play = async {
             let pause = || tokio::time::sleep(Duration::from_secs(2));
             let last = |id: u64| {
                 let seen = seen.borrow();
                 let mut of = seen.iter().flat_map(|n| &n.entries).filter(|e| e.id.0 == id);
-                of.next_back().map(|e| (e.place.availability, e.place.boot_ms))
+                of.next_back().map(|e| (e.state.availability, e.state.boot_ms))
             };
             // Another one says that 1 drains and that 2 has started.
             let started = GossipedEndpoint { upstream: 2, drained_until: None, boot_ms: 9 };
@@ -276,13 +278,15 @@
             assert_eq!(last(2), Some((Availability::Ready, 9)), "cold from then on");
             assert_eq!(last(3), None, "what has not changed is not told again");
             // The own source goes on calling it ready: it drains all the same.
-            says.news.borrow_mut().push(News { scope: UpdateScope::Full, entries: known.entries.clone() });
+            says.news
+                .borrow_mut()
+                .push(EndpointUpdate { scope: UpdateScope::Full, entries: known.entries.clone() });
             pause().await;
             assert_eq!(last(1), Some((Availability::Draining, 5)));
             assert!(claimed.borrow().is_empty(), "hearsay is not passed on as if one knew it");
             // It says itself that 3 drains: others are told.
             let own = entry(3, Availability::Draining, 5);
-            says.news.borrow_mut().push(News { scope: UpdateScope::Changes, entries: vec![own] });
+            says.news.borrow_mut().push(EndpointUpdate { scope: UpdateScope::Changes, entries: vec![own] });
             pause().await;
             assert_eq!(
                 claimed.borrow().iter().map(|c| (c.upstream, c.is_draining)).collect::<Vec<_>>(),
@@ -304,6 +308,6 @@
         words.send_replace(told(Vec::new()));
         says.confirmed.set(Some(Instant::now() + Duration::from_millis(1)));
         let news = source.own(known.clone());
-        assert!(news.entries.iter().all(|e| e.place.availability == Availability::Ready));
+        assert!(news.entries.iter().all(|e| e.state.availability == Availability::Ready));
     }
 }
--- a/crates/proxy/src/inbound.rs
+++ b/crates/proxy/src/inbound.rs
@@ -3,7 +3,7 @@
 
 use crate::client::{Client, Stand};
 use bytes::{Buf, BytesMut};
-use maplehook::parts::terms::Presence;
+use maplehook::parts::attempt_limits::Presence;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::future::pending;
--- a/crates/proxy/src/nearness.rs
+++ b/crates/proxy/src/nearness.rs
@@ -156,7 +156,7 @@
 
 /// What is seen, counted by a version's zones and rules.
 pub fn seen(driver: &Driver, config: &Config, names: &Names, at: Duration, ready: bool) -> Seen {
-    let sights = driver.sights();
+    let sights = driver.observations();
     let zone = |zone: Zone| {
         let id = names.zone(config.topology.zone_name(zone));
         let sight = sights.zones.iter().find(|sight| Some(sight.zone) == id);
@@ -222,7 +222,7 @@
             present = acting.map(|acted| Arc::clone(&acted.config));
             // Zones may be counted anew.
             count = 0;
-            if let Err(e) = driver.share(shares) {
+            if let Err(e) = driver.set_traffic_split(shares) {
                 tracing::error!("the plan can't be acted on, what was before goes on: {e}");
             }
         }
--- a/crates/proxy/src/requests.rs
+++ b/crates/proxy/src/requests.rs
@@ -6,10 +6,10 @@
 use hyper::{Method, StatusCode, Version};
 use maplehook::label::Label;
 use maplehook::ledger::Identity;
-use maplehook::parts::attempt::Outgoing;
-use maplehook::parts::body::{Fault, Upload, take_in};
-use maplehook::parts::driver::Asked;
-use maplehook::parts::room::Room;
+use maplehook::parts::attempt::OutboundRequest;
+use maplehook::parts::body::{Fault, Upload, receive_body};
+use maplehook::parts::body_memory::BodyMemory;
+use maplehook::parts::driver::RequestContext;
 use maplehook_admission::address::{Network, NetworkSet};
 use maplehook_admission::token::TokenSigner;
 use maplehook_config::Proxy;
@@ -63,7 +63,7 @@
 /// A request that may be handed to the module.
 pub struct Ready {
     /// The request.
-    pub asked: Asked,
+    pub asked: RequestContext,
     /// By what a repeat of it is known.
     pub identity: Option<Identity>,
     /// Its body, where that streams.
@@ -127,14 +127,14 @@
     refuses: Cell<bool>,
     forwarding: Forwarding,
     fronts: Vec<Network>,
-    room: Room,
+    room: BodyMemory,
     open: OpenIds,
     vouching: Vouching,
 }
 
 impl Requests {
     /// A reader of the platform's requests.
-    pub fn platform(tuned: &ActiveSettings, vouching: Vouching, room: Room) -> Self {
+    pub fn platform(tuned: &ActiveSettings, vouching: Vouching, room: BodyMemory) -> Self {
         Self {
             book: RefCell::new(Rc::new(Book::platform(tuned, None))),
             refuses: Cell::new(false),
@@ -147,7 +147,7 @@
     }
 
     /// A reader of the requests that an operator's file describes.
-    pub fn of(proxy: &Proxy, fronts: Vec<Network>, vouching: Vouching, room: Room) -> Self {
+    pub fn of(proxy: &Proxy, fronts: Vec<Network>, vouching: Vouching, room: BodyMemory) -> Self {
         Self {
             book: RefCell::new(Rc::new(Book {
                 rules: proxy.rules(),
@@ -243,7 +243,7 @@
         let Head { fit, parts, book, .. } = head;
         let passage = &book.passages[usize::from(fit.class.0)];
         let wait = fit.wait.saturating_sub(ON_THE_WAY);
-        let body = take_in(body, passage, &self.room, wait).await.map_err(at_fault)?;
+        let body = receive_body(body, passage, &self.room, wait).await.map_err(at_fault)?;
         let strict = book.rules.is_strict();
         if strict && parts.method == Method::GET && !body.is_empty() {
             return Err(Unfit::new(StatusCode::BAD_REQUEST, "a GET with a body"));
@@ -279,11 +279,12 @@
         let deadline = since.unwrap_or_else(Instant::now) + wait + streams;
         let identity = fit.identity().filter(|_| !strict);
         let identity = identity.map(|id| Identity { tenant: fit.tenant.0, class: fit.class.0, id });
-        let outgoing = Outgoing { method: parts.method, target, headers, body, passage: Rc::clone(passage) };
+        let outgoing =
+            OutboundRequest { method: parts.method, target, headers, body, passage: Rc::clone(passage) };
         let Fit { class, tenant, work_ms, repeat, .. } = fit;
         // What its connection knows of it, that adds.
         let (label, presence) = (Label::default(), None);
-        let asked = Asked { class, tenant, deadline, work_ms, repeat, outgoing, label, presence };
+        let asked = RequestContext { class, tenant, deadline, work_ms, repeat, outgoing, label, presence };
         Ok(Ready { asked, identity, upload, open, label: book.label.clone() })
     }
 
--- a/crates/proxy/src/retune.rs
+++ b/crates/proxy/src/retune.rs
@@ -60,8 +60,8 @@
                         self.retune(&new, &driver, &counting);
                         tuned = new;
                     }
-                    if self.discovery.move_to(discovery) {
-                        driver.watch_anew();
+                    if self.discovery.set_address(discovery) {
+                        driver.restart_watch();
                     }
                 }
                 Err(e) => {
@@ -75,11 +75,11 @@
     /// The decisions come first: no request may come by a class or tenant that they do not know.
     fn retune(&self, tuned: &ActiveSettings, driver: &Rc<Driver>, counting: &Counting) {
         let site = tuned.current();
-        driver.retune(site.settings.clone(), tuned.removed_tenants());
+        driver.update_settings(site.settings.clone(), tuned.removed_tenants());
         counting.name(&site.names.classes);
         let guarantees: Vec<f64> = site.settings.tenants.iter().map(|t| t.allowance_per_s).collect();
         self.entrance.guarantee(&guarantees);
-        self.discovery.rename(site.names.clone());
+        self.discovery.set_names(site.names.clone());
         self.grace.set((self.grace_by)(tuned));
         self.requests.retune(tuned);
     }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -16,10 +16,10 @@
 use crate::supervised::{Supervised, Tried};
 use hyper::header::HeaderName;
 use maplehook::ledger::Bounds;
-use maplehook::parts::desk::Desk;
+use maplehook::parts::body_memory::BodyMemory;
+use maplehook::parts::dispatcher::Dispatcher;
 use maplehook::parts::driver::Driver;
-use maplehook::parts::room::Room;
-use maplehook::source::{News, Source};
+use maplehook::source::{EndpointUpdate, Source};
 use maplehook::tally::Counting;
 use maplehook_admission::DescriptorClass;
 use maplehook_config::Operator;
@@ -65,7 +65,7 @@
     settings: Settings,
     seed: u64,
     sockets: usize,
-    room: Room,
+    room: BodyMemory,
     forwarding: Forwarding,
     own: bool,
     allowance: Allowance,
@@ -96,7 +96,7 @@
     plan: Plan,
     parts: Parts,
     requests: Rc<Requests>,
-    (source, known): (Rc<dyn Source>, News),
+    (source, known): (Rc<dyn Source>, EndpointUpdate),
     begun: impl FnOnce(Rc<Driver>, Rc<Counting>),
     registrar: Option<Registrar>,
     rest: impl FnOnce() + Send + 'static,
@@ -123,25 +123,25 @@
     tracing::info!(
         listen = %address,
         upstreams = known.entries.len(),
-        places = descriptors.of(DescriptorClass::Clients),
+        places = descriptors.limit_of(DescriptorClass::Clients),
         "serving"
     );
     let driver = Driver::start(balancer, upstreams, source, known);
     if pushed {
-        driver.follow();
+        driver.follow_pushed_list();
     }
     let counting = Counting::new(Arc::clone(&board.tally), &plan.classes);
-    let desk = Desk::new(Rc::clone(&driver), Rc::clone(&counting), Bounds::default(), plan.seed)?;
+    let desk = Dispatcher::new(Rc::clone(&driver), Rc::clone(&counting), Bounds::default(), plan.seed)?;
     begun(Rc::clone(&driver), counting);
     let (phase, phases) = watch::channel(Phase::Serving);
     let words = Own { signed: plan.own };
     let server = Server::new(desk, requests, entrance, Rc::clone(&descriptors), words, phases);
     let (ready_to, knowing) = (Arc::clone(&board.ready), Rc::clone(&driver));
     let ready = spawn_local(async move {
-        knowing.knows_a_list().await;
+        knowing.wait_for_list().await;
         ready_to.store(true, Ordering::Release);
     });
-    spawn_local(Rc::clone(&descriptors).watch());
+    spawn_local(Rc::clone(&descriptors).watch_process_limit());
     let mut accepts = None;
     if let Some(led) = &mut led {
         let trial = led.trial().map(|trial| spawn_local(Rc::clone(&server).run(trial)));
@@ -208,7 +208,7 @@
         let rest = grace.saturating_sub(until_idle_end + LAST_WORDS);
         if timeout(rest, &mut accepting).await.is_err() {
             phase.send_replace(Phase::Stopped);
-            driver.cut_off();
+            driver.abort_attempts();
             let _ = timeout(LAST_WORDS, &mut accepting).await;
         }
     }
--- a/crates/proxy/src/serve/file.rs
+++ b/crates/proxy/src/serve/file.rs
@@ -10,9 +10,9 @@
 use crate::supervised::{self, Led, Supervised};
 use crate::versions::Versions;
 use maplehook::lists::Lists;
+use maplehook::parts::body_memory::BodyMemory;
 use maplehook::parts::driver::Driver;
-use maplehook::parts::room::Room;
-use maplehook::source::{Fixed, News, Source};
+use maplehook::source::{EndpointUpdate, Fixed, Source};
 use maplehook_config::{CutOff, Operator};
 use maplehook_core::UpdateScope;
 use maplehook_eureka::{self as eureka, Eureka, Registrar, Registration};
@@ -58,7 +58,7 @@
         settings: proxy.settings.clone(),
         seed: RandomState::new().build_hasher().finish(),
         sockets: proxy.sockets,
-        room: Room::new(proxy.bodies),
+        room: BodyMemory::new(proxy.bodies),
         forwarding: proxy.forwarding.clone(),
         own: proxy.own,
         allowance: Allowance { silence: SILENCE, unread: proxy.stall },
@@ -77,7 +77,7 @@
         parts.entrance.know(proxy.clients.known.clone());
         parts.board.refuses.store(refuses, Ordering::Release);
         let lists = Rc::new(Lists::new(Fixed::listed(proxy.listed(|zone| zone)).into_entries()));
-        let known = News { scope: UpdateScope::Cached, ..lists.news() };
+        let known = EndpointUpdate { scope: UpdateScope::Cached, ..lists.news() };
         let (source, registrar) = match &proxy.eureka {
             None => (Rc::clone(&lists) as Rc<dyn Source>, None),
             Some(file) => {
--- a/crates/proxy/src/serve/parts.rs
+++ b/crates/proxy/src/serve/parts.rs
@@ -141,7 +141,7 @@
             Arc::clone(&board.tally),
         ));
         let guarantees: Vec<f64> = plan.settings.tenants.iter().map(|t| t.allowance_per_s).collect();
-        let clients = descriptors.of(DescriptorClass::Clients);
+        let clients = descriptors.limit_of(DescriptorClass::Clients);
         let admission =
             ConnectionAdmission::new(plan.operator.admission.clone(), clients, &guarantees, plan.seed);
         let entrance = Entrance::new(admission, plan.allowance);
@@ -203,14 +203,14 @@
 /// costs less than a client.
 fn share_descriptors(descriptors: &Rc<Descriptors>, upstreams: &Rc<Upstreams>, entrance: &Rc<Entrance>) {
     let idle = Rc::clone(upstreams);
-    descriptors.relieved_by(move || idle.close_oldest());
+    descriptors.add_relief(move || idle.close_oldest());
     let clients = Rc::clone(entrance);
-    descriptors.relieved_by(move || clients.shed());
+    descriptors.add_relief(move || clients.shed());
     let (of, upstreams, entrance) = (Rc::downgrade(descriptors), Rc::clone(upstreams), Rc::clone(entrance));
-    descriptors.tells(move || {
+    descriptors.on_limits_changed(move || {
         if let Some(descriptors) = of.upgrade() {
-            entrance.resize(descriptors.of(DescriptorClass::Clients));
-            upstreams.resized();
+            entrance.resize(descriptors.limit_of(DescriptorClass::Clients));
+            upstreams.apply_descriptor_limit();
         }
     });
 }
--- a/crates/proxy/src/serve/platform.rs
+++ b/crates/proxy/src/serve/platform.rs
@@ -8,9 +8,9 @@
 use crate::inherited;
 use crate::requests::Requests;
 use crate::retune::Retuner;
-use maplehook::parts::discovery::{Discovery, Patience};
+use maplehook::parts::body_memory::BodyMemory;
+use maplehook::parts::discovery::{Discovery, DiscoveryTimeouts};
 use maplehook::parts::driver::Driver;
-use maplehook::parts::room::Room;
 use maplehook::source::Source;
 use maplehook_config::Operator;
 use maplehook_http_semantics::{Forwarding, SENDER_IDLE};
@@ -46,7 +46,7 @@
         classes: config.tuned.current().names.classes.clone(),
         seed: config.seed,
         sockets: config.limits.sockets,
-        room: Room::new(config.long_answers()),
+        room: BodyMemory::new(config.long_answers()),
         forwarding: Forwarding::platform(),
         own: false,
         allowance: Allowance { silence: SENDER_IDLE, unread: STALL },
@@ -67,9 +67,9 @@
             Rc::clone(&parts.descriptors),
         ));
         if !plan.settings.has_endpoint_discovery {
-            discovery.wait_for(Patience::AGENT);
+            discovery.set_timeouts(DiscoveryTimeouts::AGENT);
         }
-        let mut known = discovery.known(&config.known);
+        let mut known = discovery.parse_cached_list(&config.known);
         // Only then may another process of this balancer run before, beside or after this one.
         let handover = if parts.shared { Handover::of(&config.name) } else { None };
         let left = handover.as_ref().and_then(|handover| handover.take(&discovery.names()));
@@ -97,7 +97,7 @@
         };
         let begun = |driver: Rc<Driver>, counting| {
             if let Some(heritage) = heritage {
-                driver.inherit(heritage);
+                driver.restore_learned_state(heritage);
             }
             if let (Some(handover), Some(remembered)) = (handover, remembered) {
                 spawn_local(handover.keep(remembered, Rc::clone(&driver), descriptors, allowed, follows));
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -10,9 +10,9 @@
 use crate::inbound::OfAll;
 use crate::refusals::Refusals;
 use crate::requests::Requests;
-use maplehook::parts::descriptors::{Descriptors, PAUSE, out_of_descriptors};
-use maplehook::parts::desk::Desk;
-use maplehook::parts::seldom::Seldom;
+use maplehook::parts::descriptors::{Descriptors, EXHAUSTION_BACKOFF, is_descriptor_exhaustion};
+use maplehook::parts::dispatcher::Dispatcher;
+use maplehook::parts::rate_limited_log::RateLimitedLog;
 use maplehook_admission::RejectionReason;
 use maplehook_http_semantics::Own;
 use std::io;
@@ -41,7 +41,7 @@
 
 /// What clients reach.
 pub struct Server {
-    desk: Rc<Desk>,
+    desk: Rc<Dispatcher>,
     requests: Rc<Requests>,
     entrance: Rc<Entrance>,
     descriptors: Rc<Descriptors>,
@@ -49,15 +49,15 @@
     refusals: Refusals,
     read_ahead: OfAll,
     phase: watch::Receiver<Phase>,
-    odd: Seldom,
-    refused: Seldom,
-    cut_short: Seldom,
+    odd: RateLimitedLog,
+    refused: RateLimitedLog,
+    cut_short: RateLimitedLog,
 }
 
 impl Server {
     /// A server that hands requests to `desk` and lets clients in by `entrance`.
     pub fn new(
-        desk: Rc<Desk>,
+        desk: Rc<Dispatcher>,
         requests: Rc<Requests>,
         entrance: Rc<Entrance>,
         descriptors: Rc<Descriptors>,
@@ -73,9 +73,9 @@
             refusals: Refusals::default(),
             read_ahead: OfAll::default(),
             phase,
-            odd: Seldom::default(),
-            refused: Seldom::default(),
-            cut_short: Seldom::default(),
+            odd: RateLimitedLog::default(),
+            refused: RateLimitedLog::default(),
+            cut_short: RateLimitedLog::default(),
         })
     }
 
@@ -95,12 +95,12 @@
                         yield_now().await;
                     }
                 }
-                Err(e) if out_of_descriptors(&e) => self.starved(&listener).await,
+                Err(e) if is_descriptor_exhaustion(&e) => self.starved(&listener).await,
                 // One that has gone again before it was accepted.
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) => {
                     self.odd.warn(|| format!("accept: {e}"));
-                    sleep(PAUSE).await;
+                    sleep(EXHAUSTION_BACKOFF).await;
                 }
             }
         }
@@ -153,17 +153,17 @@
     /// is accepted on the spare one, and stays if another descriptor can be freed in its stead; else it is
     /// told that trying again is harmless. Accepting goes on.
     async fn starved(self: &Rc<Self>, listener: &TcpListener) {
-        self.descriptors.lend_spare();
+        self.descriptors.release_spare();
         // Only a look: the loop's own wait is told of the next one.
         let mut look = Context::from_waker(Waker::noop());
         if let Poll::Ready(Ok((stream, peer))) = listener.poll_accept(&mut look) {
-            if self.descriptors.starved("accept") {
+            if self.descriptors.record_exhaustion("accept") {
                 self.admit(stream, peer.ip());
             } else {
                 self.refusals.refuse(stream, &self.entrance.refuse(RejectionReason::Full));
             }
-            sleep(PAUSE).await;
+            sleep(EXHAUSTION_BACKOFF).await;
         }
-        self.descriptors.regain_spare();
+        self.descriptors.reacquire_spare();
     }
 }
--- a/crates/proxy/src/server/respond.rs
+++ b/crates/proxy/src/server/respond.rs
@@ -8,8 +8,8 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
-use maplehook::parts::answer::AnswerBody;
-use maplehook::parts::body::{Fault, Upload, read_away};
+use maplehook::parts::answer::ResponseBody;
+use maplehook::parts::body::{Fault, Upload, discard_body};
 use maplehook::parts::driver::Answer;
 use maplehook_http_semantics::Unfit;
 use std::future::poll_fn;
@@ -61,7 +61,7 @@
                 }
             },
         };
-        let streams = matches!(response.body(), AnswerBody::Stream(_));
+        let streams = matches!(response.body(), ResponseBody::Stream(_));
         let close = (!streams && client.answered(question)) || client.is_told();
         // A request that stands behind this one has been read, or will be with the rest: it has its answer first.
         if (close && !client.has_whole()) || (leaving() && !client.has_more()) {
@@ -76,15 +76,15 @@
         self.desk.tally().unfit.count(unfit.status.canonical_reason().unwrap_or("other"));
     }
 
-    async fn answer(&self, client: &Client, ready: Ready) -> Response<AnswerBody> {
+    async fn answer(&self, client: &Client, ready: Ready) -> Response<ResponseBody> {
         let Ready { asked, identity, upload, open, label } = ready;
-        let (answer, _) = self.desk.ask(asked, identity).await;
+        let (answer, _) = self.desk.dispatch(asked, identity).await;
         client.has_answer();
         drop(open);
-        upload.iter().for_each(Upload::answered);
+        upload.iter().for_each(Upload::discard_rest);
         let mut response = match (answer, upload.and_then(|upload| upload.fault())) {
             // It came to nothing by its client's fault: that is what its client hears.
-            (Answer::Refused(_) | Answer::Failed, Some(fault)) => {
+            (Answer::Rejected(_) | Answer::Failed, Some(fault)) => {
                 if fault == Fault::Slow {
                     client.is_cut_short();
                 }
@@ -125,20 +125,20 @@
             Ok(head) => head,
             Err(unfit) => {
                 if !self.requests.is_strict() {
-                    spawn_local(read_away(body));
+                    spawn_local(discard_body(body));
                 }
                 return Err(unfit);
             }
         };
         let (tenant, vouched) = (head.tenant(), head.vouched);
         let read = self.requests.rest(head, body, peer, || client.whole_at()).await?;
-        client.holds(tenant.0, vouched, read.upload.as_ref().map(|upload| upload.sender_most()));
+        client.holds(tenant.0, vouched, read.upload.as_ref().map(|upload| upload.sender_timeout()));
         Ok(read)
     }
 }
 
 /// Names the version that an answer was given under.
-fn tell(response: &mut Response<AnswerBody>, label: Option<HeaderValue>) {
+fn tell(response: &mut Response<ResponseBody>, label: Option<HeaderValue>) {
     if let Some(label) = label {
         response.headers_mut().insert(VERSION, label);
     }
--- a/crates/proxy/src/supervised.rs
+++ b/crates/proxy/src/supervised.rs
@@ -134,7 +134,7 @@
     while beside.changed().await.is_ok() {
         let two = *beside.borrow_and_update();
         tracing::info!(two, "guarantees are shared with another process, or no more");
-        driver.retune(halved(settings.clone(), two), Vec::new());
+        driver.update_settings(halved(settings.clone(), two), Vec::new());
     }
 }
 
--- a/crates/proxy/src/versions.rs
+++ b/crates/proxy/src/versions.rs
@@ -103,7 +103,7 @@
         let mut present: Option<Present> = None;
         let mut staged = self.stages.as_ref().map(|part| part.serving.staged.clone());
         // A list that was set acts once the decisions have been told it, and only then is the step acted on.
-        let mut told = driver.lists();
+        let mut told = driver.full_list_count();
         let mut waits: Option<u64> = None;
         loop {
             let now = Instant::now();
@@ -117,7 +117,7 @@
                 .clone()
                 .filter(|stage| mode == EnforcementMode::Current && stage.rests_on == wanted.label);
             let key = (wanted.epoch, mode, stage.as_ref().map(|stage| (stage.number, stage.side)));
-            self.upstreams.lease(maplehook_config_follower::engine_lease(&wanted, mode, now.into_std()));
+            self.upstreams.set_lease(maplehook_config_follower::engine_lease(&wanted, mode, now.into_std()));
             if present.replace(key) != Some(key) {
                 let before = *told.borrow_and_update();
                 if self.apply(&wanted, mode, stage.as_deref(), &driver, &counting) {
@@ -174,7 +174,7 @@
             part.counts.aim(numbered.settings.classes.iter().map(|class| class.latency_objective).collect());
         }
         let entries = Fixed::listed(proxy.listed(|zone| numbered.zone_id(zone))).into_entries();
-        driver.retune(supervised::halved(numbered.settings, self.two), numbered.removed_tenants);
+        driver.update_settings(supervised::halved(numbered.settings, self.two), numbered.removed_tenants);
         counting.name(&numbered.class_names);
         self.entrance.guarantee(&guarantees);
         self.entrance.know(proxy.clients.known.clone());
--- a/crates/proxy/src/words.rs
+++ b/crates/proxy/src/words.rs
@@ -5,7 +5,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::CONNECTION;
 use hyper::{Response, StatusCode};
-use maplehook::parts::answer::{AnswerBody, Served};
+use maplehook::parts::answer::{ResponseBody, UpstreamResponse};
 use maplehook::parts::body::Failure;
 use maplehook::parts::driver::Answer;
 use maplehook_http_semantics::Own;
@@ -14,12 +14,12 @@
 use std::task::{Context, Poll};
 
 /// An answer of our own.
-pub fn own(response: Response<&'static str>) -> Response<AnswerBody> {
-    response.map(|text| AnswerBody::Whole(Bytes::from_static(text.as_bytes())))
+pub fn own(response: Response<&'static str>) -> Response<ResponseBody> {
+    response.map(|text| ResponseBody::Buffered(Bytes::from_static(text.as_bytes())))
 }
 
 /// An answer without any word on who gives it.
-pub fn plain(status: StatusCode, text: &'static str) -> Response<AnswerBody> {
+pub fn plain(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
     let mut response = Response::new(text);
     *response.status_mut() = status;
     own(response)
@@ -41,30 +41,30 @@
 }
 
 /// A final answer.
-pub fn worded(answer: Answer, words: Own) -> Response<AnswerBody> {
+pub fn worded(answer: Answer, words: Own) -> Response<ResponseBody> {
     match answer {
-        Answer::Served(Served { status, headers, body }) => {
+        Answer::Served(UpstreamResponse { status, headers, body }) => {
             let mut response = Response::new(body);
             *response.status_mut() = status;
             *response.headers_mut() = headers;
             response
         }
-        Answer::Refused(retry_after) => own(words.refused(retry_after)),
+        Answer::Rejected(retry_after) => own(words.refused(retry_after)),
         Answer::Failed => own(words.failed()),
     }
 }
 
 /// The body of an answer on its way to its client.
 pub struct Tail {
-    body: AnswerBody,
+    body: ResponseBody,
     /// Told at the end of one that streams.
     client: Option<Rc<Client>>,
 }
 
 impl Tail {
     /// This body, for this client.
-    pub fn new(body: AnswerBody, client: &Rc<Client>) -> Self {
-        let client = matches!(body, AnswerBody::Stream(_)).then(|| Rc::clone(client));
+    pub fn new(body: ResponseBody, client: &Rc<Client>) -> Self {
+        let client = matches!(body, ResponseBody::Stream(_)).then(|| Rc::clone(client));
         Self { body, client }
     }
 }
