--- a/crates/engine/src/parts/answer.rs
+++ b/crates/engine/src/parts/answer.rs
@@ -1,4 +1,4 @@
-//! Answers: held whole, or passed on from the first byte.
+//! Responses of upstreams: buffered in memory, or streamed from the first byte.
 
 use crate::parts::body::Failure;
 use crate::parts::connection::Connection;
@@ -17,39 +17,39 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep};
 
-/// An upstream's answer.
+/// Response of an upstream, as it is passed to the client.
 #[derive(Debug)]
 pub struct UpstreamResponse {
-    /// Its status.
+    /// HTTP status of the upstream.
     pub status: StatusCode,
-    /// Its end-to-end headers.
+    /// End-to-end headers; hop-by-hop headers are already removed.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Buffered or streaming body.
     pub body: ResponseBody,
 }
 
 impl UpstreamResponse {
-    /// The same again, where it is held whole.
-    pub fn copy(&self) -> Option<Self> {
+    /// Returns a copy if the body is buffered; a streaming body cannot be copied.
+    pub fn buffered_copy(&self) -> Option<Self> {
         let ResponseBody::Buffered(body) = &self.body else { return None };
         let body = ResponseBody::Buffered(body.clone());
         Some(Self { status: self.status, headers: self.headers.clone(), body })
     }
 
-    /// About how many bytes it takes to keep it; `None` where it is not held.
-    pub fn length(&self) -> Option<usize> {
+    /// Returns the approximate memory of the response in bytes, or `None` if the body streams.
+    pub fn buffered_size(&self) -> Option<usize> {
         let ResponseBody::Buffered(body) = &self.body else { return None };
         let headers: usize = self.headers.iter().map(|(n, v)| n.as_str().len() + v.len() + 32).sum();
         Some(headers + body.len())
     }
 }
 
-/// The body of an answer.
+/// Body of an upstream's response.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// Held whole.
+    /// The complete body in memory.
     Buffered(Bytes),
-    /// Passed on as it comes.
+    /// A body that is forwarded while it is received.
     Stream(Box<Stream>),
 }
 
@@ -78,32 +78,32 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Buffered(body) => SizeHint::with_exact(body.len() as u64),
-            // Of what has been read already nothing was said.
-            Self::Stream(stream) if stream.read.is_empty() => stream.incoming.size_hint(),
+            // Frames that were already read are no longer covered by hyper's hint.
+            Self::Stream(stream) if stream.prefetched.is_empty() => stream.incoming.size_hint(),
             Self::Stream(_) => SizeHint::new(),
         }
     }
 }
 
-/// What is done with a connection whose answer has come whole.
-pub type PutBack = Box<dyn FnOnce(Connection)>;
-/// Who is told how an answer ended.
-pub type OnEnd = Box<dyn FnOnce(Outcome)>;
+/// Returns a connection to the pool after its response was read to the end.
+pub type ReturnConnection = Box<dyn FnOnce(Connection)>;
+/// Receives the outcome of a streamed response.
+pub type OnStreamEnd = Box<dyn FnOnce(Outcome)>;
 
-/// An answer that is passed on as it comes. Its reader sets the pace: what is not read stays with the upstream. When
-/// it is dropped before its end, its connection closes.
+/// Streamed response. The reader sets the pace: unread bytes stay at the upstream. Dropping the stream before
+/// its end closes the connection.
 pub struct Stream {
-    /// What was read of it in case that it was short.
-    read: VecDeque<Frame<Bytes>>,
+    /// Frames that were read while the response could still be buffered.
+    prefetched: VecDeque<Frame<Bytes>>,
     incoming: Incoming,
     connection: Option<Connection>,
-    put_back: Option<PutBack>,
-    on_end: Option<OnEnd>,
-    owed: Option<Owed>,
-    idle: Duration,
-    /// Runs while the upstream is silent.
-    silence: Option<Pin<Box<Sleep>>>,
-    until: Instant,
+    return_connection: Option<ReturnConnection>,
+    on_end: Option<OnStreamEnd>,
+    accounting: Option<Owed>,
+    idle_timeout: Duration,
+    /// Idle timer; set while the upstream sends nothing.
+    idle_timer: Option<Pin<Box<Sleep>>>,
+    deadline: Instant,
 }
 
 impl fmt::Debug for Stream {
@@ -113,51 +113,52 @@
 }
 
 impl Stream {
-    /// An answer on this connection, of which `read` has been read already, and which is given to `put_back` if it comes
-    /// whole. `idle` is the longest silence, and all of it comes by `until`.
+    /// Creates a stream that first yields the frames in `prefetched`, then the rest of `incoming`. After a
+    /// complete response the connection goes to `return_connection`. The stream fails after `idle_timeout`
+    /// without data, or at `deadline`.
     pub fn new(
-        read: VecDeque<Frame<Bytes>>,
+        prefetched: VecDeque<Frame<Bytes>>,
         incoming: Incoming,
         connection: Connection,
-        put_back: PutBack,
-        idle: Duration,
-        until: Instant,
+        return_connection: ReturnConnection,
+        idle_timeout: Duration,
+        deadline: Instant,
     ) -> Box<Self> {
-        let (connection, put_back) = (Some(connection), Some(put_back));
+        let (connection, return_connection) = (Some(connection), Some(return_connection));
         Box::new(Self {
-            read,
+            prefetched,
             incoming,
             connection,
-            put_back,
+            return_connection,
             on_end: None,
-            owed: None,
-            idle,
-            silence: None,
-            until,
+            accounting: None,
+            idle_timeout,
+            idle_timer: None,
+            deadline,
         })
     }
 
-    /// Tells how it ends; once.
-    pub fn on_end(&mut self, tell: OnEnd) {
-        self.on_end = Some(tell);
+    /// Sets a callback that is called once, when the stream ends.
+    pub fn on_end(&mut self, notify: OnStreamEnd) {
+        self.on_end = Some(notify);
     }
 
-    /// It is the answer to this request.
-    pub fn track_outcome(&mut self, owed: Owed) {
-        self.owed = Some(owed);
+    /// Attaches the accounting of the request that this stream answers.
+    pub fn track_outcome(&mut self, accounting: Owed) {
+        self.accounting = Some(accounting);
     }
 
     fn end(&mut self, outcome: Outcome) {
-        if let (Outcome::Ok, Some(connection), Some(put_back)) =
-            (outcome, self.connection.take(), self.put_back.take())
+        if let (Outcome::Ok, Some(connection), Some(return_connection)) =
+            (outcome, self.connection.take(), self.return_connection.take())
         {
-            put_back(connection);
+            return_connection(connection);
         }
-        if let Some(owed) = self.owed.take() {
-            owed.streamed(outcome);
+        if let Some(accounting) = self.accounting.take() {
+            accounting.streamed(outcome);
         }
-        if let Some(tell) = self.on_end.take() {
-            tell(outcome);
+        if let Some(notify) = self.on_end.take() {
+            notify(outcome);
         }
     }
 
@@ -165,34 +166,34 @@
         if self.connection.is_none() {
             return Poll::Ready(None);
         }
-        if let Some(frame) = self.read.pop_front() {
+        if let Some(frame) = self.prefetched.pop_front() {
             if frame.is_trailers() {
                 self.end(Outcome::Ok);
             }
             return Poll::Ready(Some(Ok(frame)));
         }
         let Poll::Ready(frame) = Pin::new(&mut self.incoming).poll_frame(cx) else {
-            let wait = self.idle.min(self.until.saturating_duration_since(Instant::now()));
-            let silence = self.silence.get_or_insert_with(|| Box::pin(sleep(wait)));
-            return match silence.as_mut().poll(cx) {
-                Poll::Ready(()) => self.give_up("the upstream fell silent in the middle of an answer"),
+            let remaining = self.idle_timeout.min(self.deadline.saturating_duration_since(Instant::now()));
+            let idle_timer = self.idle_timer.get_or_insert_with(|| Box::pin(sleep(remaining)));
+            return match idle_timer.as_mut().poll(cx) {
+                Poll::Ready(()) => self.time_out("the upstream sent no data for too long during a response"),
                 Poll::Pending => Poll::Pending,
             };
         };
-        self.silence = None;
+        self.idle_timer = None;
         match frame {
             Some(Ok(frame)) => {
-                // Nobody asks for more once the trailers have come.
+                // The body is not polled again after its last frame.
                 if self.incoming.is_end_stream() || frame.is_trailers() {
                     self.end(Outcome::Ok);
-                } else if self.until <= Instant::now() {
-                    return self.give_up("an answer took too long in all");
+                } else if self.deadline <= Instant::now() {
+                    return self.time_out("the response exceeded its total time limit");
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Some(Err(e)) => {
                 let e: Failure = e.into();
-                self.end(if is_unreadable(&e) { Outcome::Error } else { Outcome::Reset });
+                self.end(if is_malformed_body(&e) { Outcome::Error } else { Outcome::Reset });
                 Poll::Ready(Some(Err(e)))
             }
             None => {
@@ -202,22 +203,23 @@
         }
     }
 
-    fn give_up(&mut self, why: &'static str) -> Poll<Option<Result<Frame<Bytes>, Failure>>> {
+    fn time_out(&mut self, reason: &'static str) -> Poll<Option<Result<Frame<Bytes>, Failure>>> {
         self.end(Outcome::TimedOut);
-        Poll::Ready(Some(Err(why.into())))
+        Poll::Ready(Some(Err(reason.into())))
     }
 }
 
 impl Drop for Stream {
     fn drop(&mut self) {
-        // Its reader has gone.
+        // The reader dropped the stream.
         self.connection = None;
         self.end(Outcome::Cancelled);
     }
 }
 
-/// Whether a body's framing can't be read, for which hyper gives the reason as invalid data; else it broke off.
-pub fn is_unreadable(e: &Failure) -> bool {
+/// Returns true if the body's framing or length is invalid, which hyper reports as invalid data. Any other
+/// error means that the connection broke.
+pub fn is_malformed_body(e: &Failure) -> bool {
     let io = e.source().and_then(|e| e.downcast_ref::<io::Error>()).map(io::Error::kind);
     matches!(io, Some(io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput)) || e.is::<LengthLimitError>()
 }
--- a/crates/engine/src/parts/attempt.rs
+++ b/crates/engine/src/parts/attempt.rs
@@ -1,14 +1,15 @@
-//! Attempts: a request at one upstream, and what came of it.
+//! Attempts: one request sent to one upstream, and its outcome.
 //!
-//! That an attempt never ran is said only of what can be proved: no connection was made, the kernel did not take so
-//! much of the request that it could have begun before the connection ended, or the upstream says so itself.
+//! An attempt counts as not run only if that is proved: no connection was made, the connection result before
+//! the kernel had taken enough of the request for the upstream to start it, or the upstream rejected it
+//! explicitly.
 
 mod reply;
 
 use crate::parts::answer::{ResponseBody, Stream, UpstreamResponse};
 use crate::parts::attempt_limits::{AttemptLimits, WithheldReason};
 use crate::parts::body::Payload;
-use crate::parts::connection::{Connection, Permit, head_length, wire_length};
+use crate::parts::connection::{Connection, WritePermit, head_length, wire_length};
 use crate::parts::headers::{LOAD, TIME_LEFT};
 use crate::parts::upstream::{Upstream, Upstreams};
 use bytes::Bytes;
@@ -19,273 +20,316 @@
 use maplehook_core::{Outcome, Reports, UpstreamId};
 use maplehook_http_semantics::{Begins, Means, Passage};
 use prometheus_client::metrics::counter::Counter;
-use reply::{Broken, Coming, Reply, exchange};
+use reply::{ExchangeError, ReceivedBody, Reply, exchange};
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// How long a probe may take.
+/// Time limit of one probe, connection setup included.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A request as it is passed on.
+/// Request in the form in which it is forwarded to an upstream.
 #[derive(Clone, Debug)]
 pub struct OutboundRequest {
-    /// Its method.
+    /// HTTP method of the client's request.
     pub method: Method,
-    /// Path and query.
+    /// Request target: path and query.
     pub target: Uri,
-    /// Its end-to-end headers.
+    /// End-to-end headers; hop-by-hop headers are already removed.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Buffered or streaming body.
     pub body: Payload,
-    /// How messages of its class pass.
+    /// Forwarding policy of the request's class.
     pub passage: Rc<Passage>,
 }
 
-/// How an attempt or a probe ended, or that its answer streams from now on.
+/// Result of an attempt or a probe. A final response may still be streaming.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// The outcome.
+    /// Outcome that is reported to the decision module.
     pub outcome: Outcome,
-    /// The final answer, if it is one.
+    /// Final response for the client, if the attempt produced one.
     pub response: Option<UpstreamResponse>,
-    /// An error in the upstream's own words, for when nothing is left to try.
-    pub words: Option<UpstreamResponse>,
-    /// A load report, in the order of the settings; empty if none came.
-    pub report: Vec<f32>,
+    /// The upstream's error response; the client gets it if no further attempt is made.
+    pub error_response: Option<UpstreamResponse>,
+    /// Values of the load report, in the order of the settings; empty without a report.
+    pub load_report: Vec<f32>,
 }
 
 impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, response: None, words: None, report: Vec::new() }
+        Self { outcome, response: None, error_response: None, load_report: Vec::new() }
     }
 }
 
 impl Upstreams {
-    /// Sends a request to an upstream and waits for the answer, within these terms.
+    /// Sends a request to an upstream and waits for the response, within the given limits.
     pub async fn attempt(
         self: &Rc<Self>,
         id: UpstreamId,
         outgoing: &OutboundRequest,
-        terms: AttemptLimits,
+        limits: AttemptLimits,
     ) -> AttemptResult {
-        self.send(id, outgoing, &terms, Some(&self.tally.sends)).await
+        self.send(id, outgoing, &limits, Some(&self.tally.sends)).await
     }
 
-    /// The same; `sends` counts what has left whole.
+    /// Implements attempts and probes; `sends` counts requests that were completely written.
     async fn send(
         self: &Rc<Self>,
         id: UpstreamId,
         outgoing: &OutboundRequest,
-        terms: &AttemptLimits,
+        limits: &AttemptLimits,
         sends: Option<&Counter>,
     ) -> AttemptResult {
         let Some(upstream) = self.get(id) else { return Outcome::NotSent.into() };
-        let process = upstream.process.get();
+        let process_epoch = upstream.process_epoch.get();
         loop {
             if outgoing.body.is_spent() {
                 return Outcome::NotSent.into();
             }
-            let (mut connection, reused) = match self.connection(id, &upstream, terms.give_up).await {
-                Ok(got) => got,
-                Err(outcome) => return outcome.into(),
-            };
-            let told = terms.left();
-            let permit = self.permit(&upstream, process, terms, told);
+            let (mut connection, is_reused) =
+                match self.acquire_connection(id, &upstream, limits.answer_by).await {
+                    Ok(pair) => pair,
+                    Err(outcome) => return outcome.into(),
+                };
+            let announced = limits.time_left();
+            let permit = self.permit(&upstream, process_epoch, limits, announced);
             if permit().is_err() {
-                self.put_back(id, &upstream, process, connection);
+                self.return_connection(id, &upstream, process_epoch, connection);
                 return Outcome::NotSent.into();
             }
-            let request = request(outgoing, told, &connection);
-            let (before, head, all) = (connection.written(), head_length(&request), wire_length(&request));
-            let stated = matches!(outgoing.body, Payload::Buffered(_)).then_some(all);
-            connection.counts(stated, sends.cloned());
-            // What has gone less far than this can't have begun.
-            let begins = if outgoing.passage.begins == Begins::LastByte { all } else { head };
-            let permit = begin_with(permit, terms);
-            let answer = connection.send_if(request, permit, terms.write_by);
-            let exchanged = exchange(answer, &outgoing.passage, &self.room);
-            let exchanged = within(&outgoing.body, terms.give_up, exchanged).await;
-            let written = connection.written() - before;
-            // One that streams has its end where its last byte is, whatever it says of its length.
-            let may_have_begun = match &outgoing.body {
+            let request = request(outgoing, announced, &connection);
+            let (written_before, head_bytes, request_length) =
+                (connection.written(), head_length(&request), wire_length(&request));
+            let known_length = matches!(outgoing.body, Payload::Buffered(_)).then_some(request_length);
+            connection.count_when_sent(known_length, sends.cloned());
+            // An upstream that received fewer bytes cannot have started the request.
+            let start_threshold =
+                if outgoing.passage.begins == Begins::LastByte { request_length } else { head_bytes };
+            let permit = mark_started_on_permit(permit, limits);
+            let response = connection.send_with_permit(request, permit, limits.write_by);
+            let exchange_result = exchange(response, &outgoing.passage, &self.body_memory);
+            let exchange_result = with_timeouts(&outgoing.body, limits.answer_by, exchange_result).await;
+            let written = connection.written() - written_before;
+            // A streaming body is complete when its last byte was written, whatever length it announced.
+            let may_have_started = match &outgoing.body {
                 Payload::Upload(upload) if outgoing.passage.begins == Begins::LastByte => {
                     upload.is_complete()
                 }
-                _ => written >= begins,
+                _ => written >= start_threshold,
             };
-            match exchanged {
-                Some(Ok(reply)) if is_anothers(&reply, outgoing, &connection, before + all) => {
-                    tracing::debug!(upstream = id.0, written, all, "an answer before the request");
-                    return if may_have_begun { Outcome::Error } else { Outcome::ConnectFailed }.into();
+            match exchange_result {
+                Some(Ok(reply))
+                    if is_stale_response(&reply, outgoing, &connection, written_before + request_length) =>
+                {
+                    tracing::debug!(
+                        upstream = id.0,
+                        written,
+                        request_length,
+                        "response before the end of the request"
+                    );
+                    return if may_have_started { Outcome::Error } else { Outcome::ConnectFailed }.into();
                 }
                 Some(Ok(reply)) => {
-                    let from = (id, upstream, process);
-                    return self.answered(from, connection, outgoing, reply, before + all);
+                    let sender = (id, upstream, process_epoch);
+                    return self.handle_response(
+                        sender,
+                        connection,
+                        outgoing,
+                        reply,
+                        written_before + request_length,
+                    );
                 }
-                // It was held back for too long, or had ended unseen while idle. Nothing of the request has left: it is worded
-                // anew, or another connection is taken.
-                Some(Err(_)) if written == 0 && connection.withheld() == Some(WithheldReason::Outdated) => {}
-                Some(Err(_)) if written == 0 && reused && connection.withheld().is_none() => {}
+                // The time left in the request is stale, or the connection was closed while idle. No byte was
+                // written: build the request again, or use another connection.
+                Some(Err(_))
+                    if written == 0
+                        && connection.withheld_reason() == Some(WithheldReason::StaleTimeLeft) => {}
+                Some(Err(_)) if written == 0 && is_reused && connection.withheld_reason().is_none() => {}
                 Some(Err(e)) => {
-                    tracing::debug!(upstream = id.0, written, all, "broken: {e}");
+                    tracing::debug!(upstream = id.0, written, request_length, "exchange failed: {e}");
                     return match e {
-                        _ if is_its_senders(&outgoing.body) => Outcome::Cancelled,
-                        // It has been read, whole or not, by an upstream that lives and has answered.
-                        Broken::Spoilt(_) => Outcome::Error,
-                        Broken::Ended(_) if may_have_begun => Outcome::Reset,
-                        Broken::Ended(_) if connection.withheld().is_some() => Outcome::NotSent,
-                        Broken::Ended(_) => Outcome::ConnectFailed,
+                        _ if is_sender_fault(&outgoing.body) => Outcome::Cancelled,
+                        // The upstream is alive and read at least part of the request.
+                        ExchangeError::Malformed(_) => Outcome::Error,
+                        ExchangeError::Closed(_) if may_have_started => Outcome::Reset,
+                        ExchangeError::Closed(_) if connection.withheld_reason().is_some() => {
+                            Outcome::NotSent
+                        }
+                        ExchangeError::Closed(_) => Outcome::ConnectFailed,
                     }
                     .into();
                 }
-                None if is_its_senders(&outgoing.body) => return Outcome::Cancelled.into(),
-                None if !may_have_begun => return Outcome::NotSent.into(),
+                None if is_sender_fault(&outgoing.body) => return Outcome::Cancelled.into(),
+                None if !may_have_started => return Outcome::NotSent.into(),
                 None => return Outcome::TimedOut.into(),
             }
         }
     }
 
-    /// Whether a request that tells `told` may be written now: the upstream may have begun to drain, or to be another process,
-    /// while the connection was made, and this process may have been stopped.
+    /// Returns a check that a request with the announced time left may be written now. While the connection
+    /// was being made, the upstream may have started to drain or been restarted, or this process may have
+    /// been suspended.
     fn permit(
         self: &Rc<Self>,
         upstream: &Rc<Upstream>,
-        process: u32,
-        terms: &AttemptLimits,
-        told: Duration,
+        process_epoch: u32,
+        limits: &AttemptLimits,
+        announced: Duration,
     ) -> impl Fn() -> Result<(), WithheldReason> + 'static {
-        let (upstreams, upstream, terms) = (Rc::clone(self), Rc::clone(upstream), terms.clone());
+        let (upstreams, upstream, limits) = (Rc::clone(self), Rc::clone(upstream), limits.clone());
         move || {
-            if !upstream.takes(process) || !upstreams.may_write(terms.repeat) {
+            if !upstream.accepts(process_epoch) || !upstreams.may_write(limits.is_repeat) {
                 return Err(WithheldReason::TooLate);
             }
-            terms.allow(told)
+            limits.check(announced)
         }
     }
 
-    /// Asks an upstream how it is.
+    /// Sends a health probe to an upstream.
     pub async fn probe(self: &Rc<Self>, id: UpstreamId) -> AttemptResult {
         let target =
             Uri::from_static(if self.reports.get() == Reports::Off { "/health/live" } else { "/stats" });
         let mut headers = HeaderMap::with_capacity(3);
         headers.insert(HOST, HeaderValue::from_static("upstream"));
-        let (body, passage) = (Payload::Buffered(Bytes::new()), Rc::clone(&self.probing));
+        let (body, passage) = (Payload::Buffered(Bytes::new()), Rc::clone(&self.probe_passage));
         let outgoing = OutboundRequest { method: Method::GET, target, headers, body, passage };
-        let terms = AttemptLimits::first(Instant::now() + PROBE_TIMEOUT);
-        let mut ended = self.send(id, &outgoing, &terms, None).await;
-        if let Some(UpstreamResponse { body: ResponseBody::Buffered(body), .. }) = &ended.response
+        let limits = AttemptLimits::first(Instant::now() + PROBE_TIMEOUT);
+        let mut result = self.send(id, &outgoing, &limits, None).await;
+        if let Some(UpstreamResponse { body: ResponseBody::Buffered(body), .. }) = &result.response
             && self.reports.get() != Reports::Off
-            && ended.report.is_empty()
+            && result.load_report.is_empty()
         {
-            ended.report = self.read_report(body);
+            result.load_report = self.read_report(body);
         }
-        ended
+        result
     }
 
-    /// Takes in an answer. `whole` is what its connection has written when the request has left whole.
-    fn answered(
+    /// Converts a response into a result. `request_end` is the connection's write count at the end of the
+    /// request.
+    fn handle_response(
         self: &Rc<Self>,
-        (id, upstream, process): (UpstreamId, Rc<Upstream>, u32),
+        (id, upstream, process_epoch): (UpstreamId, Rc<Upstream>, u32),
         connection: Connection,
         outgoing: &OutboundRequest,
         reply: Reply,
-        whole: u64,
+        request_end: u64,
     ) -> AttemptResult {
         let Reply { parts: Parts { status, mut headers, .. }, means, body } = reply;
-        let load = headers.remove(LOAD).filter(|_| self.reports.get() == Reports::Inline);
-        let report = load.map_or_else(Vec::new, |load| self.read_report(load.as_bytes()));
-        let headless = outgoing.method == Method::HEAD || status == StatusCode::NOT_MODIFIED;
-        self.forwarding.answer(&mut headers, matches!(body, Coming::Streams(..)), headless);
-        // An answer that came before the request had left whole leaves the rest in the way.
-        let payload = outgoing.body.clone();
-        let has_left = move |connection: &Connection| match &payload {
-            Payload::Buffered(_) => connection.written() >= whole,
+        let report_header = headers.remove(LOAD).filter(|_| self.reports.get() == Reports::Inline);
+        let load_report =
+            report_header.map_or_else(Vec::new, |report_header| self.read_report(report_header.as_bytes()));
+        let is_bodiless = outgoing.method == Method::HEAD || status == StatusCode::NOT_MODIFIED;
+        self.forwarding.answer(&mut headers, matches!(body, ReceivedBody::Streaming(..)), is_bodiless);
+        // If the response arrived before the request was complete, the unwritten rest blocks the connection.
+        let request_body = outgoing.body.clone();
+        let is_fully_written = move |connection: &Connection| match &request_body {
+            Payload::Buffered(_) => connection.written() >= request_end,
             Payload::Upload(upload) => upload.is_complete() && connection.is_flushed(),
         };
         let body = match body {
-            Coming::Whole(body) => {
-                if has_left(&connection) {
-                    self.put_back(id, &upstream, process, connection);
+            ReceivedBody::Complete(body) => {
+                if is_fully_written(&connection) {
+                    self.return_connection(id, &upstream, process_epoch, connection);
                 }
                 ResponseBody::Buffered(body)
             }
-            Coming::Streams(read, incoming) => {
+            ReceivedBody::Streaming(prefetched, incoming) => {
                 let (upstreams, (idle, total)) = (Rc::clone(self), outgoing.passage.patience());
-                let put_back = Box::new(move |connection: Connection| {
-                    if has_left(&connection) {
-                        upstreams.put_back(id, &upstream, process, connection);
+                let return_connection = Box::new(move |connection: Connection| {
+                    if is_fully_written(&connection) {
+                        upstreams.return_connection(id, &upstream, process_epoch, connection);
                     }
                 });
-                let until = Instant::now() + total;
-                ResponseBody::Stream(Stream::new(read, incoming, connection, put_back, idle, until))
+                let deadline = Instant::now() + total;
+                ResponseBody::Stream(Stream::new(
+                    prefetched,
+                    incoming,
+                    connection,
+                    return_connection,
+                    idle,
+                    deadline,
+                ))
             }
         };
-        let (response, spoke) =
+        let (response, passes_error) =
             (UpstreamResponse { status, headers, body }, outgoing.passage.last_error_passes);
-        let (outcome, response, words) = match means {
+        let (outcome, response, error_response) = match means {
             Means::Final { well: true } => (Outcome::Ok, Some(response), None),
             Means::Final { well: false } => (Outcome::Error, Some(response), None),
             Means::TurnedAway => (Outcome::Rejected, None, None),
-            Means::Overload => (Outcome::Overloaded, None, Some(response).filter(|_| spoke)),
-            Means::Error => (Outcome::Error, None, Some(response).filter(|_| spoke)),
+            Means::Overload => (Outcome::Overloaded, None, Some(response).filter(|_| passes_error)),
+            Means::Error => (Outcome::Error, None, Some(response).filter(|_| passes_error)),
         };
-        AttemptResult { outcome, response, words, report }
+        AttemptResult { outcome, response, error_response, load_report }
     }
 }
 
-/// A permit that tells the terms when it is given.
-fn begin_with(permit: impl Fn() -> Result<(), WithheldReason> + 'static, terms: &AttemptLimits) -> Permit {
-    let terms = terms.clone();
+/// Wraps a permit so that it marks the attempt as started when it is granted.
+fn mark_started_on_permit(
+    permit: impl Fn() -> Result<(), WithheldReason> + 'static,
+    limits: &AttemptLimits,
+) -> WritePermit {
+    let limits = limits.clone();
     Box::new(move || {
         permit()?;
-        terms.begin();
+        limits.mark_started();
         Ok(())
     })
 }
 
-/// Whether an answer can't be that to the request which has left whole once its connection has written `whole`: it began to
-/// come before that, and upstreams of this kind begin with the last byte. It is a second answer to the request before.
-fn is_anothers(reply: &Reply, outgoing: &OutboundRequest, connection: &Connection, whole: u64) -> bool {
+/// Returns true if the response cannot belong to the request that ends at write count `request_end`: it began
+/// before that, and upstreams of this kind respond only after the last byte. It is a duplicate response to
+/// the previous request.
+fn is_stale_response(
+    reply: &Reply,
+    outgoing: &OutboundRequest,
+    connection: &Connection,
+    request_end: u64,
+) -> bool {
     outgoing.passage.begins == Begins::LastByte
         && matches!(outgoing.body, Payload::Buffered(_))
         && matches!(reply.means, Means::Final { .. })
-        && connection.written_when_heard().is_some_and(|written| written < whole)
+        && connection.written_at_first_byte().is_some_and(|written| written < request_end)
 }
 
-/// Whether a request has broken by its sender's fault.
-fn is_its_senders(body: &Payload) -> bool {
+/// Returns true if the request failed because of its sender.
+fn is_sender_fault(body: &Payload) -> bool {
     matches!(body, Payload::Upload(upload) if upload.fault().is_some())
 }
 
-/// What comes in time. A body that streams has times of its own.
-async fn within<T>(body: &Payload, give_up: Instant, exchange: impl Future<Output = T>) -> Option<T> {
+/// Runs an exchange under its time limit. A streaming body has its own timeouts.
+async fn with_timeouts<T>(
+    body: &Payload,
+    answer_by: Instant,
+    exchange: impl Future<Output = T>,
+) -> Option<T> {
     match body {
-        Payload::Buffered(_) => timeout_at(give_up, exchange).await.ok(),
+        Payload::Buffered(_) => timeout_at(answer_by, exchange).await.ok(),
         Payload::Upload(upload) => tokio::select! {
-            done = exchange => Some(done),
-            () = upload.is_over() => None,
+            result = exchange => Some(result),
+            () = upload.wait_until_timed_out() => None,
         },
     }
 }
 
-/// The request of one attempt: how long the balancer will wait is its own.
+/// Builds the request of one attempt; the time left differs from attempt to attempt.
 fn request(
     outgoing: &OutboundRequest,
-    left: Duration,
+    time_left: Duration,
     connection: &Connection,
-) -> Request<crate::parts::body::Outbound> {
+) -> Request<crate::parts::body::OutboundBody> {
     let mut headers = outgoing.headers.clone();
-    // The time of a body that streams is its own; the answer's counts from its last byte.
-    let left = outgoing.body.upload().map_or(left, |upload| upload.answer_most().min(left));
-    headers.insert(TIME_LEFT, HeaderValue::from(left.as_millis() as u64));
+    // A streaming body has its own timeouts; the answer timeout starts at its last byte.
+    let time_left = outgoing.body.upload().map_or(time_left, |upload| upload.answer_timeout().min(time_left));
+    headers.insert(TIME_LEFT, HeaderValue::from(time_left.as_millis() as u64));
     let body = connection.outbound(&outgoing.body);
-    let enclosing = matches!(outgoing.method, Method::POST | Method::PUT | Method::PATCH);
-    if let Some(length) = body.size_hint().exact().filter(|length| *length > 0 || enclosing) {
+    let needs_length = matches!(outgoing.method, Method::POST | Method::PUT | Method::PATCH);
+    if let Some(length) = body.size_hint().exact().filter(|length| *length > 0 || needs_length) {
         headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
     }
-    // What streams may have trailers.
+    // A streamed response may carry trailers.
     headers.insert(TE, HeaderValue::from_static("trailers"));
     let mut request = Request::new(body);
     *request.method_mut() = outgoing.method.clone();
--- a/crates/engine/src/parts/attempt/reply.rs
+++ b/crates/engine/src/parts/attempt/reply.rs
@@ -1,7 +1,7 @@
-//! The answer to one attempt as it comes back: its head, and a body that is held whole or streams.
+//! Response to one attempt: its head, and a body that is buffered or streamed.
 
-use crate::parts::answer::is_unreadable;
-use crate::parts::body::{Failure, Gathered, gather};
+use crate::parts::answer::is_malformed_body;
+use crate::parts::body::{BodyBuffer, Failure, collect_body};
 use crate::parts::body_memory::{BodyMemory, MemoryReservation};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -15,125 +15,141 @@
 use std::future::Future;
 use tokio::time::{Instant, timeout_at};
 
-/// The longest body of an answer that does not pass.
-const ERROR_MOST: usize = 64 * 1024;
+/// Longest error body that is buffered, in bytes.
+const MAX_ERROR_BODY_BYTES: usize = 64 * 1024;
 
-/// The head of an answer, and its body.
+/// Response head with the start of the body.
 pub(super) struct Reply {
     pub(super) parts: Parts,
     pub(super) means: Means,
-    pub(super) body: Coming,
+    pub(super) body: ReceivedBody,
 }
 
-/// A body that comes back.
-pub(super) enum Coming {
-    /// It has come whole.
-    Whole(Bytes),
-    /// These frames have come, and the rest will.
-    Streams(VecDeque<Frame<Bytes>>, Incoming),
+/// Body of a response, as far as it was received.
+pub(super) enum ReceivedBody {
+    /// The complete body.
+    Complete(Bytes),
+    /// The frames received so far, and the rest of the body.
+    Streaming(VecDeque<Frame<Bytes>>, Incoming),
 }
 
-/// Why an exchange came to no answer.
+/// Reason why an exchange produced no response.
 #[derive(Debug)]
-pub(super) enum Broken {
-    /// The connection ended.
-    Ended(Failure),
-    /// What came is no answer, though the connection stands: the request may have run, and the upstream is
-    /// no worse than one that answers with an error.
-    Spoilt(Failure),
+pub(super) enum ExchangeError {
+    /// The connection was closed.
+    Closed(Failure),
+    /// The response is malformed, though the connection works. The request may have run; the upstream is
+    /// treated as one that responds with an error.
+    Malformed(Failure),
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for ExchangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Ended(e) => write!(f, "ended: {e}"),
-            Self::Spoilt(e) => write!(f, "spoilt: {e}"),
+            Self::Closed(e) => write!(f, "connection closed: {e}"),
+            Self::Malformed(e) => write!(f, "malformed response: {e}"),
         }
     }
 }
 
-impl From<hyper::Error> for Broken {
+impl From<hyper::Error> for ExchangeError {
     fn from(e: hyper::Error) -> Self {
         let is_parse = e.is_parse();
         let e = e.into();
-        if is_parse || is_unreadable(&e) { Self::Spoilt(e) } else { Self::Ended(e) }
+        if is_parse || is_malformed_body(&e) { Self::Malformed(e) } else { Self::Closed(e) }
     }
 }
 
-/// What went wrong with a body.
-fn broken_body(e: Failure) -> Broken {
-    if is_unreadable(&e) { Broken::Spoilt(e) } else { Broken::Ended(e) }
+/// Classifies an error of a response body.
+fn body_error(e: Failure) -> ExchangeError {
+    if is_malformed_body(&e) { ExchangeError::Malformed(e) } else { ExchangeError::Closed(e) }
 }
 
-/// One request, and its answer: whole, or from its first byte.
+/// Sends one request and reads the response: completely, or up to the point where it streams.
 pub(super) async fn exchange(
-    answer: impl Future<Output = hyper::Result<Response<Incoming>>>,
+    response: impl Future<Output = hyper::Result<Response<Incoming>>>,
     passage: &Passage,
-    room: &BodyMemory,
-) -> Result<Reply, Broken> {
-    let (parts, body) = answer.await?.into_parts();
+    body_memory: &BodyMemory,
+) -> Result<Reply, ExchangeError> {
+    let (parts, body) = response.await?.into_parts();
     if parts.headers.contains_key(CONTENT_LENGTH) && parts.headers.contains_key(TRANSFER_ENCODING) {
-        return Err(Broken::Spoilt("two lengths".into()));
+        return Err(ExchangeError::Malformed("both Content-Length and Transfer-Encoding".into()));
     }
     if parts.status == StatusCode::SWITCHING_PROTOCOLS {
-        return Err(Broken::Spoilt("an upgrade that nobody asked for".into()));
+        return Err(ExchangeError::Malformed("unrequested protocol upgrade (status 101)".into()));
     }
     let means = passage.meaning.of(parts.status, &parts.headers);
-    let Answers { buffer, hold, most, .. } = passage.answers;
+    let Answers { buffer, hold, most: max_length, .. } = passage.answers;
     let body = match means {
         Means::Final { .. } => {
-            let stated = body.size_hint().exact();
-            if let Some(n) = stated.filter(|n| *n > most) {
-                return Err(Broken::Spoilt(format!("{n} bytes are too long").into()));
+            let known_length = body.size_hint().exact();
+            if let Some(n) = known_length.filter(|n| *n > max_length) {
+                return Err(ExchangeError::Malformed(
+                    format!("body of {n} bytes exceeds the limit of {max_length}").into(),
+                ));
             }
-            let holds = match stated {
+            let buffered_length = match known_length {
                 Some(n) => (n <= buffer as u64).then_some(n as usize),
                 None => (!hold.is_zero()).then_some(buffer),
             };
-            match holds.and_then(|n| room.take_long(n)) {
-                Some(taken) if stated.is_some() => {
-                    Coming::Whole(taken.with(gather(body).await.map_err(broken_body)?))
-                }
-                Some(taken) => held(body, buffer, Instant::now() + hold, taken).await?,
-                // Where there is no room to hold it, its reader sets the pace.
-                None => Coming::Streams(VecDeque::new(), body),
+            match buffered_length.and_then(|n| body_memory.reserve_body(n)) {
+                Some(reservation) if known_length.is_some() => ReceivedBody::Complete(
+                    reservation.attach_to(collect_body(body).await.map_err(body_error)?),
+                ),
+                Some(reservation) => buffer_unsized(body, buffer, Instant::now() + hold, reservation).await?,
+                // Without free body memory the response streams, and its reader sets the pace.
+                None => ReceivedBody::Streaming(VecDeque::new(), body),
             }
         }
-        _ => Coming::Whole(whole(body, ERROR_MOST, room).await?),
+        _ => ReceivedBody::Complete(read_complete(body, MAX_ERROR_BODY_BYTES, body_memory).await?),
     };
     Ok(Reply { parts, means, body })
 }
 
-/// A body that did not say how long it is: whole if it ends within `buffer` bytes and by `until`.
-async fn held(
+/// Reads a body of unknown length. Returns it complete if it ends within `buffer` bytes and before `until`;
+/// otherwise the rest streams.
+async fn buffer_unsized(
     mut body: Incoming,
     buffer: usize,
     until: Instant,
-    taken: MemoryReservation,
-) -> Result<Coming, Broken> {
-    let mut read = Gathered::default();
+    reservation: MemoryReservation,
+) -> Result<ReceivedBody, ExchangeError> {
+    let mut received = BodyBuffer::default();
     let mut trailers = None;
-    while read.len() <= buffer && trailers.is_none() {
+    while received.len() <= buffer && trailers.is_none() {
         let Ok(frame) = timeout_at(until, body.frame()).await else { break };
-        match frame.transpose().map_err(|e| broken_body(e.into()))?.map(Frame::into_data) {
-            Some(Ok(data)) => read.push(data),
-            // They follow what is passed on as it came.
-            Some(Err(last)) => trailers = Some(last),
-            None => return Ok(Coming::Whole(taken.shrunk(read.len()).with(read.whole()))),
+        match frame.transpose().map_err(|e| body_error(e.into()))?.map(Frame::into_data) {
+            Some(Ok(data)) => received.push(data),
+            // Trailers can only be forwarded after the data in a stream.
+            Some(Err(frame)) => trailers = Some(frame),
+            None => {
+                return Ok(ReceivedBody::Complete(
+                    reservation.shrink_to(received.len()).attach_to(received.into_bytes()),
+                ));
+            }
         }
     }
-    let data = read.whole();
+    let data = received.into_bytes();
     let data = (!data.is_empty()).then(|| Frame::data(data));
-    Ok(Coming::Streams(data.into_iter().chain(trailers).collect(), body))
+    Ok(ReceivedBody::Streaming(data.into_iter().chain(trailers).collect(), body))
 }
 
-/// A whole body of `most` bytes at the most, if there is room for it.
-async fn whole(body: Incoming, most: usize, room: &BodyMemory) -> Result<Bytes, Broken> {
-    let stated = body.size_hint().exact().map_or(most, |n| usize::try_from(n).unwrap_or(usize::MAX));
-    if stated > most {
-        return Err(Broken::Spoilt(format!("{stated} bytes are too long").into()));
+/// Reads a complete body of at most `max_length` bytes. Fails if the body memory is exhausted.
+async fn read_complete(
+    body: Incoming,
+    max_length: usize,
+    body_memory: &BodyMemory,
+) -> Result<Bytes, ExchangeError> {
+    let known_length =
+        body.size_hint().exact().map_or(max_length, |n| usize::try_from(n).unwrap_or(usize::MAX));
+    if known_length > max_length {
+        return Err(ExchangeError::Malformed(
+            format!("body of {known_length} bytes exceeds the limit of {max_length}").into(),
+        ));
     }
-    let taken = room.take_long(stated).ok_or_else(|| Broken::Spoilt("no room for an answer".into()))?;
-    let body = gather(Limited::new(body, most)).await.map_err(broken_body)?;
-    Ok(taken.shrunk(body.len()).with(body))
+    let reservation = body_memory
+        .reserve_body(known_length)
+        .ok_or_else(|| ExchangeError::Malformed("no body memory left for the response".into()))?;
+    let body = collect_body(Limited::new(body, max_length)).await.map_err(body_error)?;
+    Ok(reservation.shrink_to(body.len()).attach_to(body))
 }
--- a/crates/engine/src/parts/attempt/tests.rs
+++ b/crates/engine/src/parts/attempt/tests.rs
@@ -1,4 +1,4 @@
-//! How attempts end, against upstreams that behave in every way.
+//! Outcomes of attempts against upstreams that behave correctly, fail, or violate HTTP.
 
 use super::*;
 use crate::parts::body_memory::BodyMemory;
@@ -12,11 +12,11 @@
 use tokio::task::spawn_local;
 
 const ID: UpstreamId = UpstreamId(7);
-const LONG: Duration = Duration::from_secs(20);
-const SHORT: usize = 64 * 1024;
-const ROOM: usize = 4 << 20;
+const LONG_TIMEOUT: Duration = Duration::from_secs(20);
+const BUFFER_BYTES: usize = 64 * 1024;
+const BODY_MEMORY_BYTES: usize = 4 << 20;
 
-fn outgoing() -> OutboundRequest {
+fn booking_request() -> OutboundRequest {
     OutboundRequest {
         method: Method::POST,
         target: Uri::from_static("/book"),
@@ -26,50 +26,56 @@
     }
 }
 
-async fn upstreams(most_open: usize) -> (Rc<Upstreams>, TcpListener, EndpointState) {
+async fn upstreams(max_open: usize) -> (Rc<Upstreams>, TcpListener, EndpointState) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let settings = Settings { connect_timeout: LONG, connection_idle_timeout: LONG, ..Settings::default() };
+    let settings = Settings {
+        connect_timeout: LONG_TIMEOUT,
+        connection_idle_timeout: LONG_TIMEOUT,
+        ..Settings::default()
+    };
     let upstreams = Rc::new(Upstreams::new(
         &settings,
-        crate::parts::pool::tests::descriptors(most_open),
-        BodyMemory::new(ROOM),
+        crate::parts::pool::tests::descriptors(max_open),
+        BodyMemory::new(BODY_MEMORY_BYTES),
         maplehook_http_semantics::Forwarding::platform(),
         Arc::default(),
     ));
     let endpoint = Some(listener.local_addr().unwrap());
-    let place = EndpointState { endpoint, availability: Availability::Ready, boot_ms: 0 };
-    upstreams.update_endpoint(ID, ZoneId(0), &place);
-    (upstreams, listener, place)
+    let state = EndpointState { endpoint, availability: Availability::Ready, boot_ms: 0 };
+    upstreams.update_endpoint(ID, ZoneId(0), &state);
+    (upstreams, listener, state)
 }
 
-/// Guards what is acted on after its time: a process that was stopped writes no repeat by rules that have run out.
+/// Guards against retries after the lease has result: a process that was suspended must check the lease at the
+/// moment of writing.
 #[tokio::test(flavor = "local")]
-async fn a_lease_that_has_run_out_is_found_in_the_moment_of_writing() {
+async fn an_expired_lease_stops_attempts_at_the_moment_of_writing() {
     use crate::parts::upstream::Lease;
     let (upstreams, listener, _) = upstreams(8).await;
     let until = Instant::now();
     upstreams.set_lease(Lease::Until { until, covers_first_attempts: false });
-    let request = outgoing();
-    let ended = upstreams.attempt(ID, &request, AttemptLimits::repeat(Instant::now() + LONG, None)).await;
-    assert_eq!(ended.outcome, Outcome::NotSent);
+    let request = booking_request();
+    let result =
+        upstreams.attempt(ID, &request, AttemptLimits::repeat(Instant::now() + LONG_TIMEOUT, None)).await;
+    assert_eq!(result.outcome, Outcome::NotSent);
     upstreams.set_lease(Lease::Until { until, covers_first_attempts: true });
-    let ended = upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)).await;
-    assert_eq!(ended.outcome, Outcome::NotSent);
-    // Within its time, and for a first attempt where that may go on, it is written.
+    let result = upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG_TIMEOUT)).await;
+    assert_eq!(result.outcome, Outcome::NotSent);
+    // A valid lease allows the attempt; an expired one allows first attempts unless it covers them.
     for lease in [
-        Lease::Until { until: Instant::now() + LONG, covers_first_attempts: true },
+        Lease::Until { until: Instant::now() + LONG_TIMEOUT, covers_first_attempts: true },
         Lease::Until { until, covers_first_attempts: false },
     ] {
         upstreams.set_lease(lease);
-        let held = Rc::clone(&upstreams);
+        let shared = Rc::clone(&upstreams);
         let attempt = spawn_local(async move {
-            held.attempt(ID, &outgoing(), AttemptLimits::first(Instant::now() + LONG)).await
+            shared.attempt(ID, &booking_request(), AttemptLimits::first(Instant::now() + LONG_TIMEOUT)).await
         });
-        // The first ones were made for what was not written.
+        // Skip the connections of the attempts that wrote nothing.
         loop {
             let (mut stream, _) = listener.accept().await.unwrap();
-            let mut first = [0; 4];
-            if stream.read_exact(&mut first).await.is_ok() {
+            let mut head = [0; 4];
+            if stream.read_exact(&mut head).await.is_ok() {
                 break;
             }
         }
@@ -77,69 +83,81 @@
     }
 }
 
-/// Guards the drain rule where an attempt was decided on before the news and has no connection yet.
+/// Guards against sending to a draining upstream: the attempt was decided on before the drain was known, and
+/// then waited for a connection.
 #[tokio::test(flavor = "local")]
-async fn an_attempt_that_waits_for_a_connection_heeds_a_drain() {
-    let (upstreams, listener, mut place) = upstreams(1).await;
-    let held = Rc::clone(&upstreams);
+async fn an_attempt_waiting_for_a_connection_is_not_sent_to_a_draining_upstream() {
+    let (upstreams, listener, mut state) = upstreams(1).await;
+    let shared = Rc::clone(&upstreams);
     let first = spawn_local(async move {
-        held.attempt(ID, &outgoing(), AttemptLimits::first(Instant::now() + LONG)).await
+        shared.attempt(ID, &booking_request(), AttemptLimits::first(Instant::now() + LONG_TIMEOUT)).await
     });
     let (mut stream, _) = listener.accept().await.unwrap();
     assert!(stream.read(&mut [0; 1024]).await.unwrap() > 0);
-    // The only place is taken: this one waits.
-    let waits = Rc::clone(&upstreams);
+    // The only connection slot is in use, so the second attempt waits.
+    let waiting = Rc::clone(&upstreams);
     let second = spawn_local(async move {
-        waits.attempt(ID, &outgoing(), AttemptLimits::first(Instant::now() + LONG)).await
+        waiting.attempt(ID, &booking_request(), AttemptLimits::first(Instant::now() + LONG_TIMEOUT)).await
     });
     tokio::task::yield_now().await;
-    place.availability = Availability::Draining;
-    upstreams.update_endpoint(ID, ZoneId(0), &place);
+    state.availability = Availability::Draining;
+    upstreams.update_endpoint(ID, ZoneId(0), &state);
     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.unwrap();
-    assert_eq!(first.await.unwrap().outcome, Outcome::Ok, "what it has it finishes");
+    assert_eq!(first.await.unwrap().outcome, Outcome::Ok, "the request in flight completes during the drain");
     assert_eq!(second.await.unwrap().outcome, Outcome::NotSent);
-    assert_eq!(stream.read(&mut [0; 1024]).await.unwrap_or(0), 0, "nothing more came");
+    assert_eq!(
+        stream.read(&mut [0; 1024]).await.unwrap_or(0),
+        0,
+        "the draining upstream receives no second request"
+    );
 }
 
-/// Guards against another request's answer: what came behind an answer on a kept connection, a second copy
-/// perhaps and perhaps unseen by this process as yet, is not taken for the answer to the next request.
+/// Guards against mixing up responses: bytes after a response on a reused connection, such as a duplicate
+/// response, must not answer the next request, even if this process has not read them yet.
 #[tokio::test(flavor = "local")]
-async fn what_came_behind_an_answer_serves_nobody() {
+async fn extra_bytes_after_a_response_do_not_answer_the_next_request() {
     let (upstreams, listener, _) = upstreams(8).await;
-    for behind_at_once in [true, false] {
+    for is_sent_at_once in [true, false] {
         for _ in 0..20 {
             upstreams.close_idle(ID);
-            let first = async {
+            let respond_twice = async {
                 let (mut stream, _) = listener.accept().await.unwrap();
                 assert!(stream.read(&mut [0; 1024]).await.unwrap() > 0);
-                let twice = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noldHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold";
-                let (now, later) = twice.split_at(if behind_at_once { twice.len() } else { twice.len() / 2 });
+                let duplicated = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noldHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold";
+                let (now, later) = duplicated.split_at(if is_sent_at_once {
+                    duplicated.len()
+                } else {
+                    duplicated.len() / 2
+                });
                 stream.write_all(now).await.unwrap();
                 (stream, later)
             };
-            let request = outgoing();
-            let (ended, (mut stream, later)) = tokio::join!(
-                upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)),
-                first
+            let request = booking_request();
+            let (result, (mut stream, later)) = tokio::join!(
+                upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG_TIMEOUT)),
+                respond_twice
             );
-            assert_eq!(ended.outcome, Outcome::Ok);
-            // No task runs between this and the next attempt, but for this write.
+            assert_eq!(result.outcome, Outcome::Ok);
+            // No other task runs between this write and the next attempt.
             assert_eq!(stream.try_write(later).unwrap(), later.len());
-            let second = async {
+            let respond_again = async {
                 let (mut stream, _) = listener.accept().await.unwrap();
                 assert!(stream.read(&mut [0; 1024]).await.unwrap() > 0);
                 stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew").await.unwrap();
                 stream
             };
-            let both = async {
+            let exchange = async {
                 tokio::join!(
-                    upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)),
-                    second
+                    upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG_TIMEOUT)),
+                    respond_again
                 )
             };
-            let (ended, _second) = timeout_at(Instant::now() + LONG, both).await.expect("a new connection");
-            let ResponseBody::Buffered(body) = ended.response.expect("an answer").body else {
-                panic!("it streams")
+            let (result, _stream) = timeout_at(Instant::now() + LONG_TIMEOUT, exchange)
+                .await
+                .expect("a new connection is opened in time");
+            let ResponseBody::Buffered(body) = result.response.expect("the attempt has a response").body
+            else {
+                panic!("the response is not buffered")
             };
             assert_eq!(body, "new");
             let _ = stream.read(&mut [0; 1]).await;
@@ -147,34 +165,40 @@
     }
 }
 
-/// Guards against the moment between an upstream's close and this process's look at it.
+/// Guards against writing to a closed connection: the upstream closes it just before the next attempt, and
+/// this process has not noticed yet.
 #[tokio::test(flavor = "local")]
-async fn a_connection_that_has_just_been_closed_is_not_written_to() {
+async fn a_connection_closed_by_its_upstream_is_not_reused() {
     let (upstreams, listener, _) = upstreams(8).await;
     for _ in 0..20 {
-        let answer = async {
+        let respond = async {
             let (mut stream, _) = listener.accept().await.unwrap();
             assert!(stream.read(&mut [0; 1024]).await.unwrap() > 0);
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.unwrap();
             stream
         };
-        let request = outgoing();
-        // Without the guard the request goes into the old connection and no new one ever comes.
-        let both = async {
-            tokio::join!(upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)), answer)
+        let request = booking_request();
+        // Without the check the request goes to the old connection, and no new connection is opened.
+        let exchange = async {
+            tokio::join!(
+                upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG_TIMEOUT)),
+                respond
+            )
         };
-        let (ended, stream) = timeout_at(Instant::now() + LONG, both).await.expect("a new connection");
-        assert_eq!(ended.outcome, Outcome::Ok);
-        // No task runs between this and the next attempt.
+        let (result, stream) = timeout_at(Instant::now() + LONG_TIMEOUT, exchange)
+            .await
+            .expect("a new connection is opened in time");
+        assert_eq!(result.outcome, Outcome::Ok);
+        // No other task runs between this close and the next attempt.
         drop(stream);
     }
 }
 
-/// Guards a fleet whose answers come spoilt now and then from being taken for dead: each such answer is an
-/// error of an upstream that lives, ends the attempt at once, and its connection serves nobody again.
-/// An answer that breaks off with its connection is another thing.
+/// Guards against ejecting a working fleet over malformed responses: each one is an error, not a reset, ends
+/// its attempt at once, and its connection is not reused. A response that is cut off by its connection is a
+/// reset.
 #[tokio::test(flavor = "local")]
-async fn a_spoilt_answer_is_an_error_and_no_reset() {
+async fn a_malformed_response_is_an_error_and_not_a_reset() {
     let (upstreams, listener, _) = upstreams(8).await;
     let long = format!("HTTP/1.1 200 OK\r\nX-Long: {}", "y".repeat(80 * 1024));
     let body =
@@ -197,47 +221,52 @@
             Outcome::Ok,
         ),
     ] {
-        let answer = async {
+        let respond = async {
             let (mut stream, _) = listener.accept().await.unwrap();
             assert!(stream.read(&mut [0; 1024]).await.unwrap() > 0);
-            // Where it is cut off on the way, its end was seen early enough.
+            // The balancer may close the connection while it is still being written to.
             let _ = stream.write_all(text.as_bytes()).await;
             stream
         };
-        let request = outgoing();
-        let both = async {
-            tokio::join!(upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)), answer)
+        let request = booking_request();
+        let exchange = async {
+            tokio::join!(
+                upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG_TIMEOUT)),
+                respond
+            )
         };
-        let (ended, _open) = timeout_at(Instant::now() + LONG, both).await.expect("a new connection");
-        assert_eq!(ended.outcome, outcome, "{:?}", &text[..text.len().min(80)]);
+        let (result, _open) = timeout_at(Instant::now() + LONG_TIMEOUT, exchange)
+            .await
+            .expect("a new connection is opened in time");
+        assert_eq!(result.outcome, outcome, "response {:?}", &text[..text.len().min(80)]);
     }
     for text in ["", "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\nhalf"] {
         upstreams.close_idle(ID);
-        let answer = async {
+        let respond = async {
             let (mut stream, _) = listener.accept().await.unwrap();
             assert!(stream.read(&mut [0; 1024]).await.unwrap() > 0);
             stream.write_all(text.as_bytes()).await.unwrap();
         };
-        let request = outgoing();
-        let (ended, ()) = tokio::join!(
-            upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)),
-            answer
+        let request = booking_request();
+        let (result, ()) = tokio::join!(
+            upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG_TIMEOUT)),
+            respond
         );
-        assert_eq!(ended.outcome, Outcome::Reset, "{text:?}");
+        assert_eq!(result.outcome, Outcome::Reset, "response {text:?}");
     }
 }
 
-/// Guards this machine's memory against many answers at once: short ones are held while there is room, and give it
-/// back when the client's side lets go of them; without room they stream, as long ones do in any case.
+/// Guards against running out of memory under many responses: short ones are buffered while memory is
+/// available, and release it when they are dropped. Without memory they stream, as long responses always do.
 #[tokio::test(flavor = "local")]
-async fn answers_are_held_while_there_is_room_and_else_stream() {
+async fn responses_stream_when_the_body_memory_is_used_up() {
     let (upstreams, listener, _) = upstreams(8).await;
-    let mut held = Vec::new();
-    // However busy the machine is, what comes whole is held whole.
+    let mut buffered = Vec::new();
+    // Keeps a busy machine from turning buffered responses into streams.
     let mut passage = Passage::platform();
-    passage.answers.hold = LONG;
+    passage.answers.hold = LONG_TIMEOUT;
     let passage = Rc::new(passage);
-    for (n, length) in (0..70).map(|n| (n, SHORT)).chain([(70, SHORT + 1), (71, 1 << 20)]) {
+    for (n, length) in (0..70).map(|n| (n, BUFFER_BYTES)).chain([(70, BUFFER_BYTES + 1), (71, 1 << 20)]) {
         let body = "y".repeat(length);
         let chunks = body.as_bytes().chunks(4 << 10).map(|c| format!("1000\r\n{}\r\n", "y".repeat(c.len())));
         let text = match n % 2 {
@@ -248,8 +277,8 @@
             ),
         };
         upstreams.close_idle(ID);
-        let request = OutboundRequest { passage: Rc::clone(&passage), ..outgoing() };
-        let answers = async {
+        let request = OutboundRequest { passage: Rc::clone(&passage), ..booking_request() };
+        let accept = async {
             let (mut stream, _) = listener.accept().await.unwrap();
             assert!(stream.read(&mut [0; 1024]).await.unwrap() > 0);
             spawn_local(async move {
@@ -257,48 +286,48 @@
                 let _ = stream.read(&mut [0; 1]).await;
             });
         };
-        let (ended, ()) = tokio::join!(
-            upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)),
-            answers
+        let (result, ()) = tokio::join!(
+            upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG_TIMEOUT)),
+            accept
         );
-        let served = ended.response.expect("an answer");
-        let streams = matches!(served.body, ResponseBody::Stream(_));
-        assert_eq!(streams, n >= 64, "{n}");
-        if streams {
-            assert_eq!(served.body.collect().await.unwrap().to_bytes().len(), length, "{n}");
+        let response = result.response.expect("the attempt has a response");
+        let is_streaming = matches!(response.body, ResponseBody::Stream(_));
+        assert_eq!(is_streaming, n >= 64, "response {n}");
+        if is_streaming {
+            assert_eq!(response.body.collect().await.unwrap().to_bytes().len(), length, "response {n}");
         } else {
-            held.push(served);
+            buffered.push(response);
         }
     }
-    drop(held);
-    assert_eq!(upstreams.room.left(), ROOM);
+    drop(buffered);
+    assert_eq!(upstreams.body_memory.available(), BODY_MEMORY_BYTES);
 }
 
-/// Guards against running out of descriptors: an idle connection makes room, and where there is none
-/// the wait ends as not sent, which says nothing of the upstream.
+/// Guards against running out of descriptors: an idle connection is closed for a new one. If none is idle,
+/// the attempt ends as not sent, which does not count against the upstream.
 #[tokio::test(flavor = "local")]
-async fn connections_stay_under_the_limit() {
-    let (upstreams, listener, place) = upstreams(1).await;
+async fn open_connections_never_exceed_the_limit() {
+    let (upstreams, listener, state) = upstreams(1).await;
     let other = UpstreamId(8);
-    upstreams.update_endpoint(other, ZoneId(0), &place);
+    upstreams.update_endpoint(other, ZoneId(0), &state);
     for id in [ID, other] {
-        let answer = async {
+        let respond = async {
             let (mut stream, _) = listener.accept().await.unwrap();
             assert!(stream.read(&mut [0; 1024]).await.unwrap() > 0);
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.unwrap();
             stream
         };
-        let request = outgoing();
-        let (ended, _stream) = tokio::join!(
-            upstreams.attempt(id, &request, AttemptLimits::first(Instant::now() + LONG)),
-            answer
+        let request = booking_request();
+        let (result, _stream) = tokio::join!(
+            upstreams.attempt(id, &request, AttemptLimits::first(Instant::now() + LONG_TIMEOUT)),
+            respond
         );
-        assert_eq!(ended.outcome, Outcome::Ok);
-        assert_eq!(upstreams.pool.open(), 1);
+        assert_eq!(result.outcome, Outcome::Ok);
+        assert_eq!(upstreams.pool.open_count(), 1);
     }
-    let _taken = upstreams.pool.slot().await;
-    let ended = upstreams
-        .attempt(ID, &outgoing(), AttemptLimits::first(Instant::now() + Duration::from_millis(50)))
+    let _slot = upstreams.pool.reserve_slot().await;
+    let result = upstreams
+        .attempt(ID, &booking_request(), AttemptLimits::first(Instant::now() + Duration::from_millis(50)))
         .await;
-    assert_eq!(ended.outcome, Outcome::NotSent);
+    assert_eq!(result.outcome, Outcome::NotSent);
 }
--- a/crates/engine/src/parts/attempt_limits.rs
+++ b/crates/engine/src/parts/attempt_limits.rs
@@ -1,8 +1,8 @@
-//! The terms of an attempt: until when it may be written, and until when it is waited for.
+//! Limits of an attempt: the time until which it may be written, and until which its response is awaited.
 //!
-//! An attempt is decided on first and written later: it may wait for a descriptor, for a connection being made, and for its
-//! turn on this thread, and the whole process may have been stopped meanwhile. What it is bound to is therefore looked at
-//! again in the moment in which its first byte would be written.
+//! An attempt is written later than it is decided on: it may wait for a descriptor, for a connection, and for
+//! its turn on this thread, and the whole process may be suspended meanwhile. Its limits are therefore
+//! checked again right before its first byte is written.
 
 use std::cell::Cell;
 use std::fmt;
@@ -10,30 +10,32 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How much more than what is left an attempt may tell its upstream. A request is worded one turn of this thread before it is
-/// written; the protocol's tests allow 150 ms in all, the way to the upstream included.
-const TOLD_OVER_MOST: Duration = Duration::from_millis(100);
+/// Largest excess of the time announced to an upstream over the time actually left. A request is built one
+/// turn of this thread before it is written; the protocol tests allow 150 ms in total, the path to the
+/// upstream included.
+const MAX_ANNOUNCED_EXCESS: Duration = Duration::from_millis(100);
 
-/// Why nothing (more) of a request was written though its connection stood.
+/// Reason why a request was not written, or not completely, though its connection was open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithheldReason {
-    /// It may not be written any more.
+    /// A deadline has passed, or the request may no longer be sent.
     TooLate,
-    /// The time that it tells is more than what is left by now: it has to be worded anew.
-    Outdated,
+    /// The announced time exceeds the time left by too much; the request must be built again.
+    StaleTimeLeft,
 }
 
-/// Tells whether whoever asked is still there, by what is so at this moment: what the runtime knows may be older.
+/// Tells whether the client is still connected. The check queries the current state, which may be newer than
+/// what the runtime has reported.
 #[derive(Clone)]
 pub struct Presence(Rc<dyn Fn() -> bool>);
 
 impl Presence {
-    /// As `is_there` tells.
-    pub fn new(is_there: impl Fn() -> bool + 'static) -> Self {
-        Self(Rc::new(is_there))
+    /// Creates a check from a function that returns true while the client is connected.
+    pub fn new(is_connected: impl Fn() -> bool + 'static) -> Self {
+        Self(Rc::new(is_connected))
     }
 
-    fn is_there(&self) -> bool {
+    fn is_connected(&self) -> bool {
         (self.0)()
     }
 }
@@ -44,63 +46,64 @@
     }
 }
 
-/// What one attempt is bound to.
+/// Limits of one attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptLimits {
-    /// Until when its answer is waited for.
-    pub give_up: Instant,
-    /// Its last byte is written before this: a repeat outside the window of its key would be a second effect.
+    /// Time until which the response is awaited.
+    pub answer_by: Instant,
+    /// Time before which the last byte must be written: a retry outside the window of its key would run the
+    /// request a second time.
     pub write_by: Option<Instant>,
-    /// Its request was attempted before.
-    pub repeat: bool,
-    /// Whoever asked, where an attempt is of no use once they have gone.
+    /// True for every attempt after a request's first.
+    pub is_repeat: bool,
+    /// Connection state of the client, if the attempt is useless without the client.
     presence: Option<Presence>,
-    /// Whether its first byte may have been written.
-    begun: Rc<Cell<bool>>,
+    /// True once the first byte may have been written.
+    started: Rc<Cell<bool>>,
 }
 
 impl AttemptLimits {
-    /// Those of a request's first attempt.
-    pub fn first(give_up: Instant) -> Self {
-        Self { give_up, write_by: None, repeat: false, presence: None, begun: Rc::default() }
+    /// Creates the limits of a request's first attempt.
+    pub fn first(answer_by: Instant) -> Self {
+        Self { answer_by, write_by: None, is_repeat: false, presence: None, started: Rc::default() }
     }
 
-    /// Those of a further attempt or a second copy.
-    pub fn repeat(give_up: Instant, write_by: Option<Instant>) -> Self {
-        Self { write_by, repeat: true, ..Self::first(give_up) }
+    /// Creates the limits of a retry or a hedge.
+    pub fn repeat(answer_by: Instant, write_by: Option<Instant>) -> Self {
+        Self { write_by, is_repeat: true, ..Self::first(answer_by) }
     }
 
-    /// The same for whoever is there by this.
+    /// Makes the attempt depend on the client's presence.
     pub fn with_presence(self, presence: Option<Presence>) -> Self {
         Self { presence, ..self }
     }
 
-    /// How long its answer will be waited for from now on.
-    pub fn left(&self) -> Duration {
-        self.give_up.saturating_duration_since(Instant::now())
+    /// Returns the remaining time to wait for the response.
+    pub fn time_left(&self) -> Duration {
+        self.answer_by.saturating_duration_since(Instant::now())
     }
 
-    /// Whether its first byte may have been written.
-    pub fn has_begun(&self) -> bool {
-        self.begun.get()
+    /// Returns true if the first byte may have been written.
+    pub fn has_started(&self) -> bool {
+        self.started.get()
     }
 
-    /// Its first byte is written now.
-    pub(crate) fn begin(&self) {
-        self.begun.set(true);
+    /// Records that the first byte is about to be written.
+    pub(crate) fn mark_started(&self) {
+        self.started.set(true);
     }
 
-    /// Whether a request that tells `told` may be written now.
-    pub(crate) fn allow(&self, told: Duration) -> Result<(), WithheldReason> {
-        let left = self.left();
-        if left.is_zero() || self.write_by.is_some_and(|by| Instant::now() >= by) {
+    /// Checks that a request with the `announced` time left may be written now.
+    pub(crate) fn check(&self, announced: Duration) -> Result<(), WithheldReason> {
+        let time_left = self.time_left();
+        if time_left.is_zero() || self.write_by.is_some_and(|by| Instant::now() >= by) {
             return Err(WithheldReason::TooLate);
         }
-        if self.presence.as_ref().is_some_and(|presence| !presence.is_there()) {
+        if self.presence.as_ref().is_some_and(|presence| !presence.is_connected()) {
             return Err(WithheldReason::TooLate);
         }
-        if told > left + TOLD_OVER_MOST {
-            return Err(WithheldReason::Outdated);
+        if announced > time_left + MAX_ANNOUNCED_EXCESS {
+            return Err(WithheldReason::StaleTimeLeft);
         }
         Ok(())
     }
--- a/crates/engine/src/parts/body.rs
+++ b/crates/engine/src/parts/body.rs
@@ -1,13 +1,13 @@
-//! Bodies of requests: held whole, or passed on as they come.
+//! Request bodies: buffered in memory, or streamed.
 //!
-//! What is held may be sent again. A body that streams can be sent once: until the first byte of an attempt has
-//! left, another may still have it; from then on it is spent.
+//! A buffered body can be sent again. A streaming body can be sent once: until the first byte of an attempt
+//! is written, another attempt can still use it; after that it is spent.
 
-mod gather;
+mod collect;
 mod upload;
 
-pub use gather::{Gathered, gather, receive_body};
-pub use upload::{Sending, Upload, UploadTimeouts, Written};
+pub use collect::{BodyBuffer, collect_body, receive_body};
+pub use upload::{Upload, UploadBody, UploadTimeouts, WriteCounter};
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -20,31 +20,31 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long nothing may come, and how much is read, of a body that nobody wants any more.
-const READ_AWAY: Duration = Duration::from_secs(1);
-const READ_AWAY_MOST: usize = 64 * 1024 * 1024;
+/// Limits for discarding the rest of a body: time without data, and bytes.
+const DISCARD_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_DISCARDED_BYTES: usize = 64 * 1024 * 1024;
 
-/// What goes wrong with a body.
+/// Error of a request or response body.
 pub type Failure = Box<dyn Error + Send + Sync>;
-/// Where the rest of a body comes from.
-pub type Source = Pin<Box<dyn Body<Data = Bytes, Error = Failure>>>;
+/// Unread rest of a streaming body.
+pub type BodySource = Pin<Box<dyn Body<Data = Bytes, Error = Failure>>>;
 
-/// The body of a request.
+/// Body of a client's request.
 #[derive(Clone, Debug)]
 pub enum Payload {
-    /// Held whole.
+    /// The complete body in memory.
     Buffered(Bytes),
-    /// Passed on as it comes.
+    /// A body that is forwarded while it is received.
     Upload(Rc<Upload>),
 }
 
 impl Payload {
-    /// Whether no attempt can have it any more.
+    /// Returns true if no further attempt can send the body.
     pub fn is_spent(&self) -> bool {
         matches!(self, Self::Upload(upload) if upload.is_spent())
     }
 
-    /// The body, where it streams.
+    /// Returns the upload if the body streams.
     pub fn upload(&self) -> Option<Rc<Upload>> {
         match self {
             Self::Buffered(_) => None,
@@ -52,46 +52,46 @@
         }
     }
 
-    /// Whether there is nothing in it.
+    /// Returns true for a buffered body of zero bytes.
     pub fn is_empty(&self) -> bool {
         matches!(self, Self::Buffered(body) if body.is_empty())
     }
 }
 
-/// Why a body that streams came to no end; the fault is its sender's.
+/// Reason why a streaming body did not complete; in every case the sender is at fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It is longer than its class allows.
+    /// The body exceeds the limit of its class.
     TooLong,
-    /// It broke off, or its framing can't be read.
+    /// The connection ended inside the body, or the framing is invalid.
     BrokeOff,
-    /// Nothing came of it for too long.
+    /// The sender sent nothing for too long.
     Slow,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::TooLong => "the body is too long",
-            Self::BrokeOff => "the body broke off",
-            Self::Slow => "the body did not come in time",
+            Self::TooLong => "the request body is too long",
+            Self::BrokeOff => "the request body is incomplete or malformed",
+            Self::Slow => "the request body was not received in time",
         })
     }
 }
 
 impl Error for Fault {}
 
-/// The body of one attempt.
-pub enum Outbound {
-    /// Held whole.
+/// Request body of one attempt, in the form that hyper sends.
+pub enum OutboundBody {
+    /// The complete body.
     Buffered(Full<Bytes>),
-    /// Passed on as it comes.
-    Upload(Sending),
+    /// A body that is read from the client while it is sent.
+    Upload(UploadBody),
 }
 
-impl Outbound {
-    /// What a payload is on a connection.
-    pub fn of(payload: &Payload, written: &Rc<Written>) -> Self {
+impl OutboundBody {
+    /// Creates the body of one attempt; `written` counts the bytes that its connection wrote.
+    pub fn new(payload: &Payload, written: &Rc<WriteCounter>) -> Self {
         match payload {
             Payload::Buffered(body) => Self::Buffered(Full::new(body.clone())),
             Payload::Upload(upload) => Self::Upload(upload.send(Rc::clone(written))),
@@ -99,13 +99,13 @@
     }
 }
 
-impl Default for Outbound {
+impl Default for OutboundBody {
     fn default() -> Self {
         Self::Buffered(Full::default())
     }
 }
 
-impl Body for Outbound {
+impl Body for OutboundBody {
     type Data = Bytes;
     type Error = Failure;
 
@@ -114,8 +114,8 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Failure>>> {
         match &mut *self {
-            Self::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            Self::Upload(sending) => sending.poll(cx),
+            Self::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|infallible| match infallible {}),
+            Self::Upload(body) => body.poll(cx),
         }
     }
 
@@ -126,20 +126,20 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Buffered(body) => body.size_hint(),
-            Self::Upload(sending) => sending.length().map_or_else(SizeHint::new, SizeHint::with_exact),
+            Self::Upload(body) => body.length().map_or_else(SizeHint::new, SizeHint::with_exact),
         }
     }
 }
 
-/// Reads away a body that nobody wants, within bounds, so that its sender can read the answer.
+/// Reads and drops an unwanted body, within limits, so that its sender can read the response.
 pub async fn discard_body<B>(mut body: B)
 where
     B: Body<Data = Bytes> + Unpin,
 {
     let mut read = 0;
-    while let Ok(Some(Ok(frame))) = timeout(READ_AWAY, body.frame()).await {
+    while let Ok(Some(Ok(frame))) = timeout(DISCARD_IDLE_TIMEOUT, body.frame()).await {
         read += frame.data_ref().map_or(0, Bytes::len);
-        if read > READ_AWAY_MOST {
+        if read > MAX_DISCARDED_BYTES {
             break;
         }
     }
--- a/crates/engine/src/parts/body/upload.rs
+++ b/crates/engine/src/parts/body/upload.rs
@@ -1,6 +1,6 @@
-//! Bodies that stream: what has left of one on a connection, and how long it may take.
+//! Streaming request bodies: write progress on a connection, and timeouts.
 
-use super::{Failure, Fault, READ_AWAY, Source, discard_body};
+use super::{BodySource, DISCARD_IDLE_TIMEOUT, Failure, Fault, discard_body};
 use bytes::Bytes;
 use hyper::body::Frame;
 use prometheus_client::metrics::counter::Counter;
@@ -13,254 +13,259 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// A look at whether anything has come.
-const LOOK: Duration = Duration::from_millis(1);
+/// Delay before a sender timeout is confirmed.
+const RECHECK_DELAY: Duration = Duration::from_millis(1);
 
-/// Bytes that a connection's kernel has taken, and who waits for the first of them.
+/// Counts the bytes of a connection that the kernel accepted, and wakes the task that waits for the first
+/// one.
 #[derive(Default)]
-pub struct Written {
+pub struct WriteCounter {
     count: Cell<u64>,
-    waits: Cell<Option<Waker>>,
-    /// Up to where a request that states its length goes, and what counts it once it has left whole.
-    end: Cell<u64>,
-    sends: Cell<Option<Counter>>,
+    first_write_waker: Cell<Option<Waker>>,
+    /// Write count at the end of the current request; `u64::MAX` if its length is unknown.
+    request_end: Cell<u64>,
+    sent_counter: Cell<Option<Counter>>,
 }
 
-impl Written {
-    /// So many more have been taken.
-    pub fn add(&self, n: usize) {
+impl WriteCounter {
+    /// Adds `n` bytes accepted by the kernel.
+    pub fn record(&self, n: usize) {
         self.count.set(self.count.get() + n as u64);
-        if let Some(waker) = self.waits.take() {
+        if let Some(waker) = self.first_write_waker.take() {
             waker.wake();
         }
-        if self.count.get() >= self.end.get() {
-            self.left_whole();
+        if self.count.get() >= self.request_end.get() {
+            self.count_sent();
         }
     }
 
-    /// A request begins that `sends` counts once `length` bytes of it are taken; `None`: once its body has ended.
-    pub fn begin(&self, length: Option<u64>, sends: Option<Counter>) {
-        self.end.set(length.map_or(u64::MAX, |n| self.count.get() + n));
-        self.sends.set(sends);
+    /// Starts a request. `sent_counter` is incremented once `length` bytes are written, or at the end of the body if
+    /// `length` is `None`.
+    pub fn begin_request(&self, length: Option<u64>, sent_counter: Option<Counter>) {
+        self.request_end.set(length.map_or(u64::MAX, |n| self.count.get() + n));
+        self.sent_counter.set(sent_counter);
     }
 
-    fn left_whole(&self) {
-        if let Some(sends) = self.sends.take() {
-            sends.inc();
+    fn count_sent(&self) {
+        if let Some(sent_counter) = self.sent_counter.take() {
+            sent_counter.inc();
         }
     }
 
-    /// How many there are.
+    /// Returns the total number of bytes written on the connection.
     pub fn count(&self) -> u64 {
         self.count.get()
     }
 }
 
-/// How long a body may take.
+/// Timeouts of a streaming body.
 #[derive(Clone, Copy, Debug)]
 pub struct UploadTimeouts {
-    /// The longest time in which the upstream takes nothing of it.
+    /// Longest time in which the upstream accepts no data.
     pub idle: Duration,
-    /// The longest time in which nothing comes from its sender that could be passed on.
+    /// Longest time in which the sender provides no data.
     pub sender: Duration,
-    /// The longest time in all.
+    /// Longest time for the whole body.
     pub total: Duration,
-    /// The longest wait for the answer's head after the last byte.
+    /// Longest wait for the response head after the last byte.
     pub answer: Duration,
 }
 
-/// A body that streams: what was read of it already, and the rest.
+/// Streaming request body: the part already read, and the rest.
 pub struct Upload {
     prefix: Bytes,
-    rest: RefCell<Option<Source>>,
-    /// Its length, where it was stated.
+    remaining: RefCell<Option<BodySource>>,
+    /// Length announced by the sender, in bytes.
     length: Option<u64>,
-    most: u64,
-    patience: UploadTimeouts,
-    since: Instant,
-    /// When the last of it went on.
-    moved: Cell<Instant>,
-    /// Since when its sender keeps it waiting.
-    starved: Cell<Option<Instant>>,
-    whole: Cell<bool>,
+    max_length: u64,
+    timeouts: UploadTimeouts,
+    created_at: Instant,
+    /// Last time that data was sent or received.
+    last_progress: Cell<Instant>,
+    /// Start of the current wait for the sender; unset while the sender is not the bottleneck.
+    waiting_since: Cell<Option<Instant>>,
+    is_complete: Cell<bool>,
     fault: Cell<Option<Fault>>,
-    begun: Notify,
-    /// What nobody reads any more, of an attempt that has ended before it was whole.
-    leftover: RefCell<Option<Source>>,
-    left: Notify,
+    started: Notify,
+    /// Unread rest of the body, left by an attempt that ended early.
+    unread: RefCell<Option<BodySource>>,
+    unread_available: Notify,
 }
 
 impl fmt::Debug for Upload {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Upload").field("length", &self.length).field("whole", &self.whole).finish()
+        f.debug_struct("Upload").field("length", &self.length).field("whole", &self.is_complete).finish()
     }
 }
 
 impl Upload {
-    /// One of which `prefix` was read already; `most` is the longest that it may be.
+    /// Creates an upload of which `prefix` was already read; `max_length` bounds the whole body in bytes.
     pub fn new(
         prefix: Bytes,
-        rest: Source,
+        remaining: BodySource,
         length: Option<u64>,
-        most: u64,
-        patience: UploadTimeouts,
+        max_length: u64,
+        timeouts: UploadTimeouts,
     ) -> Rc<Self> {
         let now = Instant::now();
         Rc::new(Self {
             prefix,
-            rest: RefCell::new(Some(rest)),
+            remaining: RefCell::new(Some(remaining)),
             length,
-            most,
-            patience,
-            since: now,
-            moved: Cell::new(now),
-            starved: Cell::new(None),
-            whole: Cell::new(false),
+            max_length,
+            timeouts,
+            created_at: now,
+            last_progress: Cell::new(now),
+            waiting_since: Cell::new(None),
+            is_complete: Cell::new(false),
             fault: Cell::new(None),
-            begun: Notify::new(),
-            leftover: RefCell::new(None),
-            left: Notify::new(),
+            started: Notify::new(),
+            unread: RefCell::new(None),
+            unread_available: Notify::new(),
         })
     }
 
-    /// Whether an attempt has it, so that no other can.
+    /// Returns true if an attempt has taken the body, so that no other attempt can send it.
     pub(super) fn is_spent(&self) -> bool {
-        self.rest.borrow().is_none()
+        self.remaining.borrow().is_none()
     }
 
-    /// Its length, where it was stated.
+    /// Returns the length announced by the sender, in bytes.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// How long its sender waits for the answer once it has left whole.
-    pub fn answer_most(&self) -> Duration {
-        self.patience.answer
+    /// Returns how long the client waits for the response after the last byte.
+    pub fn answer_timeout(&self) -> Duration {
+        self.timeouts.answer
     }
 
-    /// How long nothing may come from its sender.
+    /// Returns how long the sender may send nothing.
     pub fn sender_timeout(&self) -> Duration {
-        self.patience.sender
+        self.timeouts.sender
     }
 
-    /// Whether it has left whole.
+    /// Returns true if the last byte was written.
     pub fn is_complete(&self) -> bool {
-        self.whole.get()
+        self.is_complete.get()
     }
 
-    /// What its sender did wrong, if anything.
+    /// Returns the sender's fault, if there was one.
     pub fn fault(&self) -> Option<Fault> {
         self.fault.get()
     }
 
-    /// Waits until it is spent: from then on it is no attempt like others.
-    pub async fn begun(&self) {
-        self.begun.notified().await;
+    /// Waits until an attempt has taken the body.
+    pub async fn wait_until_started(&self) {
+        self.started.notified().await;
     }
 
-    /// Waits until its time, or that of the answer to it, is over.
-    pub async fn is_over(&self) {
-        let mut looked = false;
+    /// Waits until the body, or the response to it, has exceeded a timeout.
+    pub async fn wait_until_timed_out(&self) {
+        let mut rechecked = false;
         loop {
-            let UploadTimeouts { idle, sender, total, answer } = self.patience;
-            let starved = self.starved.get().filter(|_| !self.whole.get());
-            let due = match starved {
-                Some(since) => since + sender,
-                None if self.whole.get() => self.moved.get() + answer,
-                None => self.moved.get() + idle,
+            let UploadTimeouts { idle, sender, total, answer } = self.timeouts;
+            let waiting_since = self.waiting_since.get().filter(|_| !self.is_complete.get());
+            let deadline = match waiting_since {
+                Some(start) => start + sender,
+                None if self.is_complete.get() => self.last_progress.get() + answer,
+                None => self.last_progress.get() + idle,
             };
-            let (due, now) = (due.min(self.since + total), Instant::now());
-            if due <= now {
-                if starved.is_some() {
-                    if !looked {
-                        // A process that stood still finds its timers before what has come meanwhile.
-                        looked = true;
-                        sleep(LOOK).await;
+            let (deadline, now) = (deadline.min(self.created_at + total), Instant::now());
+            if deadline <= now {
+                if waiting_since.is_some() {
+                    if !rechecked {
+                        // After a suspension of the process, timers fire before the data that arrived
+                        // meanwhile is read.
+                        rechecked = true;
+                        sleep(RECHECK_DELAY).await;
                         continue;
                     }
                     self.fault.set(Some(Fault::Slow));
                 }
                 return;
             }
-            looked = false;
-            // Its sender may fall silent meanwhile, which ends it no sooner than this.
-            sleep_until(due.min(now + sender)).await;
+            rechecked = false;
+            // The sender may go silent during this sleep; its own timeout cannot expire before it.
+            sleep_until(deadline.min(now + sender)).await;
         }
     }
 
-    /// Its answer is there though it has not been read whole: the rest is read away, for a while. A connection that is
-    /// closed with bytes unread is reset, and a reset takes the answer along that its client has not read yet.
+    /// Discards the unread rest of the body for a limited time, once the response exists. Closing a
+    /// connection with unread bytes resets it, and the reset can destroy a response that the client has not
+    /// read yet.
     pub fn discard_rest(self: &Rc<Self>) {
-        if self.whole.get() || self.fault.get() == Some(Fault::BrokeOff) {
+        if self.is_complete.get() || self.fault.get() == Some(Fault::BrokeOff) {
             return;
         }
         let upload = Rc::clone(self);
         spawn_local(async move {
-            let rest = upload.rest.borrow_mut().take();
-            let rest = match rest {
-                Some(rest) => Some(rest),
+            let remaining = upload.remaining.borrow_mut().take();
+            let remaining = match remaining {
+                Some(remaining) => Some(remaining),
                 None => {
-                    // The attempt that had it ends in a moment.
-                    let _ = timeout(READ_AWAY, upload.left.notified()).await;
-                    upload.leftover.borrow_mut().take()
+                    // The attempt that holds the body is about to end.
+                    let _ = timeout(DISCARD_IDLE_TIMEOUT, upload.unread_available.notified()).await;
+                    upload.unread.borrow_mut().take()
                 }
             };
-            if let Some(rest) = rest {
-                discard_body(rest).await;
+            if let Some(remaining) = remaining {
+                discard_body(remaining).await;
             }
         });
     }
 
-    /// It, for one attempt on a connection that has written as much as `written` says.
-    pub(super) fn send(self: &Rc<Self>, written: Rc<Written>) -> Sending {
-        let before = written.count();
-        Sending {
+    /// Creates the body of one attempt on a connection with the write counter `written`.
+    pub(super) fn send(self: &Rc<Self>, written: Rc<WriteCounter>) -> UploadBody {
+        let written_before = written.count();
+        UploadBody {
             upload: Rc::clone(self),
             prefix: self.prefix.clone(),
             source: None,
             sent: 0,
             written,
-            before,
+            written_before,
         }
     }
 }
 
-/// An upload on its way to one upstream.
-pub struct Sending {
+/// Upload that is being sent to one upstream.
+pub struct UploadBody {
     upload: Rc<Upload>,
     prefix: Bytes,
-    source: Option<Source>,
+    source: Option<BodySource>,
     sent: u64,
-    written: Rc<Written>,
-    before: u64,
+    written: Rc<WriteCounter>,
+    written_before: u64,
 }
 
-impl Drop for Sending {
+impl Drop for UploadBody {
     fn drop(&mut self) {
         if let Some(source) = self.source.take() {
-            *self.upload.leftover.borrow_mut() = Some(source);
-            self.upload.left.notify_one();
+            *self.upload.unread.borrow_mut() = Some(source);
+            self.upload.unread_available.notify_one();
         }
     }
 }
 
-impl Sending {
-    /// How long all of it is, where that was stated.
+impl UploadBody {
+    /// Returns the announced length in bytes.
     pub(super) fn length(&self) -> Option<u64> {
         self.upload.length
     }
 
-    /// So many bytes more are on their way. Of a body that states its length nobody asks for the end once it has come.
-    fn goes(&mut self, bytes: usize) {
+    /// Records bytes handed to hyper. With an announced length hyper does not poll for the end, so it is
+    /// detected here.
+    fn record_sent(&mut self, bytes: usize) {
         self.sent += bytes as u64;
         if self.upload.length == Some(self.sent) {
-            self.is_whole();
+            self.mark_complete();
         }
     }
 
-    fn is_whole(&self) {
-        self.upload.whole.set(true);
-        self.written.left_whole();
+    fn mark_complete(&self) {
+        self.upload.is_complete.set(true);
+        self.written.count_sent();
     }
 
     fn fail(&self, fault: Fault) -> Poll<Option<Result<Frame<Bytes>, Failure>>> {
@@ -268,41 +273,41 @@
         Poll::Ready(Some(Err(fault.into())))
     }
 
-    /// More of it.
+    /// Returns the next frame.
     pub(super) fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Failure>>> {
         if !self.prefix.is_empty() {
             let prefix = std::mem::take(&mut self.prefix);
-            self.goes(prefix.len());
+            self.record_sent(prefix.len());
             return Poll::Ready(Some(Ok(Frame::data(prefix))));
         }
         if self.source.is_none() {
-            if self.written.count() == self.before {
-                // Where nothing can be written another attempt shall still have it.
-                self.written.waits.set(Some(cx.waker().clone()));
+            if self.written.count() == self.written_before {
+                // Until this connection accepts a byte, another attempt can still take the body.
+                self.written.first_write_waker.set(Some(cx.waker().clone()));
                 return Poll::Pending;
             }
-            self.source = self.upload.rest.borrow_mut().take();
-            self.upload.moved.set(Instant::now());
-            self.upload.begun.notify_one();
+            self.source = self.upload.remaining.borrow_mut().take();
+            self.upload.last_progress.set(Instant::now());
+            self.upload.started.notify_one();
         }
         let Some(source) = &mut self.source else {
-            return Poll::Ready(Some(Err("the body is spent".into())));
+            return Poll::Ready(Some(Err("the body was already sent by another attempt".into())));
         };
-        self.upload.starved.set(Some(self.upload.starved.get().unwrap_or_else(Instant::now)));
+        self.upload.waiting_since.set(Some(self.upload.waiting_since.get().unwrap_or_else(Instant::now)));
         let frame = ready!(source.as_mut().poll_frame(cx));
-        self.upload.starved.set(None);
-        self.upload.moved.set(Instant::now());
+        self.upload.waiting_since.set(None);
+        self.upload.last_progress.set(Instant::now());
         match frame {
             Some(Ok(frame)) => {
-                self.goes(frame.data_ref().map_or(0, Bytes::len));
-                if self.sent > self.upload.most {
+                self.record_sent(frame.data_ref().map_or(0, Bytes::len));
+                if self.sent > self.upload.max_length {
                     return self.fail(Fault::TooLong);
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Some(Err(_)) => self.fail(Fault::BrokeOff),
             None => {
-                self.is_whole();
+                self.mark_complete();
                 Poll::Ready(None)
             }
         }
--- a/crates/engine/src/parts/body/upload/tests.rs
+++ b/crates/engine/src/parts/body/upload/tests.rs
@@ -1,4 +1,4 @@
-//! How long a body that streams may take, on a clock that the tests move.
+//! Timeouts of streaming bodies, under a paused clock.
 
 use super::*;
 use hyper::body::Body;
@@ -7,15 +7,15 @@
 use tokio::sync::mpsc;
 use tokio::time::advance;
 
-const PATIENCE: UploadTimeouts = UploadTimeouts {
+const TIMEOUTS: UploadTimeouts = UploadTimeouts {
     idle: Duration::from_secs(10),
     sender: Duration::from_millis(2500),
     total: Duration::from_secs(60),
     answer: Duration::from_secs(5),
 };
-const A_BIT: Duration = Duration::from_millis(20);
+const TOLERANCE: Duration = Duration::from_millis(20);
 
-/// A body of the pieces that come here.
+/// Body that yields the pieces sent through a channel.
 struct Pieces(mpsc::UnboundedReceiver<Bytes>);
 
 impl Body for Pieces {
@@ -30,66 +30,66 @@
     }
 }
 
-/// A body whose sender is the test, on its way to one upstream.
-struct Way {
+/// Upload in progress; the test sends its data.
+struct UploadInProgress {
     upload: Rc<Upload>,
-    sending: Sending,
+    body: UploadBody,
     sender: mpsc::UnboundedSender<Bytes>,
 }
 
-fn way() -> Way {
+fn start_upload() -> UploadInProgress {
     let (sender, pieces) = mpsc::unbounded_channel();
-    let rest: Source = Box::pin(Pieces(pieces));
-    let upload = Upload::new(Bytes::from_static(b"first"), rest, None, 1 << 20, PATIENCE);
-    let written = Rc::new(Written::default());
-    let mut sending = upload.send(Rc::clone(&written));
-    assert!(poll_once(&mut sending).is_ready());
-    written.add(5);
-    Way { upload, sending, sender }
+    let remaining: BodySource = Box::pin(Pieces(pieces));
+    let upload = Upload::new(Bytes::from_static(b"first"), remaining, None, 1 << 20, TIMEOUTS);
+    let written = Rc::new(WriteCounter::default());
+    let mut body = upload.send(Rc::clone(&written));
+    assert!(poll_once(&mut body).is_ready());
+    written.record(5);
+    UploadInProgress { upload, body, sender }
 }
 
-fn poll_once(sending: &mut Sending) -> Poll<()> {
-    sending.poll(&mut Context::from_waker(Waker::noop())).map(|_| ())
+fn poll_once(body: &mut UploadBody) -> Poll<()> {
+    body.poll(&mut Context::from_waker(Waker::noop())).map(|_| ())
 }
 
-/// Whether its time is over now.
-async fn is_over(upload: &Upload) -> bool {
-    let mut over = std::pin::pin!(upload.is_over());
-    poll_fn(|cx| Poll::Ready(over.as_mut().poll(cx).is_ready())).await
+/// Polls once whether a timeout has expired.
+async fn has_timed_out(upload: &Upload) -> bool {
+    let mut expiry = std::pin::pin!(upload.wait_until_timed_out());
+    poll_fn(|cx| Poll::Ready(expiry.as_mut().poll(cx).is_ready())).await
 }
 
-/// Guards against senders that stop in the middle of a body: their time counts from when they were first waited for.
+/// Guards against clients that stop inside a body: the sender timeout starts at the first unmet read.
 #[tokio::test(flavor = "local", start_paused = true)]
-async fn a_sender_that_stops_is_told_by_its_silence() {
-    let mut way = way();
+async fn a_silent_sender_times_out_from_the_first_unmet_read() {
+    let mut active = start_upload();
     for _ in 0..2 {
-        assert!(poll_once(&mut way.sending).is_pending());
-        advance(PATIENCE.sender - A_BIT).await;
-        assert!(!is_over(&way.upload).await);
-        way.sender.send(Bytes::from_static(b"more")).unwrap();
-        assert!(poll_once(&mut way.sending).is_ready());
+        assert!(poll_once(&mut active.body).is_pending());
+        advance(TIMEOUTS.sender - TOLERANCE).await;
+        assert!(!has_timed_out(&active.upload).await);
+        active.sender.send(Bytes::from_static(b"more")).unwrap();
+        assert!(poll_once(&mut active.body).is_ready());
     }
-    assert!(poll_once(&mut way.sending).is_pending());
-    let waited = Instant::now();
-    way.upload.is_over().await;
-    assert!((PATIENCE.sender..PATIENCE.sender + A_BIT).contains(&waited.elapsed()));
-    assert_eq!(way.upload.fault(), Some(Fault::Slow));
+    assert!(poll_once(&mut active.body).is_pending());
+    let start = Instant::now();
+    active.upload.wait_until_timed_out().await;
+    assert!((TIMEOUTS.sender..TIMEOUTS.sender + TOLERANCE).contains(&start.elapsed()));
+    assert_eq!(active.upload.fault(), Some(Fault::Slow));
 }
 
-/// Guards senders against their upstreams: one that takes nothing for a while is not its sender's fault, and the sender's
-/// silence counts from when it is asked for more, however long the upstream took before.
+/// Guards against blaming a client for a slow upstream: the sender timeout starts when data is requested,
+/// however long the upstream took before.
 #[tokio::test(flavor = "local", start_paused = true)]
-async fn an_upstream_that_takes_nothing_is_not_its_senders_fault() {
-    let mut way = way();
-    way.sender.send(Bytes::from_static(b"more")).unwrap();
-    assert!(poll_once(&mut way.sending).is_ready());
-    advance(2 * PATIENCE.sender).await;
-    assert!(!is_over(&way.upload).await);
-    assert!(poll_once(&mut way.sending).is_pending());
-    advance(PATIENCE.sender - A_BIT).await;
-    assert!(!is_over(&way.upload).await);
-    way.sender.send(Bytes::from_static(b"more")).unwrap();
-    assert!(poll_once(&mut way.sending).is_ready());
-    way.upload.is_over().await;
-    assert_eq!(way.upload.fault(), None);
+async fn a_slow_upstream_does_not_use_up_the_sender_timeout() {
+    let mut active = start_upload();
+    active.sender.send(Bytes::from_static(b"more")).unwrap();
+    assert!(poll_once(&mut active.body).is_ready());
+    advance(2 * TIMEOUTS.sender).await;
+    assert!(!has_timed_out(&active.upload).await);
+    assert!(poll_once(&mut active.body).is_pending());
+    advance(TIMEOUTS.sender - TOLERANCE).await;
+    assert!(!has_timed_out(&active.upload).await);
+    active.sender.send(Bytes::from_static(b"more")).unwrap();
+    assert!(poll_once(&mut active.body).is_ready());
+    active.upload.wait_until_timed_out().await;
+    assert_eq!(active.upload.fault(), None);
 }
--- a/crates/engine/src/parts/body_memory.rs
+++ b/crates/engine/src/parts/body_memory.rs
@@ -1,71 +1,72 @@
-//! Memory for bodies: all that are held share it, from the word on their length until nobody needs them.
+//! Memory budget for buffered bodies, reserved once the length of a body is known and released when its last
+//! holder drops it.
 
 use bytes::Bytes;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Bodies this short cost no more than the connection that they came on.
-const FREE: usize = 4 * 1024;
+/// Bodies up to this length in bytes are not counted: they cost no more than their connection.
+const MAX_UNCOUNTED_BYTES: usize = 4 * 1024;
 
-/// BodyMemory for bodies. Whoever holds one may be on another thread.
+/// Shared memory budget. Holders of a body may be on other threads.
 #[derive(Clone, Debug)]
 pub struct BodyMemory(Arc<AtomicUsize>);
 
-/// Part of the room, given back when it is dropped.
+/// Reserved part of the budget; released on drop.
 #[derive(Debug)]
 pub struct MemoryReservation {
-    room: BodyMemory,
+    memory: BodyMemory,
     length: usize,
 }
 
 impl BodyMemory {
-    /// So many bytes.
+    /// Creates a budget of `bytes`.
     pub fn new(bytes: usize) -> Self {
         Self(Arc::new(AtomicUsize::new(bytes)))
     }
 
-    /// Takes so many bytes, if they are there.
-    pub fn take(&self, length: usize) -> Option<MemoryReservation> {
-        let less = |left: usize| left.checked_sub(length);
-        self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, less).ok()?;
-        Some(MemoryReservation { room: self.clone(), length })
+    /// Reserves `length` bytes, or returns `None` if fewer are available.
+    pub fn reserve(&self, length: usize) -> Option<MemoryReservation> {
+        let decrement = |available: usize| available.checked_sub(length);
+        self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement).ok()?;
+        Some(MemoryReservation { memory: self.clone(), length })
     }
 
-    /// The same, but for bodies so short that it is not worth counting.
-    pub fn take_long(&self, length: usize) -> Option<MemoryReservation> {
-        self.take(if length <= FREE { 0 } else { length })
+    /// Like [`Self::reserve`], but does not count bodies of up to 4 KiB.
+    pub fn reserve_body(&self, length: usize) -> Option<MemoryReservation> {
+        self.reserve(if length <= MAX_UNCOUNTED_BYTES { 0 } else { length })
     }
 
-    /// Bytes that are left.
-    pub fn left(&self) -> usize {
+    /// Returns the number of available bytes.
+    pub fn available(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
 }
 
 impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.room.0.fetch_add(self.length, Ordering::Relaxed);
+        self.memory.0.fetch_add(self.length, Ordering::Relaxed);
     }
 }
 
 impl MemoryReservation {
-    /// Only so many of these bytes; the others are given back.
-    pub fn shrunk(mut self, length: usize) -> Self {
+    /// Releases all but `length` bytes.
+    pub fn shrink_to(mut self, length: usize) -> Self {
         let length = length.min(self.length);
-        self.room.0.fetch_add(self.length - length, Ordering::Relaxed);
+        self.memory.0.fetch_add(self.length - length, Ordering::Relaxed);
         self.length = length;
         self
     }
 
-    /// A body that gives its room back when the last of those who have it lets go.
-    pub fn with(self, body: Bytes) -> Bytes {
-        if self.length == 0 { body } else { Bytes::from_owner(Held(body, self)) }
+    /// Ties the reservation to a body: it is released when the last reference to the body is dropped.
+    pub fn attach_to(self, body: Bytes) -> Bytes {
+        if self.length == 0 { body } else { Bytes::from_owner(AccountedBody(body, self)) }
     }
 }
 
-struct Held(Bytes, #[expect(dead_code, reason = "held for its drop")] MemoryReservation);
+struct AccountedBody(Bytes, #[expect(dead_code, reason = "released on drop")] MemoryReservation);
 
-impl AsRef<[u8]> for Held {
+impl AsRef<[u8]> for AccountedBody {
     fn as_ref(&self) -> &[u8] {
         &self.0
     }
@@ -75,23 +76,27 @@
 mod tests {
     use super::*;
 
-    /// Guards the memory against bodies that are given back on another thread at the same moment.
+    /// Guards against lost updates of the budget when several threads release bodies at the same time.
     #[test]
-    fn what_is_taken_comes_back_from_any_thread() {
-        let room = BodyMemory::new(1 << 20);
+    fn reservations_can_be_released_on_any_thread() {
+        let memory = BodyMemory::new(1 << 20);
         std::thread::scope(|scope| {
             for _ in 0..4 {
                 scope.spawn(|| {
                     for _ in 0..20_000 {
-                        drop(room.take(5000).map(|taken| taken.with(Bytes::from_static(b"x")).clone()));
+                        drop(
+                            memory
+                                .reserve(5000)
+                                .map(|reservation| reservation.attach_to(Bytes::from_static(b"x")).clone()),
+                        );
                     }
                 });
             }
         });
-        assert_eq!(room.left(), 1 << 20);
-        let body = room.take(1 << 20).unwrap().with(Bytes::from_static(b"long"));
-        assert!(room.take(1).is_none() && room.take_long(FREE).is_some());
+        assert_eq!(memory.available(), 1 << 20);
+        let body = memory.reserve(1 << 20).unwrap().attach_to(Bytes::from_static(b"long"));
+        assert!(memory.reserve(1).is_none() && memory.reserve_body(MAX_UNCOUNTED_BYTES).is_some());
         drop((body.slice(1..2), body));
-        assert_eq!(room.left(), 1 << 20);
+        assert_eq!(memory.available(), 1 << 20);
     }
 }
--- a/crates/engine/src/parts/connection.rs
+++ b/crates/engine/src/parts/connection.rs
@@ -1,7 +1,7 @@
-//! One client-side connection: it knows how much of a request the kernel has taken.
+//! HTTP/1.1 client connection that counts how much of a request the kernel accepted.
 
 use crate::parts::attempt_limits::WithheldReason;
-use crate::parts::body::{Outbound, Payload, Written};
+use crate::parts::body::{OutboundBody, Payload, WriteCounter};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, Response};
@@ -20,76 +20,77 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Size of a connection's buffer, the longest head: peers must not fill this machine's memory.
-const BUFFER: usize = 32 * 1024;
+/// Buffer size of a connection and limit of a response head, in bytes. It bounds the memory that a peer can
+/// occupy.
+const MAX_BUFFER_BYTES: usize = 32 * 1024;
 
-/// The most that is read before the head of an answer is known: interim answers come before it, and some peers send them without
-/// end. It is more than the longest head and what of a body may be read along with it.
-const BEFORE_HEAD_MOST: usize = 256 * 1024;
+/// Most bytes read before the head of a response is complete. Interim responses precede it, and some peers
+/// send them without end. The limit exceeds the longest head plus the part of the body that is read with it.
+const MAX_BYTES_BEFORE_HEAD: usize = 256 * 1024;
 
-/// Looked at in the moment in which a request's first byte would be written. hyper writes in a task of its own, later than
-/// [`Connection::send`], and much may have changed by then.
-pub type Permit = Box<dyn Fn() -> Result<(), WithheldReason>>;
+/// Checked right before the first byte of a request is written. hyper writes in its own task, later than
+/// [`Connection::send`], and the conditions may have changed by then.
+pub type WritePermit = Box<dyn Fn() -> Result<(), WithheldReason>>;
 
-/// When bytes last came on an idle connection, of all those that share this.
-pub type Unasked = Rc<Cell<Option<Instant>>>;
+/// Time at which data was last received on an idle connection, shared by the connections of a pool.
+pub type UnsolicitedAt = Rc<Cell<Option<Instant>>>;
 
-/// What is known of the request that is out on a connection, or about to be.
+/// State of the current request on a connection.
 #[derive(Default)]
-struct Exchange {
-    /// Kept until the kernel has taken the first byte.
-    permit: RefCell<Option<Permit>>,
-    /// No byte of it is written from then on.
+struct ExchangeState {
+    /// Present until the kernel accepts the first byte.
+    permit: RefCell<Option<WritePermit>>,
+    /// Time after which no byte of the request is written.
     write_by: Cell<Option<Instant>>,
     withheld: Cell<Option<WithheldReason>>,
-    /// What the connection had written when the first byte came back.
-    written_when_heard: Cell<Option<u64>>,
-    /// hyper holds bytes that the kernel has not taken.
-    unflushed: Cell<bool>,
-    /// How much more may be read before the head of the answer is known; `None`: it is.
-    before_head: Cell<Option<usize>>,
-    /// Where it is told that bytes have come, while no request is out.
-    idle: RefCell<Option<Unasked>>,
+    /// Write count of the connection when the first byte of the response arrived.
+    written_at_first_byte: Cell<Option<u64>>,
+    /// True while hyper holds bytes that the kernel has not accepted.
+    is_unflushed: Cell<bool>,
+    /// Bytes that may still be read before the response head is complete; `None` after the head.
+    head_budget: Cell<Option<usize>>,
+    /// Set while the connection is idle; records unsolicited data.
+    idle_watch: RefCell<Option<UnsolicitedAt>>,
 }
 
-impl Exchange {
-    /// So many bytes were read; an error where that is too much for the head of an answer.
-    fn read(&self, bytes: usize) -> io::Result<()> {
-        let Some(left) = self.before_head.get() else { return Ok(()) };
-        let left = left
-            .checked_sub(bytes)
-            .ok_or_else(|| io::Error::new(io::ErrorKind::InvalidData, "interim answers without end"))?;
-        self.before_head.set(Some(left));
+impl ExchangeState {
+    /// Deducts the bytes read from the head budget. Fails if the budget is exhausted.
+    fn charge_head_budget(&self, bytes: usize) -> io::Result<()> {
+        let Some(remaining) = self.head_budget.get() else { return Ok(()) };
+        let remaining = remaining.checked_sub(bytes).ok_or_else(|| {
+            io::Error::new(io::ErrorKind::InvalidData, "too many bytes before the response head")
+        })?;
+        self.head_budget.set(Some(remaining));
         Ok(())
     }
 
-    /// Bytes have come.
-    fn heard(&self, written: u64) {
-        if let Some(unasked) = &*self.idle.borrow() {
-            unasked.set(Some(Instant::now()));
+    /// Records that data arrived.
+    fn record_received(&self, written: u64) {
+        if let Some(last_unsolicited) = &*self.idle_watch.borrow() {
+            last_unsolicited.set(Some(Instant::now()));
         }
-        if self.written_when_heard.get().is_none() {
-            self.written_when_heard.set(Some(written));
+        if self.written_at_first_byte.get().is_none() {
+            self.written_at_first_byte.set(Some(written));
         }
     }
 }
 
-/// A stream that counts what was written to it, and gives `slot` back when its descriptor is closed.
-struct Counted<S> {
+/// TCP stream that counts written bytes, and releases its slot when the descriptor is closed.
+struct CountingStream<S> {
     stream: TcpStream,
-    written: Rc<Written>,
-    exchange: Rc<Exchange>,
+    written: Rc<WriteCounter>,
+    exchange: Rc<ExchangeState>,
     _slot: S,
 }
 
-impl<S> Counted<S> {
-    /// An error where nothing may be written now. A request's first byte goes out with its permit alone, and on a connection
-    /// that is silent and open.
-    fn before_write(&self) -> io::Result<()> {
-        self.exchange.unflushed.set(true);
+impl<S> CountingStream<S> {
+    /// Fails if nothing may be written now. The first byte of a request needs its permit, and a connection
+    /// that is open and has no unread data.
+    fn check_write(&self) -> io::Result<()> {
+        self.exchange.is_unflushed.set(true);
         if let Some(permit) = &*self.exchange.permit.borrow() {
-            self.hear()?;
-            permit().map_err(|why| self.withhold(why))?;
+            self.check_idle()?;
+            permit().map_err(|reason| self.withhold(reason))?;
         }
         match self.exchange.write_by.get() {
             Some(by) if by <= Instant::now() => Err(self.withhold(WithheldReason::TooLate)),
@@ -97,38 +98,38 @@
         }
     }
 
-    fn withhold(&self, why: WithheldReason) -> io::Error {
-        self.exchange.withheld.set(Some(why));
+    fn withhold(&self, reason: WithheldReason) -> io::Error {
+        self.exchange.withheld.set(Some(reason));
         io::Error::other("withheld")
     }
 
-    /// An error where something has come that nobody asked for, the end of the connection included. The
-    /// kernel is asked, as this process may not have looked since: what came behind an earlier answer must
-    /// not be taken for the answer to the next request, and a request written to a connection that has ended
-    /// would be a reset, which an unsafe one does not survive.
-    fn hear(&self) -> io::Result<()> {
+    /// Fails if there is unsolicited data or the connection was closed. The check asks the kernel, because
+    /// this process may not have polled the socket yet: data after an earlier response must not become the
+    /// response to the next request, and a request written to a closed connection would be reset, which an
+    /// unsafe request cannot survive.
+    fn check_idle(&self) -> io::Result<()> {
         match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(()),
             Err(e) => Err(e),
             Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
             Ok(_) => {
-                self.exchange.heard(self.written.count());
-                Err(io::Error::new(io::ErrorKind::InvalidData, "bytes on an idle connection"))
+                self.exchange.record_received(self.written.count());
+                Err(io::Error::new(io::ErrorKind::InvalidData, "unsolicited data on an idle connection"))
             }
         }
     }
 
-    fn count(&self, poll: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    fn record_write(&self, poll: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(n)) = &poll {
             self.exchange.permit.take();
-            self.exchange.idle.take();
-            self.written.add(*n);
+            self.exchange.idle_watch.take();
+            self.written.record(*n);
         }
         poll
     }
 }
 
-impl<S: Unpin> AsyncRead for Counted<S> {
+impl<S: Unpin> AsyncRead for CountingStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -138,18 +139,18 @@
         let poll = Pin::new(&mut self.stream).poll_read(cx, buf);
         let read = buf.filled().len() - before;
         if read > 0 {
-            self.exchange.heard(self.written.count());
-            self.exchange.read(read)?;
+            self.exchange.record_received(self.written.count());
+            self.exchange.charge_head_budget(read)?;
         }
         poll
     }
 }
 
-impl<S: Unpin> AsyncWrite for Counted<S> {
+impl<S: Unpin> AsyncWrite for CountingStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.before_write()?;
+        self.check_write()?;
         let poll = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.count(poll)
+        self.record_write(poll)
     }
 
     fn poll_write_vectored(
@@ -157,9 +158,9 @@
         cx: &mut Context<'_>,
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.before_write()?;
+        self.check_write()?;
         let poll = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.count(poll)
+        self.record_write(poll)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -167,8 +168,8 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // hyper flushes once it has nothing left to write.
-        self.exchange.unflushed.set(false);
+        // hyper flushes when it has nothing left to write.
+        self.exchange.is_unflushed.set(false);
         Pin::new(&mut self.stream).poll_flush(cx)
     }
 
@@ -177,103 +178,110 @@
     }
 }
 
-/// An open connection. Dropping it closes it, whatever is still out on it.
+/// Open connection. Dropping it closes it, even with a request in flight.
 pub struct Connection {
-    sender: SendRequest<Outbound>,
+    sender: SendRequest<OutboundBody>,
     task: AbortHandle,
-    written: Rc<Written>,
-    exchange: Rc<Exchange>,
+    written: Rc<WriteCounter>,
+    exchange: Rc<ExchangeState>,
     peer: SocketAddr,
 }
 
 impl Connection {
-    /// Opens one; `slot` is held until its descriptor is closed.
+    /// Connects to `peer`; `slot` is released when the descriptor is closed.
     pub async fn open<S: Unpin + 'static>(peer: SocketAddr, slot: S) -> io::Result<Self> {
         let stream = TcpStream::connect(peer).await?;
         stream.set_nodelay(true)?;
-        let (written, exchange) = <(Rc<Written>, Rc<Exchange>)>::default();
-        let counted =
-            Counted { stream, written: Rc::clone(&written), exchange: Rc::clone(&exchange), _slot: slot };
-        let io = TokioIo::new(counted);
-        let (sender, connection) =
-            http1::Builder::new().max_buf_size(BUFFER).handshake(io).await.map_err(io::Error::other)?;
-        // How it ends shows at the sender.
+        let (written, exchange) = <(Rc<WriteCounter>, Rc<ExchangeState>)>::default();
+        let counting = CountingStream {
+            stream,
+            written: Rc::clone(&written),
+            exchange: Rc::clone(&exchange),
+            _slot: slot,
+        };
+        let io = TokioIo::new(counting);
+        let (sender, connection) = http1::Builder::new()
+            .max_buf_size(MAX_BUFFER_BYTES)
+            .handshake(io)
+            .await
+            .map_err(io::Error::other)?;
+        // The sender reports how the connection ended.
         let task = tokio::task::spawn_local(async move { drop(connection.await) }).abort_handle();
         Ok(Self { sender, task, written, exchange, peer })
     }
 
-    /// Whom it leads to.
+    /// Returns the address of the upstream.
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Whether it is known to have ended.
+    /// Returns true if the connection is known to be closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// It is idle from now on, until the first byte of its next request; what comes meanwhile is told here.
-    pub fn rest(&self, unasked: &Unasked) {
-        self.exchange.idle.replace(Some(Rc::clone(unasked)));
+    /// Marks the connection as idle until the next request. Data received meanwhile is recorded in
+    /// `last_unsolicited`.
+    pub fn mark_idle(&self, last_unsolicited: &UnsolicitedAt) {
+        self.exchange.idle_watch.replace(Some(Rc::clone(last_unsolicited)));
     }
 
-    /// Waits until it can take a request; `false` if it has ended instead.
-    pub async fn is_usable(&mut self) -> bool {
+    /// Waits until the connection accepts a request; returns false if it was closed.
+    pub async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Whether the kernel has taken all that was to be written.
+    /// Returns true if the kernel accepted everything that hyper wrote.
     pub fn is_flushed(&self) -> bool {
-        !self.exchange.unflushed.get()
+        !self.exchange.is_unflushed.get()
     }
 
-    /// Bytes that the kernel has taken so far.
+    /// Returns the number of bytes that the kernel has accepted.
     pub fn written(&self) -> u64 {
         self.written.count()
     }
 
-    /// A request's body on this connection.
-    pub fn outbound(&self, payload: &Payload) -> Outbound {
-        Outbound::of(payload, &self.written)
+    /// Creates the body of a request on this connection.
+    pub fn outbound(&self, payload: &Payload) -> OutboundBody {
+        OutboundBody::new(payload, &self.written)
     }
 
-    /// The next request is counted once it has left whole: with its last of `length` bytes, or else with the end of a
-    /// body that streams.
-    pub fn counts(&self, length: Option<u64>, sends: Option<Counter>) {
-        self.written.begin(length, sends);
+    /// Counts the next request when it is completely written: after `length` bytes, or at the end of a
+    /// streaming body.
+    pub fn count_when_sent(&self, length: Option<u64>, counter: Option<Counter>) {
+        self.written.begin_request(length, counter);
     }
 
-    /// Sends a request and waits for the head of its answer. Nothing of it goes out where something has come
-    /// already.
-    pub async fn send(&mut self, request: Request<Outbound>) -> hyper::Result<Response<Incoming>> {
-        self.send_if(request, Box::new(|| Ok(())), None).await
+    /// Sends a request and waits for the response head. Writes nothing if unsolicited data arrived before.
+    pub async fn send(&mut self, request: Request<OutboundBody>) -> hyper::Result<Response<Incoming>> {
+        self.send_with_permit(request, Box::new(|| Ok(())), None).await
     }
 
-    /// The same; no first byte without its permit, and no byte at all at `write_by` or after that.
-    pub async fn send_if(
+    /// Like [`Self::send`], but writes the first byte only with `permit`, and no byte at or after `write_by`.
+    pub async fn send_with_permit(
         &mut self,
-        request: Request<Outbound>,
-        permit: Permit,
+        request: Request<OutboundBody>,
+        permit: WritePermit,
         write_by: Option<Instant>,
     ) -> hyper::Result<Response<Incoming>> {
         self.exchange.permit.replace(Some(permit));
         self.exchange.write_by.set(write_by);
         self.exchange.withheld.set(None);
-        self.exchange.written_when_heard.set(None);
-        self.exchange.before_head.set(Some(BEFORE_HEAD_MOST));
-        let answer = self.sender.send_request(request).await;
-        self.exchange.before_head.set(None);
-        answer
+        self.exchange.written_at_first_byte.set(None);
+        self.exchange.head_budget.set(Some(MAX_BYTES_BEFORE_HEAD));
+        let response = self.sender.send_request(request).await;
+        self.exchange.head_budget.set(None);
+        response
     }
 
-    /// Why nothing more was written of the request, if it was held back here.
-    pub fn withheld(&self) -> Option<WithheldReason> {
+    /// Returns why the rest of the request was withheld, if it was.
+    pub fn withheld_reason(&self) -> Option<WithheldReason> {
         self.exchange.withheld.get()
     }
 
-    /// What the connection had written, in all, when the first byte came back after the request was sent.
-    pub fn written_when_heard(&self) -> Option<u64> {
-        self.exchange.written_when_heard.get()
+    /// Returns the connection's write count when the first byte of the response arrived.
+    pub fn written_at_first_byte(&self) -> Option<u64> {
+        self.exchange.written_at_first_byte.get()
     }
 }
 
@@ -283,8 +291,8 @@
     }
 }
 
-/// The bytes that hyper makes of a request's head, or fewer: where it streams, its framing is added.
-pub fn head_length(request: &Request<Outbound>) -> u64 {
+/// Returns a lower bound for the bytes of the encoded head: a streaming body adds framing headers.
+pub fn head_length(request: &Request<OutboundBody>) -> u64 {
     let path = request.uri().path_and_query().map_or(1, |p| p.as_str().len());
     let line = request.method().as_str().len() + path + " ".len() + " HTTP/1.1\r\n".len();
     let headers = request.headers().iter();
@@ -293,8 +301,8 @@
     (line + headers + "\r\n".len()) as u64
 }
 
-/// The bytes that hyper makes of a request which states its own length: line, headers, body.
-pub fn wire_length(request: &Request<Outbound>) -> u64 {
+/// Returns the bytes of an encoded request of known length: request line, headers and body.
+pub fn wire_length(request: &Request<OutboundBody>) -> u64 {
     use hyper::body::Body;
     head_length(request) + request.body().size_hint().exact().unwrap_or(0)
 }
@@ -306,12 +314,12 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::net::TcpListener;
 
-    /// Guards the proof that a request never ran: it rests on knowing how long the request is on the wire.
+    /// Guards the proof that a request never ran, which depends on its exact encoded length.
     #[tokio::test(flavor = "local")]
-    async fn the_length_on_the_wire_is_known_beforehand() {
+    async fn the_computed_length_matches_the_bytes_on_the_wire() {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let peer = listener.local_addr().unwrap();
-        for (method, body) in [("GET", ""), ("POST", ""), ("POST", "some words")] {
+        for (method, body) in [("GET", ""), ("POST", ""), ("POST", "some text")] {
             let mut connection = Connection::open(peer, ()).await.unwrap();
             let mut request = Request::builder().method(method).uri("/book/day?n=1").header(HOST, "app.svc");
             if method == "POST" {
@@ -326,9 +334,9 @@
                 stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.unwrap();
                 String::from_utf8(read).unwrap()
             };
-            let (answer, read) = tokio::join!(connection.send(request), upstream);
-            assert!(answer.unwrap().status().is_success());
-            assert!(read.ends_with(&format!("\r\n\r\n{body}")), "{read:?}");
+            let (response, read) = tokio::join!(connection.send(request), upstream);
+            assert!(response.unwrap().status().is_success());
+            assert!(read.ends_with(&format!("\r\n\r\n{body}")), "request on the wire: {read:?}");
             assert_eq!(connection.written(), length);
         }
     }
--- a/crates/engine/src/parts/descriptors.rs
+++ b/crates/engine/src/parts/descriptors.rs
@@ -1,5 +1,5 @@
-//! The owner of this process's descriptors: how many each part may hold, what is done when none is left, and
-//! the one that is kept spare for that moment.
+//! File descriptors of this process: the limit of each use, what happens when none is left, and one spare
+//! descriptor for that case.
 
 use crate::parts::rate_limited_log::RateLimitedLog;
 use maplehook_admission::descriptor_budget::TooFewDescriptorsError;
@@ -13,176 +13,191 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How often the process's own limit is read: it may be lowered from outside while it runs.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
-/// Pause after a failure for want of a descriptor: those told to end need a moment, and trying at once spins.
+/// Interval for reading the process limit, which can be lowered from outside at run time.
+const LIMIT_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Pause after a failure for lack of a descriptor. Closing connections takes a moment, and retrying at once
+/// would spin.
 pub const EXHAUSTION_BACKOFF: Duration = Duration::from_millis(5);
 
-/// Frees a descriptor before long; `false` if it has none that can be spared.
-type Relief = Box<dyn Fn() -> bool>;
+/// Frees a descriptor soon; returns false if none can be spared.
+type ReliefCallback = Box<dyn Fn() -> bool>;
 
-/// The descriptors of the process.
+/// Descriptor budget of the process.
 pub struct Descriptors {
     budget: RefCell<DescriptorBudget>,
-    start: Instant,
+    started_at: Instant,
     spare: RefCell<Option<File>>,
-    reliefs: RefCell<Vec<Relief>>,
-    changed: RefCell<Vec<Box<dyn Fn()>>>,
-    /// When the reliefs were last called: many may fail at one moment.
-    relieved: Cell<Option<Instant>>,
-    /// By what was in want of one: the one that is refused most often must not hide the others.
-    short: RefCell<FxHashMap<&'static str, RateLimitedLog>>,
+    relief_callbacks: RefCell<Vec<ReliefCallback>>,
+    limit_listeners: RefCell<Vec<Box<dyn Fn()>>>,
+    /// Last time that the relief callbacks ran; one shortage makes many operations fail at once.
+    last_relief: Cell<Option<Instant>>,
+    /// One log per operation, so that the most frequent failure does not suppress the others.
+    exhaustion_logs: RefCell<FxHashMap<&'static str, RateLimitedLog>>,
 }
 
-/// The limit that the process finds.
-pub fn real_limit() -> usize {
-    // Where it can't be read, nothing is known to bind but the configuration.
+/// Returns the soft limit of the process.
+pub fn process_limit() -> usize {
+    // If the limit is unreadable, only the configuration applies.
     Resource::NOFILE.get_soft().map_or(usize::MAX, |n| usize::try_from(n).unwrap_or(usize::MAX))
 }
 
-/// Sets the limit of the process, within what it may set itself.
+/// Sets the soft limit of the process, up to the hard limit.
 pub fn set_limit(limit: u64) -> io::Result<()> {
     let (_, hard) = Resource::NOFILE.get()?;
     if limit > hard {
-        return Err(io::Error::other(format!("{limit} descriptors are more than the {hard} allowed")));
+        return Err(io::Error::other(format!(
+            "a limit of {limit} descriptors exceeds the hard limit of {hard}"
+        )));
     }
     Resource::NOFILE.set(limit, hard)
 }
 
 impl Descriptors {
-    /// `allowed` by configuration, within the real limit, of which `aside` are somebody else's; upstreams get this share
-    /// of what is shared out.
+    /// Creates a budget of `configured` descriptors, bounded by the process limit. `reserved` of them are
+    /// used outside the balancer; upstreams get `upstream_share` of the divisible rest.
     pub fn new(
-        allowed: usize,
-        aside: usize,
+        configured: usize,
+        reserved: usize,
         upstream_share: f64,
     ) -> Result<Rc<Self>, TooFewDescriptorsError> {
         Ok(Rc::new(Self {
-            budget: RefCell::new(DescriptorBudget::new(allowed, real_limit(), aside, upstream_share)?),
-            start: Instant::now(),
-            spare: RefCell::new(spare()),
-            reliefs: RefCell::default(),
-            changed: RefCell::default(),
-            relieved: Cell::new(None),
-            short: RefCell::default(),
+            budget: RefCell::new(DescriptorBudget::new(
+                configured,
+                process_limit(),
+                reserved,
+                upstream_share,
+            )?),
+            started_at: Instant::now(),
+            spare: RefCell::new(open_spare()),
+            relief_callbacks: RefCell::default(),
+            limit_listeners: RefCell::default(),
+            last_relief: Cell::new(None),
+            exhaustion_logs: RefCell::default(),
         }))
     }
 
-    /// Those of an engine in somebody else's process: `most` connections to upstreams, as far as the limit goes.
-    pub fn for_upstreams(most: usize) -> Result<Rc<Self>, TooFewDescriptorsError> {
+    /// Creates the budget of an embedded engine: up to `max_connections` connections to upstreams, within the
+    /// process limit.
+    pub fn for_upstreams(max_connections: usize) -> Result<Rc<Self>, TooFewDescriptorsError> {
         use maplehook_admission::descriptor_budget::{
             BASE_DESCRIPTORS, DISCOVERY_DESCRIPTORS, REJECTION_DESCRIPTORS,
         };
-        // The rest of what is shared out is nobody's here.
-        const SHARE: f64 = 0.5;
+        // The other half is unused in an embedded engine.
+        const UPSTREAM_SHARE: f64 = 0.5;
         Self::new(
-            (most as f64 / SHARE).ceil() as usize
+            (max_connections as f64 / UPSTREAM_SHARE).ceil() as usize
                 + BASE_DESCRIPTORS
                 + DISCOVERY_DESCRIPTORS
                 + REJECTION_DESCRIPTORS,
             0,
-            SHARE,
+            UPSTREAM_SHARE,
         )
     }
 
-    /// How many a part may hold now.
+    /// Returns the number of descriptors that a class may use now.
     pub fn limit_of(&self, class: DescriptorClass) -> usize {
         self.budget.borrow().limit_of(class)
     }
 
-    /// So many are allowed from now on: another process shares what the platform allows, or does so no more.
-    pub fn set_configured_limit(&self, allowed: usize) {
-        if self.budget.borrow_mut().set_configured_limit(allowed) {
-            self.tell();
+    /// Changes the configured limit, for example when another process starts or stops sharing the platform's
+    /// allowance.
+    pub fn set_configured_limit(&self, configured: usize) {
+        if self.budget.borrow_mut().set_configured_limit(configured) {
+            self.notify_listeners();
         }
     }
 
-    /// Whom to ask for a descriptor when there is none; those added first are asked first.
+    /// Registers a callback that frees a descriptor; callbacks run in the order of registration.
     pub fn add_relief(&self, relief: impl Fn() -> bool + 'static) {
-        self.reliefs.borrow_mut().push(Box::new(relief));
+        self.relief_callbacks.borrow_mut().push(Box::new(relief));
     }
 
-    /// Whom to tell that the parts have changed.
-    pub fn on_limits_changed(&self, changed: impl Fn() + 'static) {
-        self.changed.borrow_mut().push(Box::new(changed));
+    /// Registers a callback for changes of the limits.
+    pub fn on_limits_changed(&self, listener: impl Fn() + 'static) {
+        self.limit_listeners.borrow_mut().push(Box::new(listener));
     }
 
-    /// Something could not be opened for want of a descriptor: the limit is read anew, and if it was not that,
-    /// the parts shrink; either way one descriptor is freed before long, if any can be spared (`true`). Whoever
-    /// failed waits [`EXHAUSTION_BACKOFF`]; of many that fail at one moment, one is told so.
-    pub fn record_exhaustion(&self, what: &'static str) -> bool {
-        self.short.borrow_mut().entry(what).or_default().warn(|| format!("no descriptor left: {what}"));
+    /// Records that an operation failed for lack of a descriptor. Reads the process limit again; if that is
+    /// unchanged, the budget shrinks. One descriptor is then freed if possible, and the result is true.
+    /// Callers wait for [`EXHAUSTION_BACKOFF`]; of several failures within it only the first gets true.
+    pub fn record_exhaustion(&self, operation: &'static str) -> bool {
+        self.exhaustion_logs
+            .borrow_mut()
+            .entry(operation)
+            .or_default()
+            .warn(|| format!("no descriptor left: {operation}"));
         let now = Instant::now();
-        if self.relieved.get().is_some_and(|at| now - at < EXHAUSTION_BACKOFF) {
+        if self.last_relief.get().is_some_and(|at| now - at < EXHAUSTION_BACKOFF) {
             return false;
         }
-        self.relieved.set(Some(now));
-        if !self.budget.borrow_mut().set_process_limit(real_limit()) {
-            self.budget.borrow_mut().record_exhaustion(self.start.elapsed());
+        self.last_relief.set(Some(now));
+        if !self.budget.borrow_mut().set_process_limit(process_limit()) {
+            self.budget.borrow_mut().record_exhaustion(self.started_at.elapsed());
         }
-        let freed = self.reliefs.borrow().iter().any(|relief| relief());
-        self.tell();
+        let freed = self.relief_callbacks.borrow().iter().any(|relief| relief());
+        self.notify_listeners();
         freed
     }
 
-    /// Does something with the spare descriptor given up for as long as it takes.
-    pub fn with_spare<T>(&self, act: impl FnOnce() -> T) -> T {
+    /// Runs `task` while the spare descriptor is available to it.
+    pub fn with_spare<T>(&self, task: impl FnOnce() -> T) -> T {
         self.release_spare();
-        let done = act();
+        let result = task();
         self.reacquire_spare();
-        done
+        result
     }
 
-    /// Gives the spare descriptor up, until [`Self::reacquire_spare`] finds one again.
+    /// Closes the spare descriptor, until [`Self::reacquire_spare`] opens one again.
     pub fn release_spare(&self) {
         drop(self.spare.borrow_mut().take());
     }
 
-    /// Gets the spare descriptor back, as soon as there is one.
+    /// Opens the spare descriptor again, if a descriptor is available.
     pub fn reacquire_spare(&self) {
-        let missing = self.spare.borrow().is_none();
-        if missing {
-            *self.spare.borrow_mut() = spare();
+        let is_missing = self.spare.borrow().is_none();
+        if is_missing {
+            *self.spare.borrow_mut() = open_spare();
         }
     }
 
-    /// Follows the limit of the process, as long as it lives.
+    /// Follows the limit of the process; never returns.
     pub async fn watch_process_limit(self: Rc<Self>) {
         loop {
-            sleep(LOOK_EVERY).await;
+            sleep(LIMIT_POLL_INTERVAL).await;
             self.reacquire_spare();
-            let limited = self.budget.borrow_mut().set_process_limit(real_limit());
-            let relaxed = self.budget.borrow_mut().relax(self.start.elapsed());
-            if limited {
+            let limit_changed = self.budget.borrow_mut().set_process_limit(process_limit());
+            let budget_grew = self.budget.borrow_mut().relax(self.started_at.elapsed());
+            if limit_changed {
                 tracing::warn!(
                     clients = self.limit_of(DescriptorClass::Clients),
                     upstreams = self.limit_of(DescriptorClass::Upstreams),
-                    "the limit on descriptors has changed"
+                    "the descriptor limit of the process has changed"
                 );
             }
-            if limited || relaxed {
-                self.tell();
+            if limit_changed || budget_grew {
+                self.notify_listeners();
             }
         }
     }
 
-    fn tell(&self) {
-        self.changed.borrow().iter().for_each(|changed| changed());
+    fn notify_listeners(&self) {
+        self.limit_listeners.borrow().iter().for_each(|listener| listener());
     }
 }
 
-fn spare() -> Option<File> {
+fn open_spare() -> Option<File> {
     File::open("/dev/null").ok()
 }
 
-/// Whether something failed for want of a descriptor: in the process, or in the system.
+/// Returns true for errors due to the descriptor limit of the process or of the system.
 pub fn is_descriptor_exhaustion(e: &io::Error) -> bool {
-    // EMFILE and ENFILE have no kind of their own.
+    // `io::ErrorKind` has no stable variant for EMFILE and ENFILE.
     matches!(e.raw_os_error(), Some(23 | 24))
 }
 
-/// Whether a connection failed on this side, so that it says nothing of the other: ports that are all in use
-/// or still closing (`EADDRNOTAVAIL`, `EADDRINUSE`), or memory of the kernel (`ENOBUFS`, `ENOMEM`).
+/// Returns true if a connection failed for lack of a local resource, which does not count against the
+/// upstream: all ports are in use or closing (`EADDRNOTAVAIL`, `EADDRINUSE`), or kernel memory is exhausted
+/// (`ENOBUFS`, `ENOMEM`).
 pub fn is_local_failure(e: &io::Error) -> bool {
     use io::ErrorKind::{AddrInUse, AddrNotAvailable, OutOfMemory};
     is_descriptor_exhaustion(e)
@@ -194,21 +209,22 @@
 mod tests {
     use super::*;
 
-    /// Guards an upstream from the blame for what ran out here.
+    /// Guards against blaming an upstream for a local shortage.
     #[test]
-    fn what_ran_out_here_is_told_from_what_failed_there() {
-        let is = |errno| is_local_failure(&io::Error::from_raw_os_error(errno));
-        assert!([23, 24, 98, 99, 105, 12].into_iter().all(is));
-        // Refused, reset, timed out, unreachable, aborted.
-        assert!(![111, 104, 110, 113, 101, 103].into_iter().any(is));
+    fn local_shortages_are_distinguished_from_upstream_failures() {
+        let is_local = |errno| is_local_failure(&io::Error::from_raw_os_error(errno));
+        assert!([23, 24, 98, 99, 105, 12].into_iter().all(is_local));
+        // ECONNREFUSED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNABORTED.
+        assert!(![111, 104, 110, 113, 101, 103].into_iter().any(is_local));
     }
 
-    /// Guards the reliefs against a storm: many that fail at one moment end one connection, not one each.
+    /// Guards against closing one connection per failure: many operations that fail at once free one
+    /// descriptor.
     #[tokio::test(flavor = "local", start_paused = true)]
-    async fn one_shortage_is_relieved_once() {
+    async fn simultaneous_failures_free_one_descriptor() {
         let descriptors = Descriptors::new(256, 0, 0.5).unwrap();
         let count = Rc::new(Cell::new((0, 0)));
-        let (first, second, told) = (Rc::clone(&count), Rc::clone(&count), Rc::new(Cell::new(0)));
+        let (first, second, notified) = (Rc::clone(&count), Rc::clone(&count), Rc::new(Cell::new(0)));
         descriptors.add_relief(move || {
             first.set((first.get().0 + 1, first.get().1));
             first.get().0 > 1
@@ -217,20 +233,20 @@
             second.set((second.get().0, second.get().1 + 1));
             true
         });
-        let tells = Rc::clone(&told);
-        descriptors.on_limits_changed(move || tells.set(tells.get() + 1));
+        let notify = Rc::clone(&notified);
+        descriptors.on_limits_changed(move || notify.set(notify.get() + 1));
         let before = descriptors.limit_of(DescriptorClass::Clients);
         assert_eq!((0..50).filter(|_| descriptors.record_exhaustion("test")).count(), 1);
-        assert_eq!((count.get(), told.get()), ((1, 1), 1));
+        assert_eq!((count.get(), notified.get()), ((1, 1), 1));
         assert!(
             descriptors.limit_of(DescriptorClass::Clients) + descriptors.limit_of(DescriptorClass::Upstreams)
                 < 232
         );
         sleep(EXHAUSTION_BACKOFF).await;
         assert!(descriptors.record_exhaustion("test"));
-        // The first had one to spare now.
+        // This time the first callback frees a descriptor, so the second does not run.
         assert_eq!(count.get(), (2, 1));
-        // What was taken away comes back.
+        // The limits recover after the shortage.
         let watch = tokio::task::spawn_local(Rc::clone(&descriptors).watch_process_limit());
         sleep(Duration::from_secs(30)).await;
         assert_eq!(descriptors.limit_of(DescriptorClass::Clients), before);
--- a/crates/engine/src/parts/discovery.rs
+++ b/crates/engine/src/parts/discovery.rs
@@ -1,29 +1,27 @@
-//! Discovery: the whole list when asked for it, and the watch on its changes.
+//! Client of the platform's discovery: fetches the full list and watches for changes.
 //!
-//! A call is given up when its time is up, and a watch when it has been silent for too long; both end with
-//! [`EndpointUpdate::failed`], and the decision module asks again. The figures, and why a change is known in time whatever
-//! hangs or is refused, stand in [`maplehook_core::discovery_timing`].
+//! A call ends at its timeout, and a watch after too long a silence; both then report
+//! [`EndpointUpdate::failed`], and the decision module calls again. [`maplehook_core::discovery_timing`]
+//! defines the timeouts, and shows why a change is always seen in time, even if calls hang or fail.
 
 mod documents;
-mod patience;
 #[cfg(test)]
 mod tests;
+mod timeouts;
 
-use crate::parts::body::Outbound;
+use crate::parts::body::OutboundBody;
 use crate::parts::connection::Connection;
 use crate::parts::descriptors::{self, Descriptors, is_descriptor_exhaustion};
 use crate::parts::rate_limited_log::RateLimitedLog;
 use crate::parts::upstream::EndpointState;
 use crate::source::{EndpointUpdate, Entry, Source, Task};
-use documents::{DOCUMENT_MOST, Documents, Said};
+use documents::{DocumentSplitter, MAX_DOCUMENT_BYTES, WatchItem};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use maplehook_core::{Availability, CellId, KindId, UpdateScope, ZoneId};
 use maplehook_platform_settings::IdNames;
-pub use patience::DiscoveryTimeouts;
-use patience::Silence;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::cell::{Cell, Ref, RefCell};
@@ -31,6 +29,8 @@
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
+pub use timeouts::DiscoveryTimeouts;
+use timeouts::WatchDeadline;
 use tokio::time::{Instant, sleep, timeout_at};
 
 #[derive(Deserialize)]
@@ -54,85 +54,94 @@
     model: String,
     #[serde(default)]
     pod_group: u16,
-    #[serde(default = "one")]
+    #[serde(default = "default_capacity_hint")]
     capacity_hint: f64,
     #[serde(default)]
     boot_ms: f64,
 }
 
-fn one() -> f64 {
+fn default_capacity_hint() -> f64 {
     1.0
 }
 
-/// Where discovery is, and how far this balancer has followed it.
+/// Discovery client of one balancer.
 pub struct Discovery {
     address: Cell<SocketAddr>,
     names: RefCell<IdNames>,
     descriptors: Rc<Descriptors>,
-    /// The version of the list in hand; 0: none.
+    /// Version of the cached list; 0 if there is none.
     rev: Cell<u64>,
-    patience: Cell<DiscoveryTimeouts>,
-    odd: RateLimitedLog,
+    timeouts: Cell<DiscoveryTimeouts>,
+    warnings: RateLimitedLog,
 }
 
 type Failure = Box<dyn Error + Send + Sync>;
 
 impl Discovery {
-    /// One service for all balancers at an address; `names` turn zones and kinds into numbers.
+    /// Creates a client of the service at `address`; `names` maps zones and kinds to numeric ids.
     pub fn new(address: SocketAddr, names: IdNames, descriptors: Rc<Descriptors>) -> Self {
         Self {
             address: Cell::new(address),
             names: RefCell::new(names),
             descriptors,
             rev: Cell::new(0),
-            patience: Cell::new(DiscoveryTimeouts::SERVICE),
-            odd: RateLimitedLog::default(),
+            timeouts: Cell::new(DiscoveryTimeouts::SERVICE),
+            warnings: RateLimitedLog::default(),
         }
     }
 
-    /// How long each step of a call may take.
-    pub fn set_timeouts(&self, patience: DiscoveryTimeouts) {
-        self.patience.set(patience);
+    /// Sets the timeouts of the first steps of a call.
+    pub fn set_timeouts(&self, timeouts: DiscoveryTimeouts) {
+        self.timeouts.set(timeouts);
     }
 
-    /// How far the list was followed; 0: not at all.
+    /// Returns the version of the cached list; 0 if there is none.
     pub fn rev(&self) -> u64 {
         self.rev.get()
     }
 
-    /// The list is known up to here from elsewhere.
+    /// Sets the version of a list that was obtained elsewhere, such as from a predecessor process.
     pub fn set_rev(&self, rev: u64) {
         self.rev.set(rev);
     }
 
-    /// What the numbers are called.
+    /// Returns the names of zones and kinds, by numeric id.
     pub fn names(&self) -> Ref<'_, IdNames> {
         self.names.borrow()
     }
 
-    /// Zones and kinds have these numbers from now on.
+    /// Replaces the names of zones and kinds.
     pub fn set_names(&self, names: IdNames) {
         *self.names.borrow_mut() = names;
     }
 
-    /// Reads a list, or what has changed. An entry that can't be read is skipped; a list that can't be read is an error.
-    fn read(&self, text: &[u8], whole: bool) -> Result<EndpointUpdate, Failure> {
+    /// Parses a full list or a set of changes. Skips unreadable entries; fails if the document itself is
+    /// unreadable.
+    fn parse_list(&self, text: &[u8], is_full: bool) -> Result<EndpointUpdate, Failure> {
         let list: RawList<'_> = serde_json::from_slice(text)?;
-        let (whole, held) = (whole || list.all, self.rev.get());
-        if !whole && list.rev < held {
-            // Discovery has begun to count anew. What has changed since, this does not say.
-            return Err(format!("changes up to version {}, and {held} is in hand", list.rev).into());
+        let (is_full, current) = (is_full || list.all, self.rev.get());
+        if !is_full && list.rev < current {
+            // Discovery restarted its version numbers, so the changes since the cached list are unknown.
+            return Err(format!(
+                "changes up to version {} do not follow the cached version {current}",
+                list.rev
+            )
+            .into());
         }
         let entries = list.targets.iter().filter_map(|raw| {
-            let entry = self.entry(raw.get());
-            entry.map_err(|e| self.odd.warn(|| format!("unreadable list entry: {e}"))).ok()
+            let entry = self.parse_entry(raw.get());
+            entry
+                .map_err(|e| {
+                    self.warnings.warn(|| format!("skipped a malformed entry of the endpoint list: {e}"))
+                })
+                .ok()
         });
         let entries = entries.collect();
         self.rev.set(list.rev);
-        Ok(EndpointUpdate { scope: if whole { UpdateScope::Full } else { UpdateScope::Changes }, entries })
+        Ok(EndpointUpdate { scope: if is_full { UpdateScope::Full } else { UpdateScope::Changes }, entries })
     }
 
-    fn entry(&self, text: &str) -> Result<Entry, Failure> {
+    fn parse_entry(&self, text: &str) -> Result<Entry, Failure> {
         let raw: RawEntry<'_> = serde_json::from_str(text)?;
         let availability = match raw.state.as_str() {
             "Ready" => Availability::Ready,
@@ -142,91 +151,101 @@
         };
         let endpoint = raw.endpoint.and_then(|e| serde_json::from_str(e.get()).ok());
         if endpoint.is_none() && availability == Availability::Ready {
-            return Err(format!("{}: no address", raw.uid).into());
+            return Err(format!("{}: a ready upstream has no valid endpoint address", raw.uid).into());
         }
         let names = self.names.borrow();
-        let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
+        let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
         Ok(Entry {
             id: crate::source::stable_id(&raw.uid),
-            zone: ZoneId(place(&names.zones, &raw.az).map_or(u8::MAX, |z| z as u8)),
-            kind: KindId(place(&names.kinds, &raw.model).map_or(u16::MAX, |k| k as u16)),
+            zone: ZoneId(position(&names.zones, &raw.az).map_or(u8::MAX, |z| z as u8)),
+            kind: KindId(position(&names.kinds, &raw.model).map_or(u16::MAX, |k| k as u16)),
             cell: CellId(raw.pod_group),
             weight: raw.capacity_hint,
             state: EndpointState { endpoint, availability, boot_ms: raw.boot_ms.max(0.0) as u64 },
         })
     }
 
-    /// The list from the configuration, as [`UpdateScope::Cached`].
+    /// Parses the list from the configuration, with the scope [`UpdateScope::Cached`].
     pub fn parse_cached_list(&self, text: &str) -> EndpointUpdate {
-        let read =
-            if text.is_empty() { Ok(EndpointUpdate::failed()) } else { self.read(text.as_bytes(), true) };
-        let entries = read.map_or_else(
+        let parsed = if text.is_empty() {
+            Ok(EndpointUpdate::failed())
+        } else {
+            self.parse_list(text.as_bytes(), true)
+        };
+        let entries = parsed.map_or_else(
             |e| {
-                tracing::warn!("the list known before the start is unreadable: {e}");
+                tracing::warn!("the endpoint list in the configuration is malformed: {e}");
                 Vec::new()
             },
-            |news| news.entries,
+            |update| update.entries,
         );
         EndpointUpdate { scope: UpdateScope::Cached, entries }
     }
 
-    /// From now on discovery is elsewhere. The list in hand, and how far it was followed, stay as they are.
-    /// `true` if that is news: a watch that there is has to be begun anew.
+    /// Changes the address of discovery; the cached list and its version remain. Returns true if the address
+    /// differs, in which case an open watch must be restarted.
     pub fn set_address(&self, address: SocketAddr) -> bool {
         self.address.replace(address) != address
     }
 
-    async fn follow(&self, tell: &mut dyn FnMut(EndpointUpdate)) -> Result<(), Failure> {
-        let mut silence = Silence::new(self.patience.get(), Instant::now());
+    async fn run_watch(&self, report: &mut dyn FnMut(EndpointUpdate)) -> Result<(), Failure> {
+        let mut deadline = WatchDeadline::new(self.timeouts.get(), Instant::now());
         let target = format!("/registry/instances?stream=1&index={}", self.rev.get());
-        let (_connection, mut body) = self.ask(&target, &mut silence).await?;
-        let mut documents = Documents::default();
-        while let Some(frame) = timeout_at(silence.broken_at(), body.frame()).await? {
+        let (_connection, mut body) = self.request(&target, &mut deadline).await?;
+        let mut documents = DocumentSplitter::default();
+        while let Some(frame) = timeout_at(deadline.expires_at(), body.frame()).await? {
             let Ok(data) = frame?.into_data() else { continue };
             documents.push(&data);
-            while let Some(said) = documents.next().map_err(|e| self.distrust(e.into()))? {
-                match said {
-                    Said::Document(text) => tell(self.read(&text, false).map_err(|e| self.distrust(e))?),
-                    Said::EndOfLine if silence.answered() => {}
-                    // Nothing has changed since the list in hand: that is an answer.
-                    Said::EndOfLine if self.rev.get() > 0 => tell(EndpointUpdate::unchanged()),
-                    Said::EndOfLine => continue,
+            while let Some(item) = documents.next_item().map_err(|e| self.require_full_list(e.into()))? {
+                match item {
+                    WatchItem::Document(text) => {
+                        report(self.parse_list(&text, false).map_err(|e| self.require_full_list(e))?)
+                    }
+                    WatchItem::EndOfLine if deadline.is_answered() => {}
+                    // An empty line confirms the cached list: nothing has changed.
+                    WatchItem::EndOfLine if self.rev.get() > 0 => report(EndpointUpdate::unchanged()),
+                    WatchItem::EndOfLine => continue,
                 }
-                silence.said(Instant::now());
+                deadline.data_received(Instant::now());
             }
         }
         Ok(documents.finish()?)
     }
 
-    /// What discovery said is missing now, a drain perhaps: the next call asks for the whole list.
-    fn distrust(&self, why: Failure) -> Failure {
+    /// Resets the version after unreadable data, so that the next call requests the full list: the data may
+    /// have announced a drain.
+    fn require_full_list(&self, error: Failure) -> Failure {
         self.rev.set(0);
-        why
+        error
     }
 
-    async fn ask(&self, target: &str, silence: &mut Silence) -> Result<(Connection, Incoming), Failure> {
+    async fn request(
+        &self,
+        target: &str,
+        deadline: &mut WatchDeadline,
+    ) -> Result<(Connection, Incoming), Failure> {
         let address = self.address.get();
-        let mut connection = timeout_at(silence.broken_at(), self.connect(address)).await??;
-        silence.connected(Instant::now());
+        let mut connection = timeout_at(deadline.expires_at(), self.connect(address)).await??;
+        deadline.connected(Instant::now());
         let request = Request::get(target).header(HOST, address.to_string());
-        let request = request.body(Outbound::default())?;
-        let response = timeout_at(silence.broken_at(), connection.send(request)).await??;
-        silence.headed();
+        let request = request.body(OutboundBody::default())?;
+        let response = timeout_at(deadline.expires_at(), connection.send(request)).await??;
+        deadline.head_received();
         if response.status() != StatusCode::OK {
-            return Err(format!("status {}", response.status()).into());
+            return Err(format!("discovery responded with status {}", response.status()).into());
         }
         Ok((connection, response.into_body()))
     }
 
-    async fn list(&self) -> Result<EndpointUpdate, Failure> {
-        let mut silence = Silence::new(self.patience.get(), Instant::now());
-        let (_connection, body) = self.ask("/registry/instances", &mut silence).await?;
-        let body = http_body_util::Limited::new(body, DOCUMENT_MOST);
-        let text = timeout_at(silence.broken_at(), body.collect()).await??.to_bytes();
-        self.read(&text, true)
+    async fn fetch_list(&self) -> Result<EndpointUpdate, Failure> {
+        let mut deadline = WatchDeadline::new(self.timeouts.get(), Instant::now());
+        let (_connection, body) = self.request("/registry/instances", &mut deadline).await?;
+        let body = http_body_util::Limited::new(body, MAX_DOCUMENT_BYTES);
+        let text = timeout_at(deadline.expires_at(), body.collect()).await??.to_bytes();
+        self.parse_list(&text, true)
     }
 
-    /// What discovery has to tell may not wait for a descriptor: somebody else gives one up.
+    /// Connects to discovery. If descriptors are exhausted, another holder frees one: updates must not wait.
     async fn connect(&self, address: SocketAddr) -> io::Result<Connection> {
         loop {
             match Connection::open(address, ()).await {
@@ -234,7 +253,7 @@
                     self.descriptors.record_exhaustion("discovery");
                     sleep(descriptors::EXHAUSTION_BACKOFF).await;
                 }
-                ended => return ended,
+                result => return result,
             }
         }
     }
@@ -243,19 +262,19 @@
 impl Source for Discovery {
     fn fetch(&self) -> Task<'_, EndpointUpdate> {
         Box::pin(async {
-            self.list().await.unwrap_or_else(|e| {
-                self.odd.warn(|| format!("no list: {e}"));
+            self.fetch_list().await.unwrap_or_else(|e| {
+                self.warnings.warn(|| format!("failed to fetch the endpoint list: {e}"));
                 EndpointUpdate::failed()
             })
         })
     }
 
-    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
+    fn watch<'a>(&'a self, report: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
         Box::pin(async {
-            if let Err(e) = self.follow(tell).await {
-                self.odd.warn(|| format!("watch ended: {e}"));
+            if let Err(e) = self.run_watch(report).await {
+                self.warnings.warn(|| format!("endpoint watch ended: {e}"));
             }
-            tell(EndpointUpdate::failed());
+            report(EndpointUpdate::failed());
         })
     }
 }
--- a/crates/engine/src/parts/discovery/documents.rs
+++ b/crates/engine/src/parts/discovery/documents.rs
@@ -1,135 +1,137 @@
-//! The bytes of a watch, split into JSON documents: in pieces of any size, one to a line or indented over several.
+//! Splits the bytes of a watch into JSON documents, which arrive in chunks of any size, on one line or
+//! indented over several.
 
 use bytes::BytesMut;
 use serde::de::IgnoredAny;
 use std::error::Error;
 use std::fmt;
 
-/// The longest document: more is no list.
-pub(super) const DOCUMENT_MOST: usize = 8 * 1024 * 1024;
+/// Longest document, in bytes; longer input cannot be a list.
+pub(super) const MAX_DOCUMENT_BYTES: usize = 8 * 1024 * 1024;
 
-/// What a watch says.
+/// Item of a watch stream.
 #[derive(Debug, PartialEq)]
-pub(super) enum Said {
-    /// The end of a line outside of a document: the watch is alive.
+pub(super) enum WatchItem {
+    /// End of a line outside of a document; shows that the watch is alive.
     EndOfLine,
-    /// A document, whole.
+    /// The bytes of a complete document.
     Document(BytesMut),
 }
 
-/// Why the bytes are no documents.
+/// Reason why input is not a sequence of documents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Malformed {
-    /// Something else than a document begins here.
-    Stray(u8),
-    /// A line that is not the beginning of a document that spans several.
-    Line,
-    /// A document longer than [`DOCUMENT_MOST`].
+    /// A byte that cannot start a document.
+    UnexpectedByte(u8),
+    /// A truncated document on a line of its own, not the first line of an indented document.
+    TruncatedLine,
+    /// A document longer than [`MAX_DOCUMENT_BYTES`].
     TooLong,
-    /// The watch has ended inside a document.
-    CutShort,
+    /// The watch ended inside a document.
+    UnexpectedEnd,
 }
 
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Stray(byte) => write!(f, "byte {byte:#04x} where a document should begin"),
-            Self::Line => f.write_str("a line that is no document"),
-            Self::TooLong => f.write_str("a document without an end"),
-            Self::CutShort => f.write_str("an end inside a document"),
+            Self::UnexpectedByte(byte) => write!(f, "byte {byte:#04x} cannot start a document"),
+            Self::TruncatedLine => f.write_str("a line ends inside a truncated document"),
+            Self::TooLong => f.write_str("a document exceeds the maximum length"),
+            Self::UnexpectedEnd => f.write_str("the stream ended inside a document"),
         }
     }
 }
 
 impl Error for Malformed {}
 
-/// Splits a stream of bytes; looks at each byte once.
+/// Incremental splitter; examines each byte once.
 #[derive(Default)]
-pub(super) struct Documents {
+pub(super) struct DocumentSplitter {
     pending: BytesMut,
-    /// Bytes of `pending` that have been looked at.
+    /// Bytes of `pending` that were already examined.
     scanned: usize,
-    /// Brackets that are open.
+    /// Nesting depth of brackets; 0 outside of a document.
     depth: usize,
     in_string: bool,
-    escaped: bool,
-    /// The first line of the open document has been found to be its beginning.
-    indented: bool,
+    is_escaped: bool,
+    /// True once the first line of the current document was accepted as the start of an indented document.
+    is_indented: bool,
 }
 
-impl Documents {
-    /// Takes in what has come.
+impl DocumentSplitter {
+    /// Appends received bytes.
     pub(super) fn push(&mut self, data: &[u8]) {
         self.pending.extend_from_slice(data);
     }
 
-    /// The next that is said whole; `None`: more has to come first.
-    pub(super) fn next(&mut self) -> Result<Option<Said>, Malformed> {
+    /// Returns the next complete item, or `None` if more input is needed.
+    pub(super) fn next_item(&mut self) -> Result<Option<WatchItem>, Malformed> {
         while let Some(byte) = self.pending.get(self.scanned).copied() {
             self.scanned += 1;
-            if let Some(said) = self.take(byte)? {
-                return Ok(Some(said));
+            if let Some(item) = self.scan_byte(byte)? {
+                return Ok(Some(item));
             }
         }
-        if self.pending.len() > DOCUMENT_MOST { Err(Malformed::TooLong) } else { Ok(None) }
+        if self.pending.len() > MAX_DOCUMENT_BYTES { Err(Malformed::TooLong) } else { Ok(None) }
     }
 
-    /// Nothing more comes.
+    /// Checks that the stream did not end inside a document.
     pub(super) fn finish(&self) -> Result<(), Malformed> {
-        if self.depth > 0 { Err(Malformed::CutShort) } else { Ok(()) }
+        if self.depth > 0 { Err(Malformed::UnexpectedEnd) } else { Ok(()) }
     }
 
-    fn take(&mut self, byte: u8) -> Result<Option<Said>, Malformed> {
+    fn scan_byte(&mut self, byte: u8) -> Result<Option<WatchItem>, Malformed> {
         if self.in_string {
-            return self.take_in_string(byte);
+            return self.scan_string_byte(byte);
         }
         match byte {
             b'{' | b'[' => self.depth += 1,
             b'}' | b']' if self.depth > 1 => self.depth -= 1,
             b'}' | b']' if self.depth == 1 => {
                 self.depth = 0;
-                return Ok(Some(Said::Document(self.split())));
+                return Ok(Some(WatchItem::Document(self.split_scanned())));
             }
             b'"' if self.depth > 0 => self.in_string = true,
             b'\n' if self.depth > 0 => self.check_first_line()?,
             b'\n' => {
-                self.split();
-                return Ok(Some(Said::EndOfLine));
+                self.split_scanned();
+                return Ok(Some(WatchItem::EndOfLine));
             }
             _ if self.depth > 0 || byte.is_ascii_whitespace() => {}
-            _ => return Err(Malformed::Stray(byte)),
+            _ => return Err(Malformed::UnexpectedByte(byte)),
         }
         Ok(None)
     }
 
-    fn take_in_string(&mut self, byte: u8) -> Result<Option<Said>, Malformed> {
+    fn scan_string_byte(&mut self, byte: u8) -> Result<Option<WatchItem>, Malformed> {
         match byte {
-            // JSON has no ends of lines in strings.
-            b'\n' => return Err(Malformed::Line),
-            _ if self.escaped => self.escaped = false,
-            b'\\' => self.escaped = true,
+            // A JSON string cannot contain a raw line end.
+            b'\n' => return Err(Malformed::TruncatedLine),
+            _ if self.is_escaped => self.is_escaped = false,
+            b'\\' => self.is_escaped = true,
             b'"' => self.in_string = false,
             _ => {}
         }
         Ok(None)
     }
 
-    /// A line that was spoilt is told from the first one of an indented document as soon as it ends: what it left out
-    /// may be a drain, and waiting for the rest would take until the watch counts as silent.
+    /// Distinguishes a corrupt line from the first line of an indented document as soon as the line ends. The
+    /// corrupt line may have announced a drain, and waiting for more input would last until the watch times
+    /// out.
     fn check_first_line(&mut self) -> Result<(), Malformed> {
-        if !self.indented {
+        if !self.is_indented {
             let first = &self.pending[..self.scanned];
-            let read: Result<IgnoredAny, _> = serde_json::from_slice(first);
-            if read.is_err_and(|e| !e.is_eof()) {
-                return Err(Malformed::Line);
+            let parsed: Result<IgnoredAny, _> = serde_json::from_slice(first);
+            if parsed.is_err_and(|e| !e.is_eof()) {
+                return Err(Malformed::TruncatedLine);
             }
-            self.indented = true;
+            self.is_indented = true;
         }
         Ok(())
     }
 
-    fn split(&mut self) -> BytesMut {
-        self.indented = false;
+    fn split_scanned(&mut self) -> BytesMut {
+        self.is_indented = false;
         self.pending.split_to(std::mem::take(&mut self.scanned))
     }
 }
--- a/crates/engine/src/parts/discovery/tests.rs
+++ b/crates/engine/src/parts/discovery/tests.rs
@@ -1,7 +1,7 @@
-//! What a watch says, in every form and in pieces of every size; when silence breaks it; and what lists mean.
+//! Splitting of watch streams, discovery timeouts, and interpretation of lists.
 
-use super::documents::{Documents, Malformed, Said};
-use super::patience::{DiscoveryTimeouts, Silence};
+use super::documents::{DocumentSplitter, Malformed, WatchItem};
+use super::timeouts::{DiscoveryTimeouts, WatchDeadline};
 use super::*;
 use maplehook_core::discovery_timing::{
     CALL_TIMEOUT, INITIAL_BACKOFF, PROPAGATION_LIMIT, WATCH_IDLE_TIMEOUT,
@@ -10,102 +10,108 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-const ONE: &str = r#"{"rev":3,"all":true,"targets":[{"uid":"a\"}]\\","state":"Ready"}]}"#;
-const TWO: &str =
+const COMPACT: &str = r#"{"rev":3,"all":true,"targets":[{"uid":"a\"}]\\","state":"Ready"}]}"#;
+const INDENTED: &str =
     "{\r\n  \"rev\": 4,\r\n\r\n  \"targets\": [\r\n    {\r\n      \"uid\": \"b\"\r\n    }\r\n  ]\r\n}";
 
-/// What is said by these bytes, in pieces cut at these places.
-fn said(text: &[u8], cuts: &[usize]) -> Result<Vec<Said>, Malformed> {
-    let (mut documents, mut all, mut from) = (Documents::default(), Vec::new(), 0);
+/// Splits `text`, delivered in chunks that end at `cuts`.
+fn split(text: &[u8], cuts: &[usize]) -> Result<Vec<WatchItem>, Malformed> {
+    let (mut documents, mut all, mut from) = (DocumentSplitter::default(), Vec::new(), 0);
     for to in cuts.iter().copied().chain([text.len()]) {
         documents.push(&text[from..to]);
         from = to;
-        while let Some(said) = documents.next()? {
-            all.push(said);
+        while let Some(item) = documents.next_item()? {
+            all.push(item);
         }
     }
     documents.finish().map(|()| all)
 }
 
-/// The documents among it, and how many lines ended outside of one.
-fn counted(said: &[Said]) -> (Vec<String>, usize) {
-    let text = |said: &Said| match said {
-        Said::Document(text) => Some(String::from_utf8(text.trim_ascii().to_vec()).unwrap()),
-        Said::EndOfLine => None,
+/// Returns the documents among the items, and the number of line ends outside of documents.
+fn documents_and_line_ends(items: &[WatchItem]) -> (Vec<String>, usize) {
+    let text = |item: &WatchItem| match item {
+        WatchItem::Document(text) => Some(String::from_utf8(text.trim_ascii().to_vec()).unwrap()),
+        WatchItem::EndOfLine => None,
     };
-    let documents: Vec<String> = said.iter().filter_map(text).collect();
-    let lines = said.len() - documents.len();
+    let documents: Vec<String> = items.iter().filter_map(text).collect();
+    let lines = items.len() - documents.len();
     (documents, lines)
 }
 
-/// Guards against a list that is lost because of how it comes: in two pieces cut at each place, byte by byte, with both
-/// ends of lines, indented or not, after empty lines, and with no end of line at the end.
+/// Guards against losing a list because of how it is transmitted: cut at any position, byte by byte, with LF
+/// or CRLF, indented or not, after empty lines, and without a final line end.
 #[test]
-fn documents_are_found_wherever_their_bytes_are_cut() {
-    for text in [format!("\n{ONE}\r\n\r\n{TWO}\n\n{ONE}"), format!("{TWO}{ONE}\n \n\t{TWO}\r\n\r\n")] {
+fn documents_are_split_correctly_at_any_chunk_boundary() {
+    for text in [
+        format!("\n{COMPACT}\r\n\r\n{INDENTED}\n\n{COMPACT}"),
+        format!("{INDENTED}{COMPACT}\n \n\t{INDENTED}\r\n\r\n"),
+    ] {
         let bytes = text.as_bytes();
-        let whole = counted(&said(bytes, &[]).unwrap());
-        assert_eq!((whole.0.len(), whole.1 > 2), (3, true), "{whole:?}");
+        let expected = documents_and_line_ends(&split(bytes, &[]).unwrap());
+        assert_eq!((expected.0.len(), expected.1 > 2), (3, true), "documents and line ends: {expected:?}");
         for cut in 0..bytes.len() {
-            assert_eq!(counted(&said(bytes, &[cut]).unwrap()), whole, "cut at {cut}");
+            assert_eq!(documents_and_line_ends(&split(bytes, &[cut]).unwrap()), expected, "cut at {cut}");
         }
-        let each: Vec<usize> = (0..bytes.len()).collect();
-        assert_eq!(counted(&said(bytes, &each).unwrap()), whole);
+        let every_byte: Vec<usize> = (0..bytes.len()).collect();
+        assert_eq!(documents_and_line_ends(&split(bytes, &every_byte).unwrap()), expected);
     }
 }
 
-/// Guards against a spoilt line that is waited for as if it were the first of an indented list, and against an end in
-/// the middle of a document that passes for one between two.
+/// Guards against waiting for the rest of a corrupt line as if an indented list began there, and against
+/// mistaking a cut inside a document for a regular end.
 #[test]
-fn what_is_no_document_is_seen_at_the_end_of_its_line() {
-    for (text, why) in [
-        ("{\"rev\":5,\"all\":tr\n", Malformed::Line),
-        ("{\"rev\":5,\"targets\":[{\"uid\":\"s-\n", Malformed::Line),
-        ("\n}\n", Malformed::Stray(b'}')),
-        ("nothing", Malformed::Stray(b'n')),
-        ("{\"rev\":5,\"targets\":[\n", Malformed::CutShort),
-        ("{\"rev\":5,\"targets\":[", Malformed::CutShort),
+fn malformed_input_is_rejected_at_the_end_of_its_line() {
+    for (text, reason) in [
+        ("{\"rev\":5,\"all\":tr\n", Malformed::TruncatedLine),
+        ("{\"rev\":5,\"targets\":[{\"uid\":\"s-\n", Malformed::TruncatedLine),
+        ("\n}\n", Malformed::UnexpectedByte(b'}')),
+        ("nothing", Malformed::UnexpectedByte(b'n')),
+        ("{\"rev\":5,\"targets\":[\n", Malformed::UnexpectedEnd),
+        ("{\"rev\":5,\"targets\":[", Malformed::UnexpectedEnd),
     ] {
-        assert_eq!(said(text.as_bytes(), &[]), Err(why), "{text:?}");
+        assert_eq!(split(text.as_bytes(), &[]), Err(reason), "input {text:?}");
     }
-    let mut documents = Documents::default();
+    let mut documents = DocumentSplitter::default();
     documents.push(b"{\"rev\":");
-    documents.push(&vec![b'1'; super::documents::DOCUMENT_MOST]);
-    assert_eq!(documents.next(), Err(Malformed::TooLong));
+    documents.push(&vec![b'1'; super::documents::MAX_DOCUMENT_BYTES]);
+    assert_eq!(documents.next_item(), Err(Malformed::TooLong));
 }
 
-/// Guards the 6 s: whatever a call and the watch that it becomes have said and then leave unsaid, what is broken is
-/// called again with time left for an answer that takes as long as any may.
+/// Guards the 6 s limit for noticing a change: at whatever step a call or a watch goes silent, enough time
+/// remains for another call with the slowest allowed response.
 #[test]
-fn silence_at_every_step_leaves_time_for_another_call() {
+fn a_silent_call_or_watch_times_out_early_enough_for_another_call() {
     let start = Instant::now();
     let after = |ms| start + Duration::from_millis(ms);
-    for patience in [DiscoveryTimeouts::SERVICE, DiscoveryTimeouts::AGENT] {
-        for (connected, headed, lines) in
+    for timeouts in [DiscoveryTimeouts::SERVICE, DiscoveryTimeouts::AGENT] {
+        for (connected_at, head_at, lines) in
             [(None, None, 0), (Some(100), None, 0), (Some(100), Some(200), 0), (Some(200), Some(2400), 3)]
         {
-            let (mut silence, mut last) = (Silence::new(patience, start), start);
-            if let Some(ms) = connected {
-                silence.connected(after(ms));
+            let (mut deadline, mut last) = (WatchDeadline::new(timeouts, start), start);
+            if let Some(ms) = connected_at {
+                deadline.connected(after(ms));
             }
-            if headed.is_some() {
-                silence.headed();
+            if head_at.is_some() {
+                deadline.head_received();
             }
-            assert!(silence.broken_at() <= start + CALL_TIMEOUT, "the call has one time for all its steps");
+            assert!(
+                deadline.expires_at() <= start + CALL_TIMEOUT,
+                "all steps together are bounded by the call timeout"
+            );
             for n in 0..lines {
-                last = after(headed.unwrap_or(0) + n * 2000);
-                assert!(last < silence.broken_at(), "a line every 2 s is life");
-                silence.said(last);
+                last = after(head_at.unwrap_or(0) + n * 2000);
+                assert!(last < deadline.expires_at(), "a line every 2 s keeps the watch alive");
+                deadline.data_received(last);
             }
-            assert!(silence.broken_at() <= last + WATCH_IDLE_TIMEOUT);
-            assert!(silence.broken_at() + INITIAL_BACKOFF + CALL_TIMEOUT < last + PROPAGATION_LIMIT);
+            assert!(deadline.expires_at() <= last + WATCH_IDLE_TIMEOUT);
+            assert!(deadline.expires_at() + INITIAL_BACKOFF + CALL_TIMEOUT < last + PROPAGATION_LIMIT);
         }
     }
-    let mut agent = Silence::new(DiscoveryTimeouts::AGENT, start);
+    let mut agent = WatchDeadline::new(DiscoveryTimeouts::AGENT, start);
     let grace = Duration::from_millis(500);
-    assert!(agent.broken_at() < start + grace, "what an agent has at the return counts at once");
+    assert!(agent.expires_at() < start + grace, "a hanging call to an agent ends within the drain grace");
     agent.connected(start);
-    assert!(agent.broken_at() < start + grace);
+    assert!(agent.expires_at() < start + grace);
 }
 
 fn discovery(address: SocketAddr) -> Discovery {
@@ -114,63 +120,65 @@
     Discovery::new(address, names, descriptors)
 }
 
-fn text(rev: u64, all: bool) -> String {
+fn list_json(rev: u64, all: bool) -> String {
     format!(
         r#"{{"rev":{rev},"all":{all},"targets":[{{"uid":"s","endpoint":"127.0.0.1:9","state":"Terminating"}}]}}"#
     )
 }
 
-/// Guards against a balancer that is deaf after discovery has begun to count anew: changes up to a lower version say
-/// nothing of what came between; a whole list of a lower version is the list.
+/// Guards against a balancer that ignores discovery after its versions restart: changes up to a lower version
+/// leave a gap, but a full list with a lower version replaces the cached list.
 #[test]
-fn a_version_that_goes_back_is_taken_with_a_whole_list_alone() {
+fn a_lower_version_is_accepted_only_with_a_full_list() {
     let discovery = discovery(([127, 0, 0, 1], 9).into());
     discovery.set_rev(41);
-    assert!(discovery.read(text(3, false).as_bytes(), false).is_err());
+    assert!(discovery.parse_list(list_json(3, false).as_bytes(), false).is_err());
     assert_eq!(discovery.rev(), 41);
-    let news = discovery.read(text(41, false).as_bytes(), false).unwrap();
-    assert_eq!(news.scope, UpdateScope::Changes);
-    for whole in [false, true] {
+    let update = discovery.parse_list(list_json(41, false).as_bytes(), false).unwrap();
+    assert_eq!(update.scope, UpdateScope::Changes);
+    for is_full in [false, true] {
         discovery.set_rev(41);
-        let news = discovery.read(text(3, !whole).as_bytes(), whole).unwrap();
-        assert_eq!((news.scope, news.entries.len(), discovery.rev()), (UpdateScope::Full, 1, 3));
+        let update = discovery.parse_list(list_json(3, !is_full).as_bytes(), is_full).unwrap();
+        assert_eq!((update.scope, update.entries.len(), discovery.rev()), (UpdateScope::Full, 1, 3));
     }
 }
 
-/// Guards the list in hand against what can't be read: nothing of it is told, and the version stays.
+/// Guards the cached list against unreadable data: nothing is reported, and the version remains.
 #[test]
-fn a_list_that_cannot_be_read_changes_nothing() {
+fn an_unreadable_list_leaves_the_version_unchanged() {
     let discovery = discovery(([127, 0, 0, 1], 9).into());
     discovery.set_rev(41);
-    for bad in ["", "[]", "{}", r#"{"rev":-1,"targets":[]}"#, r#"{"rev":50}"#, r#"{"rev":50,"targets":{}}"#] {
-        assert!(discovery.read(bad.as_bytes(), true).is_err(), "{bad}");
+    for invalid in
+        ["", "[]", "{}", r#"{"rev":-1,"targets":[]}"#, r#"{"rev":50}"#, r#"{"rev":50,"targets":{}}"#]
+    {
+        assert!(discovery.parse_list(invalid.as_bytes(), true).is_err(), "list {invalid:?}");
         assert_eq!(discovery.rev(), 41);
     }
-    let empty = discovery.read(br#"{"rev":50,"all":true,"targets":[]}"#, false).unwrap();
+    let empty = discovery.parse_list(br#"{"rev":50,"all":true,"targets":[]}"#, false).unwrap();
     assert_eq!((empty.scope, empty.entries.len(), discovery.rev()), (UpdateScope::Full, 0, 50));
 }
 
-/// Guards a watch on which nothing has changed: an empty line in place of the first document is an answer where a list
-/// is in hand, and none where there is not.
+/// Guards a watch without changes: an empty line before the first document confirms a cached list, and means
+/// nothing without one.
 #[tokio::test(flavor = "local")]
-async fn an_empty_line_answers_whoever_has_a_list() {
+async fn an_empty_line_confirms_only_a_cached_list() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let discovery = discovery(listener.local_addr().unwrap());
-    for (rev, told) in [
+    for (rev, expected) in [
         (41, vec![EndpointUpdate::unchanged(), EndpointUpdate::failed()]),
         (0, vec![EndpointUpdate::failed()]),
     ] {
         discovery.set_rev(rev);
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         let serve = async {
             let (mut stream, _) = listener.accept().await.unwrap();
             let _ = stream.read(&mut [0; 1024]).await.unwrap();
-            let answer =
+            let response =
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n2\r\n\r\n\r\n0\r\n\r\n";
-            stream.write_all(answer.as_bytes()).await.unwrap();
+            stream.write_all(response.as_bytes()).await.unwrap();
         };
-        let mut tell = |told| news.push(told);
-        tokio::join!(discovery.watch(&mut tell), serve);
-        assert_eq!(news, told, "at version {rev}");
+        let mut report = |update| updates.push(update);
+        tokio::join!(discovery.watch(&mut report), serve);
+        assert_eq!(updates, expected, "at version {rev}");
     }
 }
--- a/crates/engine/src/parts/dispatcher.rs
+++ b/crates/engine/src/parts/dispatcher.rs
@@ -1,4 +1,5 @@
-//! The desk: where requests come in. One that must not run twice and can be known again goes through the ledger.
+//! Dispatcher: the entry point for requests. A request that must not run twice and has an identity goes
+//! through the ledger.
 
 use crate::ledger::{Bounds, BoundsError, Ending, EntryId, Identity, Ledger, Opened, Waiter};
 use crate::parts::answer::UpstreamResponse;
@@ -12,64 +13,66 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until};
 
-/// When somebody may come back for whom the ledger has no room.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// Retry delay sent to a client when the ledger is full.
+const LEDGER_FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-type Told = (Answer, Trace);
+type TracedAnswer = (Answer, Trace);
 
-/// An answer as the ledger keeps it.
-struct Kept {
-    served: UpstreamResponse,
+/// Response as the ledger stores it.
+struct StoredResponse {
+    response: UpstreamResponse,
     trace: Trace,
 }
 
-impl Kept {
-    fn told(&self) -> Told {
-        self.served.copy().map_or((Answer::Failed, self.trace), |served| (Answer::Served(served), self.trace))
+impl StoredResponse {
+    fn to_answer(&self) -> TracedAnswer {
+        self.response
+            .buffered_copy()
+            .map_or((Answer::Failed, self.trace), |response| (Answer::Served(response), self.trace))
     }
 }
 
-/// Where requests come in.
+/// Entry point for requests; counts them and deduplicates them by identity.
 pub struct Dispatcher {
     driver: Rc<Driver>,
     counting: Rc<Counting>,
-    ledger: RefCell<Ledger<Rc<Kept>>>,
-    waiting: RefCell<HashMap<Waiter, oneshot::Sender<Told>>>,
-    next: Cell<Waiter>,
-    inside: Cell<usize>,
-    left: Notify,
+    ledger: RefCell<Ledger<Rc<StoredResponse>>>,
+    waiters: RefCell<HashMap<Waiter, oneshot::Sender<TracedAnswer>>>,
+    next_waiter: Cell<Waiter>,
+    in_flight: Cell<usize>,
+    idle: Notify,
 }
 
-/// Counts as inside until it is dropped.
+/// Counts a request as in flight until the guard is dropped.
 pub struct InFlightGuard(Rc<Dispatcher>);
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let inside = self.0.inside.get() - 1;
-        self.0.inside.set(inside);
-        if inside == 0 {
-            self.0.left.notify_waiters();
+        let in_flight = self.0.in_flight.get() - 1;
+        self.0.in_flight.set(in_flight);
+        if in_flight == 0 {
+            self.0.idle.notify_waiters();
         }
     }
 }
 
-/// Somebody who waits for an entry's ending, until it is dropped.
-struct Waits {
-    desk: Rc<Dispatcher>,
+/// Waiter for the result of a ledger entry; dropping the guard removes the waiter.
+struct WaiterGuard {
+    dispatcher: Rc<Dispatcher>,
     entry: EntryId,
     waiter: Waiter,
 }
 
-impl Drop for Waits {
+impl Drop for WaiterGuard {
     fn drop(&mut self) {
-        if self.desk.waiting.borrow_mut().remove(&self.waiter).is_some() {
-            self.desk.ledger.borrow_mut().left(self.entry, self.waiter);
+        if self.dispatcher.waiters.borrow_mut().remove(&self.waiter).is_some() {
+            self.dispatcher.ledger.borrow_mut().left(self.entry, self.waiter);
         }
     }
 }
 
 impl Dispatcher {
-    /// One before this driver; it counts what it is asked.
+    /// Creates a dispatcher in front of `driver`. Requests are counted in `counting`.
     pub fn new(
         driver: Rc<Driver>,
         counting: Rc<Counting>,
@@ -80,108 +83,117 @@
             driver,
             counting,
             ledger: RefCell::new(Ledger::new(bounds, seed)?),
-            waiting: RefCell::default(),
-            next: Cell::new(0),
-            inside: Cell::new(0),
-            left: Notify::new(),
+            waiters: RefCell::default(),
+            next_waiter: Cell::new(0),
+            in_flight: Cell::new(0),
+            idle: Notify::new(),
         }))
     }
 
-    /// The driver behind it.
+    /// Returns the driver that executes the requests.
     pub fn driver(&self) -> &Rc<Driver> {
         &self.driver
     }
 
-    /// The figures that it counts in.
+    /// Returns the metrics that requests are counted in.
     pub fn tally(&self) -> &Tally {
         self.counting.tally()
     }
 
-    /// Somebody is inside from now on.
+    /// Counts one more request as in flight.
     pub fn track(self: &Rc<Self>) -> InFlightGuard {
-        self.inside.set(self.inside.get() + 1);
+        self.in_flight.set(self.in_flight.get() + 1);
         InFlightGuard(Rc::clone(self))
     }
 
-    /// Waits until nobody is inside.
+    /// Waits until no request is in flight.
     pub async fn wait_until_idle(&self) {
         loop {
-            let left = self.left.notified();
-            if self.inside.get() == 0 {
+            let idle = self.idle.notified();
+            if self.in_flight.get() == 0 {
                 return;
             }
-            left.await;
+            idle.await;
         }
     }
 
-    /// The final answer to a request. When this is dropped before, the client has gone: what is out is called back,
-    /// but for what has an identity, which goes on, so that whoever asks again has its answer.
-    pub async fn dispatch(self: &Rc<Self>, asked: RequestContext, identity: Option<Identity>) -> Told {
-        let owed = self.counting.taken(asked.class, asked.tenant);
-        let (mut answer, trace) = self.answer(asked, identity).await;
-        owed.answered(&mut answer);
+    /// Returns the final answer to a request. Dropping the future means that the client has closed: in-flight
+    /// attempts are cancelled, except for a request with an identity, which continues so that a repeat gets
+    /// its answer.
+    pub async fn dispatch(
+        self: &Rc<Self>,
+        request: RequestContext,
+        identity: Option<Identity>,
+    ) -> TracedAnswer {
+        let accounting = self.counting.taken(request.class, request.tenant);
+        let (mut answer, trace) = self.resolve(request, identity).await;
+        accounting.answered(&mut answer);
         (answer, trace)
     }
 
-    async fn answer(self: &Rc<Self>, asked: RequestContext, identity: Option<Identity>) -> Told {
-        let Some(identity) = identity else { return self.driver.submit(asked).answer().await };
-        let (waiter, deadline) = (self.next.replace(self.next.get() + 1), asked.deadline);
+    async fn resolve(self: &Rc<Self>, request: RequestContext, identity: Option<Identity>) -> TracedAnswer {
+        let Some(identity) = identity else { return self.driver.submit(request).answer().await };
+        let (waiter, deadline) = (self.next_waiter.replace(self.next_waiter.get() + 1), request.deadline);
         let opened = self.ledger.borrow_mut().open(self.driver.now(), &identity, waiter);
         let entry = match opened {
             Opened::First(entry) => {
-                let (desk, inside) = (Rc::clone(self), self.track());
+                let (dispatcher, in_flight) = (Rc::clone(self), self.track());
                 spawn_local(async move {
-                    let (answer, trace) = desk.driver.submit(asked).answer().await;
-                    desk.finish(entry, answer, trace);
-                    drop(inside);
+                    let (answer, trace) = dispatcher.driver.submit(request).answer().await;
+                    dispatcher.finish(entry, answer, trace);
+                    drop(in_flight);
                 });
                 entry
             }
             Opened::Joined(entry) => entry,
-            Opened::Ended(ending) => return told(&ending),
-            Opened::Crowded | Opened::Full => return (Answer::Rejected(Some(COME_BACK)), Trace::default()),
+            Opened::Ended(result) => return stored_answer(&result),
+            Opened::Crowded | Opened::Full => {
+                return (Answer::Rejected(Some(LEDGER_FULL_RETRY_AFTER)), Trace::default());
+            }
         };
-        self.wait(entry, waiter, deadline).await
+        self.await_entry(entry, waiter, deadline).await
     }
 
-    async fn wait(self: &Rc<Self>, entry: EntryId, waiter: Waiter, deadline: Instant) -> Told {
-        const FAILED: Told = (Answer::Failed, Trace { attempts: 0, upstream: None });
-        let (reply, answer) = oneshot::channel();
-        self.waiting.borrow_mut().insert(waiter, reply);
-        let _waits = Waits { desk: Rc::clone(self), entry, waiter };
+    async fn await_entry(self: &Rc<Self>, entry: EntryId, waiter: Waiter, deadline: Instant) -> TracedAnswer {
+        const UNANSWERED: TracedAnswer = (Answer::Failed, Trace { attempts: 0, upstream: None });
+        let (sender, answer) = oneshot::channel();
+        self.waiters.borrow_mut().insert(waiter, sender);
+        let _guard = WaiterGuard { dispatcher: Rc::clone(self), entry, waiter };
         tokio::select! {
             biased;
-            answer = answer => answer.unwrap_or(FAILED),
-            // The first may wait longer than this one does. It may have run.
-            () = sleep_until(deadline + Duration::from_millis(50)) => FAILED,
+            answer = answer => answer.unwrap_or(UNANSWERED),
+            // The first caller may have a later deadline than this one, so the request may have run.
+            () = sleep_until(deadline + Duration::from_millis(50)) => UNANSWERED,
         }
     }
 
     fn finish(&self, entry: EntryId, answer: Answer, trace: Trace) {
-        let (ending, length) = match &answer {
-            Answer::Served(served) => match (served.copy(), served.length()) {
-                (Some(served), Some(length)) => (Ending::Served(Rc::new(Kept { served, trace })), length),
+        let (result, size) = match &answer {
+            Answer::Served(response) => match (response.buffered_copy(), response.buffered_size()) {
+                (Some(response), Some(size)) => {
+                    (Ending::Served(Rc::new(StoredResponse { response, trace })), size)
+                }
                 _ => (Ending::ServedNotKept, 0),
             },
             Answer::Rejected(_) => (Ending::Refused, 0),
             Answer::Failed => (Ending::Failed, 0),
         };
-        // Whoever waits has it, also where it is too long to be kept.
-        let others = ending.clone();
-        let waiters = self.ledger.borrow_mut().ended(self.driver.now(), entry, ending, length);
+        // Waiters get the response even if it is too long for the ledger to store.
+        let shared = result.clone();
+        let waiters = self.ledger.borrow_mut().ended(self.driver.now(), entry, result, size);
         let mut answer = Some((answer, trace));
         for waiter in waiters {
-            let Some(reply) = self.waiting.borrow_mut().remove(&waiter) else { continue };
-            let _ = reply.send(answer.take().unwrap_or_else(|| told(&others)));
+            let Some(sender) = self.waiters.borrow_mut().remove(&waiter) else { continue };
+            let _ = sender.send(answer.take().unwrap_or_else(|| stored_answer(&shared)));
         }
     }
 }
 
-/// What one is told who asks again for what has ended.
-fn told(ending: &Ending<Rc<Kept>>) -> Told {
-    match ending {
-        Ending::Served(kept) => kept.told(),
+/// Returns the answer for a repeat of a finished request.
+fn stored_answer(result: &Ending<Rc<StoredResponse>>) -> TracedAnswer {
+    match result {
+        Ending::Served(stored) => stored.to_answer(),
         Ending::ServedNotKept | Ending::Failed => (Answer::Failed, Trace::default()),
-        Ending::Refused => (Answer::Rejected(Some(COME_BACK)), Trace::default()),
+        Ending::Refused => (Answer::Rejected(Some(LEDGER_FULL_RETRY_AFTER)), Trace::default()),
     }
 }
