--- a/crates/engine/src/parts/driver.rs
+++ b/crates/engine/src/parts/driver.rs
@@ -1,19 +1,19 @@
-//! The embedder of the decision module: sole owner of the `Balancer`. It turns what happens into events and
-//! carries out the actions, in order. It decides nothing.
+//! Driver of the decision module and sole owner of the `Balancer`. It translates I/O into events and performs
+//! the actions of the module in order. It makes no decisions itself.
 //!
-//! Everything that happens is put in a queue and played from there, one event at a time, so that the module
-//! is never entered twice; tasks only ever add to the queue.
+//! Events go through a queue and are applied one at a time, so that the module is never reentered; tasks only
+//! append to the queue.
 
+mod actions;
 mod clock;
-mod deeds;
-mod held;
+mod in_flight;
+mod localities;
 mod pending;
-mod places;
 
 use clock::Clock;
-use held::Held;
+use in_flight::InFlightRequest;
+pub use localities::{ConnectStats, Observations};
 pub use pending::PendingAnswer;
-pub use places::{ConnectStats, Observations};
 
 use crate::label::Label;
 use crate::parts::answer::{ResponseBody, UpstreamResponse};
@@ -34,95 +34,95 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep};
 
-/// The final answer to a request.
+/// Final answer to a request.
 #[derive(Debug)]
 pub enum Answer {
-    /// An upstream's.
+    /// An upstream's response.
     Served(UpstreamResponse),
-    /// Trying again is harmless, after some time if one is given.
+    /// The request did not run. It can be retried, after the given delay if there is one.
     Rejected(Option<Duration>),
-    /// Nothing is promised.
+    /// The request may have run.
     Failed,
 }
 
-/// How an answer came about.
+/// How an answer was obtained.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Trace {
-    /// Attempts that were begun.
+    /// Number of attempts that were started.
     pub attempts: u8,
-    /// Who served it.
+    /// Upstream that provided the response.
     pub upstream: Option<UpstreamId>,
 }
 
-/// A request for the module to decide on.
+/// Request with everything the decision module needs.
 pub struct RequestContext {
-    /// Its class.
+    /// Class that sets the deadline and the retry rules.
     pub class: ClassId,
-    /// Its tenant.
+    /// Tenant that the request is charged to.
     pub tenant: TenantId,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Instant,
-    /// Expected work in milliseconds, where the client says so.
+    /// Expected work in milliseconds, if the client announced it.
     pub work_ms: Option<f64>,
-    /// The client says that it has tried this before.
+    /// True if the client marked the request as a retry.
     pub repeat: bool,
-    /// What is passed on.
+    /// Request to forward to an upstream.
     pub outgoing: OutboundRequest,
-    /// What its client calls it, for the log.
+    /// Request label of the client, for the log.
     pub label: Label,
-    /// Its client, where no attempt may begin once that has gone.
+    /// Connection state of the client, if no attempt may start after the client has closed.
     pub presence: Option<Presence>,
 }
 
-enum Happening {
-    Fleet(EndpointUpdate),
-    /// The source of the list is elsewhere.
+enum DriverEvent {
+    EndpointsUpdated(EndpointUpdate),
+    /// The address of the endpoint source has changed.
     DiscoveryMoved,
-    Asked(RequestId),
+    RequestReceived(RequestId),
     AttemptEnded(RequestId, AttemptNo, AttemptResult),
-    /// The body of this attempt has begun to stream.
-    Uploads(RequestId, AttemptNo),
-    /// The answer that streams has ended.
+    /// The body of this attempt has started to stream.
+    UploadStarted(RequestId, AttemptNo),
+    /// A streamed response has result.
     StreamEnded(RequestId, AttemptNo, Outcome),
     ProbeEnded(UpstreamId, Duration, AttemptResult),
-    Gone(RequestId),
+    ClientGone(RequestId),
     Timer(TimerId),
-    Retuned(Box<Settings>, Vec<TenantId>),
-    Shared(Option<Box<TrafficSplit>>),
-    Inherited(Box<LearnedState>),
+    SettingsChanged(Box<Settings>, Vec<TenantId>),
+    TrafficSplitChanged(Option<Box<TrafficSplit>>),
+    LearnedStateRestored(Box<LearnedState>),
 }
 
 struct Core {
     balancer: Balancer,
-    requests: FxHashMap<RequestId, Held>,
+    requests: FxHashMap<RequestId, InFlightRequest>,
     actions: Vec<Action>,
     next_id: u32,
 }
 
-/// How often the list is counted for the figures.
-const COUNT_EVERY: Duration = Duration::from_millis(200);
+/// Interval for updating the gauges of the endpoint list.
+const GAUGE_UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The driver of one `Balancer`.
+/// Driver of one `Balancer`.
 pub struct Driver {
     clock: Clock,
     core: RefCell<Core>,
-    queue: RefCell<VecDeque<Happening>>,
-    playing: Cell<bool>,
+    queue: RefCell<VecDeque<DriverEvent>>,
+    is_applying: Cell<bool>,
     upstreams: Rc<Upstreams>,
     source: Rc<dyn Source>,
-    watching: RefCell<Option<AbortHandle>>,
-    /// The list is pushed: a watch that ends is begun again here.
-    follows: Cell<bool>,
-    /// Whether a list is known.
-    knows: watch::Sender<bool>,
-    /// Whole lists that the module has been told.
-    lists: watch::Sender<u64>,
-    /// Set when what is held has to end.
-    cut_off: watch::Sender<bool>,
+    watch_task: RefCell<Option<AbortHandle>>,
+    /// True if the list is pushed by a local agent; a watch that ends is then restarted by the driver.
+    is_list_pushed: Cell<bool>,
+    /// True once a list is known.
+    has_list: watch::Sender<bool>,
+    /// Number of full lists that the decision module has received.
+    full_lists: watch::Sender<u64>,
+    /// True once all attempts must end.
+    abort: watch::Sender<bool>,
 }
 
 impl Driver {
-    /// A driver with the list of upstreams known before the start.
+    /// Creates a driver that starts with the endpoint list known in advance.
     pub fn start(
         balancer: Balancer,
         upstreams: Rc<Upstreams>,
@@ -134,139 +134,141 @@
             clock: Clock::start(),
             core: RefCell::new(core),
             queue: RefCell::default(),
-            playing: Cell::new(false),
+            is_applying: Cell::new(false),
             upstreams,
             source,
-            watching: RefCell::default(),
-            follows: Cell::new(false),
-            knows: watch::Sender::new(false),
-            lists: watch::Sender::new(0),
-            cut_off: watch::Sender::new(false),
+            watch_task: RefCell::default(),
+            is_list_pushed: Cell::new(false),
+            has_list: watch::Sender::new(false),
+            full_lists: watch::Sender::new(0),
+            abort: watch::Sender::new(false),
         });
-        let counter = Rc::clone(&driver);
+        let gauges = Rc::clone(&driver);
         spawn_local(async move {
             loop {
-                counter.count_listed();
-                sleep(COUNT_EVERY).await;
+                gauges.update_list_gauges();
+                sleep(GAUGE_UPDATE_INTERVAL).await;
             }
         });
         let sweeper = Rc::clone(&driver);
-        spawn_local(async move { sweeper.upstreams.sweep().await });
-        driver.happened(Happening::Fleet(known));
+        spawn_local(async move { sweeper.upstreams.run_idle_sweep().await });
+        driver.handle_event(DriverEvent::EndpointsUpdated(known));
         driver
     }
 
-    /// Tells the figures of the list as the module sees it.
-    fn count_listed(&self) {
+    /// Updates the list gauges from the decision module.
+    fn update_list_gauges(&self) {
         let UpstreamCounts { listed, avoided } = self.core.borrow().balancer.upstream_counts();
-        let figure = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
-        self.upstreams.tally.cluster_size.set(figure(listed));
-        self.upstreams.tally.cluster_unhealthy.set(figure(avoided));
+        let gauge_value = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
+        self.upstreams.tally.cluster_size.set(gauge_value(listed));
+        self.upstreams.tally.cluster_unhealthy.set(gauge_value(avoided));
     }
 
-    /// Hands a request to the module. Its final answer comes from what is returned; when that is dropped
-    /// before, the client has gone.
-    pub fn submit(self: &Rc<Self>, asked: RequestContext) -> PendingAnswer {
+    /// Submits a request to the decision module. The result yields the final answer; dropping it earlier
+    /// means that the client has closed.
+    pub fn submit(self: &Rc<Self>, context: RequestContext) -> PendingAnswer {
         let (reply, answer) = oneshot::channel();
         let id = {
             let core = &mut *self.core.borrow_mut();
-            // Ids are not reused while one may be in use: they go round only after 2^32 requests.
+            // Ids wrap around after 2^32 requests, so an id in use is not assigned again.
             let id = RequestId(core.next_id);
             core.next_id = core.next_id.wrapping_add(1);
-            tracing::debug!(id = id.0, label = %asked.label, class = asked.class.0, "taken");
-            let window = self.upstreams.window(asked.class);
-            let held = Held::new(asked, reply, window);
-            core.requests.insert(id, held);
+            tracing::debug!(id = id.0, label = %context.label, class = context.class.0, "request accepted");
+            let dedup_window = self.upstreams.dedup_window(context.class);
+            let request = InFlightRequest::new(context, reply, dedup_window);
+            core.requests.insert(id, request);
             id
         };
-        self.happened(Happening::Asked(id));
+        self.handle_event(DriverEvent::RequestReceived(id));
         PendingAnswer::new(Rc::clone(self), id, answer)
     }
 
-    /// The settings have changed; see [`Event::SettingsChanged`].
-    pub fn update_settings(self: &Rc<Self>, settings: Settings, gone: Vec<TenantId>) {
-        self.happened(Happening::Retuned(Box::new(settings), gone));
+    /// Applies new settings; see [`Event::SettingsChanged`].
+    pub fn update_settings(self: &Rc<Self>, settings: Settings, removed_tenants: Vec<TenantId>) {
+        self.handle_event(DriverEvent::SettingsChanged(Box::new(settings), removed_tenants));
     }
 
-    /// What the process before this one had learned.
-    pub fn restore_learned_state(self: &Rc<Self>, heritage: LearnedState) {
-        self.happened(Happening::Inherited(Box::new(heritage)));
+    /// Restores the learned state of the previous process.
+    pub fn restore_learned_state(self: &Rc<Self>, learned: LearnedState) {
+        self.handle_event(DriverEvent::LearnedStateRestored(Box::new(learned)));
     }
 
-    /// What the next process may know of this one.
+    /// Returns the learned state for the next process.
     pub fn learned_state(&self) -> LearnedState {
         self.core.borrow().balancer.learned_state()
     }
 
-    /// Waits until a list is known, were it an empty one.
+    /// Waits until a list is known, even if it is empty.
     pub async fn wait_for_list(&self) {
-        let _ = self.knows.subscribe().wait_for(|knows| *knows).await;
+        let _ = self.has_list.subscribe().wait_for(|has_list| *has_list).await;
     }
 
-    /// Counts the whole lists that the module has been told: whoever changes the list sees here when that acts.
+    /// Returns a receiver for the number of full lists that reached the decision module. It shows when a
+    /// changed list takes effect.
     pub fn full_list_count(&self) -> watch::Receiver<u64> {
-        self.lists.subscribe()
+        self.full_lists.subscribe()
     }
 
-    /// The time on the module's clock.
+    /// Returns the time on the decision module's clock.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Ends all attempts that are out, and each that may follow, so that the module gives what it holds its
-    /// final answer: the process is about to end.
+    /// Ends all attempts, in flight and future, so that the module gives every open request its final answer
+    /// before the process ends.
     pub fn abort_attempts(&self) {
-        self.cut_off.send_replace(true);
+        self.abort.send_replace(true);
     }
 
-    /// Takes in what has happened and does what follows from it.
-    fn happened(self: &Rc<Self>, happening: Happening) {
-        self.queue.borrow_mut().push_back(happening);
-        if self.playing.replace(true) {
+    /// Queues an event and, unless a caller up the stack is doing so, applies all queued events.
+    fn handle_event(self: &Rc<Self>, event: DriverEvent) {
+        self.queue.borrow_mut().push_back(event);
+        if self.is_applying.replace(true) {
             return;
         }
         loop {
             let next = self.queue.borrow_mut().pop_front();
             let Some(next) = next else { break };
-            self.play(&mut self.core.borrow_mut(), next);
+            self.apply_event(&mut self.core.borrow_mut(), next);
         }
-        self.playing.set(false);
+        self.is_applying.set(false);
     }
 
-    /// Plays one event into the module and carries out its actions.
-    fn play(self: &Rc<Self>, core: &mut Core, happening: Happening) {
+    /// Applies one event to the decision module and performs the resulting actions.
+    fn apply_event(self: &Rc<Self>, core: &mut Core, event: DriverEvent) {
         let now = self.clock.now();
         let mut actions = std::mem::take(&mut core.actions);
-        match happening {
-            Happening::Fleet(news) => {
-                let listed = self.fleet(&news);
-                if !listed.is_empty() || matches!(news.scope, UpdateScope::Full | UpdateScope::Changes) {
-                    self.knows.send_replace(true);
+        match event {
+            DriverEvent::EndpointsUpdated(update) => {
+                let listed = self.apply_endpoint_update(&update);
+                if !listed.is_empty() || matches!(update.scope, UpdateScope::Full | UpdateScope::Changes) {
+                    self.has_list.send_replace(true);
                 }
-                let event = Event::EndpointUpdate { scope: news.scope, endpoints: &listed };
+                let event = Event::EndpointUpdate { scope: update.scope, endpoints: &listed };
                 core.balancer.handle(now, event, &mut actions);
-                if news.scope == UpdateScope::Full {
-                    self.lists.send_modify(|lists| *lists += 1);
+                if update.scope == UpdateScope::Full {
+                    self.full_lists.send_modify(|count| *count += 1);
                 }
             }
-            Happening::DiscoveryMoved => core.balancer.handle(now, Event::DiscoveryMoved, &mut actions),
-            Happening::Asked(id) => {
-                let Some(held) = core.requests.get(&id) else { return };
-                let asked = &held.asked;
+            DriverEvent::DiscoveryMoved => core.balancer.handle(now, Event::DiscoveryMoved, &mut actions),
+            DriverEvent::RequestReceived(id) => {
+                let Some(request) = core.requests.get(&id) else { return };
+                let context = &request.context;
                 let event = Event::Request {
                     id,
-                    class: asked.class,
-                    tenant: asked.tenant,
-                    time_left: asked.deadline.saturating_duration_since(Instant::now()),
-                    work_ms: asked.work_ms,
-                    is_repeat: asked.repeat,
+                    class: context.class,
+                    tenant: context.tenant,
+                    time_left: context.deadline.saturating_duration_since(Instant::now()),
+                    work_ms: context.work_ms,
+                    is_repeat: context.repeat,
                 };
                 core.balancer.handle(now, event, &mut actions);
             }
-            Happening::AttemptEnded(id, no, ended) => {
-                let Some(held) = core.requests.get_mut(&id) else { return };
-                // One event for each: a cancelled attempt may have ended by itself just before.
-                let Some(attempt) = held.attempts.get_mut(usize::from(no.0)).filter(|a| a.out) else {
+            DriverEvent::AttemptEnded(id, no, result) => {
+                let Some(request) = core.requests.get_mut(&id) else { return };
+                // Each attempt reports one event: a cancelled attempt may already have result on its own.
+                let Some(attempt) = request.attempts.get_mut(usize::from(no.0)).filter(|a| a.in_flight)
+                else {
                     return;
                 };
                 let (upstream, latency) = (attempt.upstream, attempt.sent.elapsed());
@@ -275,10 +277,10 @@
                     no = no.0,
                     upstream = upstream.0,
                     ?latency,
-                    outcome = ended.outcome.name(),
+                    outcome = result.outcome.name(),
                     "attempt ended"
                 );
-                match ended.outcome {
+                match result.outcome {
                     Outcome::Ok | Outcome::Error | Outcome::Rejected | Outcome::Overloaded => {
                         self.source.record_reachability(upstream, Reachability::Answered);
                     }
@@ -287,50 +289,55 @@
                     }
                     _ => {}
                 }
-                let streams =
-                    matches!(&ended.response, Some(UpstreamResponse { body: ResponseBody::Stream(_), .. }));
-                if streams && held.reply.is_some() {
-                    let latency = (!std::mem::replace(&mut attempt.streams, true)).then_some(latency);
-                    self.pass_on(held, id, no, upstream, ended.response);
+                let is_streaming =
+                    matches!(&result.response, Some(UpstreamResponse { body: ResponseBody::Stream(_), .. }));
+                if is_streaming && request.reply.is_some() {
+                    let latency = (!std::mem::replace(&mut attempt.is_streaming, true)).then_some(latency);
+                    self.deliver_response(request, id, no, upstream, result.response);
                     let event = Event::StreamStarted { id, attempt: no, latency };
                     core.balancer.handle(now, event, &mut actions);
-                    self.forget_if_over(core, id);
-                    self.carry_out_all(core, actions);
+                    self.remove_if_finished(core, id);
+                    self.perform_all(core, actions);
                     return;
                 }
-                attempt.end(ended.outcome);
-                self.upstreams.tally.attempts_ended.count(ended.outcome.name());
-                // A second copy's answer comes to a request that is over: it is dropped.
-                if held.reply.is_some() {
-                    self.pass_on(held, id, no, upstream, ended.response);
-                    held.words = ended.words.map(|words| (words, upstream)).or(held.words.take());
+                attempt.end(result.outcome);
+                self.upstreams.tally.attempts_ended.count(result.outcome.name());
+                // The response of a losing hedge is dropped, since the request is already answered.
+                if request.reply.is_some() {
+                    self.deliver_response(request, id, no, upstream, result.response);
+                    request.last_error = result
+                        .error_response
+                        .map(|response| (response, upstream))
+                        .or(request.last_error.take());
                 }
-                let finished = held.reply.is_none();
+                let is_answered = request.reply.is_none();
                 let event = Event::AttemptEnded {
                     id,
                     attempt: no,
                     upstream,
-                    outcome: ended.outcome,
+                    outcome: result.outcome,
                     latency,
-                    is_finished: finished,
-                    report: &ended.report,
+                    is_finished: is_answered,
+                    report: &result.load_report,
                 };
                 core.balancer.handle(now, event, &mut actions);
-                self.forget_if_over(core, id);
+                self.remove_if_finished(core, id);
             }
-            Happening::Uploads(id, no) => {
-                let Some(held) = core.requests.get_mut(&id) else { return };
-                let Some(attempt) = held.attempts.get_mut(usize::from(no.0)).filter(|a| a.out) else {
+            DriverEvent::UploadStarted(id, no) => {
+                let Some(request) = core.requests.get_mut(&id) else { return };
+                let Some(attempt) = request.attempts.get_mut(usize::from(no.0)).filter(|a| a.in_flight)
+                else {
                     return;
                 };
-                if !std::mem::replace(&mut attempt.streams, true) {
+                if !std::mem::replace(&mut attempt.is_streaming, true) {
                     let event = Event::StreamStarted { id, attempt: no, latency: None };
                     core.balancer.handle(now, event, &mut actions);
                 }
             }
-            Happening::StreamEnded(id, no, outcome) => {
-                let Some(held) = core.requests.get_mut(&id) else { return };
-                let Some(attempt) = held.attempts.get_mut(usize::from(no.0)).filter(|a| a.out) else {
+            DriverEvent::StreamEnded(id, no, outcome) => {
+                let Some(request) = core.requests.get_mut(&id) else { return };
+                let Some(attempt) = request.attempts.get_mut(usize::from(no.0)).filter(|a| a.in_flight)
+                else {
                     return;
                 };
                 attempt.end(outcome);
@@ -346,35 +353,39 @@
                     report: &[],
                 };
                 core.balancer.handle(now, event, &mut actions);
-                self.forget_if_over(core, id);
+                self.remove_if_finished(core, id);
             }
-            Happening::ProbeEnded(upstream, latency, ended) => {
-                let event =
-                    Event::ProbeEnded { upstream, outcome: ended.outcome, latency, report: &ended.report };
+            DriverEvent::ProbeEnded(upstream, latency, result) => {
+                let event = Event::ProbeEnded {
+                    upstream,
+                    outcome: result.outcome,
+                    latency,
+                    report: &result.load_report,
+                };
                 core.balancer.handle(now, event, &mut actions);
             }
-            Happening::Gone(id) => {
-                let Some(held) = core.requests.get_mut(&id) else { return };
-                if held.reply.take().is_some() {
-                    tracing::debug!(id = id.0, "left by its client");
+            DriverEvent::ClientGone(id) => {
+                let Some(request) = core.requests.get_mut(&id) else { return };
+                if request.reply.take().is_some() {
+                    tracing::debug!(id = id.0, "client closed its connection");
                     core.balancer.handle(now, Event::RequestCancelled { id }, &mut actions);
                 }
-                self.forget_if_over(core, id);
+                self.remove_if_finished(core, id);
             }
-            Happening::Inherited(heritage) => {
-                core.balancer.handle(now, Event::LearnedStateRestored { learned: &heritage }, &mut actions);
+            DriverEvent::LearnedStateRestored(learned) => {
+                core.balancer.handle(now, Event::LearnedStateRestored { learned: &learned }, &mut actions);
             }
-            Happening::Retuned(settings, gone) => {
-                self.upstreams.retune(&settings);
-                let event = Event::SettingsChanged { settings: &settings, removed_tenants: &gone };
+            DriverEvent::SettingsChanged(settings, removed_tenants) => {
+                self.upstreams.update_settings(&settings);
+                let event = Event::SettingsChanged { settings: &settings, removed_tenants: &removed_tenants };
                 core.balancer.handle(now, event, &mut actions);
             }
-            Happening::Shared(shares) => {
-                let event = Event::TrafficSplit { split: shares.as_deref() };
+            DriverEvent::TrafficSplitChanged(split) => {
+                let event = Event::TrafficSplit { split: split.as_deref() };
                 core.balancer.handle(now, event, &mut actions);
             }
-            Happening::Timer(timer) => core.balancer.handle(now, Event::Timer { timer }, &mut actions),
+            DriverEvent::Timer(timer) => core.balancer.handle(now, Event::Timer { timer }, &mut actions),
         }
-        self.carry_out_all(core, actions);
+        self.perform_all(core, actions);
     }
 }
--- a/crates/engine/src/parts/driver/clock.rs
+++ b/crates/engine/src/parts/driver/clock.rs
@@ -1,33 +1,34 @@
-//! The decision module's clock.
+//! Clock of the decision module.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// How far the module's clock has gone at the start: upstreams may have started before this balancer.
-const BEFORE_START: Duration = Duration::from_secs(3600);
+/// Time on the clock at the start of the process: upstreams may have started before the balancer.
+const START_TIME: Duration = Duration::from_secs(3600);
 
-/// The module's clock: it only goes forward, from an hour before the start.
+/// Monotonic clock that starts at one hour.
 pub(super) struct Clock {
-    start: Instant,
-    /// Unix time of the start.
+    started_at: Instant,
+    /// Unix time at which the clock was started.
     start_unix: Duration,
 }
 
 impl Clock {
-    /// One that starts now.
+    /// Starts the clock.
     pub(super) fn start() -> Self {
         let start_unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { start: Instant::now(), start_unix }
+        Self { started_at: Instant::now(), start_unix }
     }
 
     pub(super) fn now(&self) -> Duration {
-        BEFORE_START + self.start.elapsed()
+        START_TIME + self.started_at.elapsed()
     }
 
-    /// A Unix time on this clock; the same one always comes out the same. `None`: long ago.
-    pub(super) fn at_unix_ms(&self, ms: u64) -> Option<Duration> {
-        let at = (Duration::from_millis(ms) + BEFORE_START).checked_sub(self.start_unix)?;
-        // Not in the future, should clocks differ.
+    /// Converts a Unix time in milliseconds; equal inputs give equal results. Returns `None` for times before
+    /// the clock's zero.
+    pub(super) fn convert_unix_ms(&self, ms: u64) -> Option<Duration> {
+        let at = (Duration::from_millis(ms) + START_TIME).checked_sub(self.start_unix)?;
+        // Clock skew must not produce a time in the future.
         (!at.is_zero()).then(|| at.min(self.now()))
     }
 }
--- /dev/null
+++ b/crates/engine/src/parts/driver/in_flight.rs
@@ -0,0 +1,92 @@
+//! Request in flight, with its attempts.
+
+use super::{Answer, RequestContext, Trace};
+use crate::parts::answer::UpstreamResponse;
+use crate::parts::attempt_limits::AttemptLimits;
+use maplehook_core::{Outcome, UpstreamId};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::task::AbortHandle;
+use tokio::time::Instant;
+
+/// Margin before the end of a key's window by which a retry must be written. It covers the path to the
+/// upstream and the queueing there.
+const DELIVERY_MARGIN: Duration = Duration::from_millis(50);
+
+/// One attempt of a request.
+pub(super) struct Attempt {
+    pub(super) upstream: UpstreamId,
+    pub(super) sent: Instant,
+    pub(super) limits: AttemptLimits,
+    pub(super) task: AbortHandle,
+    /// True until the end of the attempt was reported to the decision module.
+    pub(super) in_flight: bool,
+    /// True once the decision module knows that the attempt streams.
+    pub(super) is_streaming: bool,
+    /// True if the attempt ended and is proved not to have run.
+    never_ran: bool,
+}
+
+impl Attempt {
+    /// Creates an attempt that starts now.
+    pub(super) fn new(upstream: UpstreamId, sent: Instant, limits: AttemptLimits, task: AbortHandle) -> Self {
+        Self { upstream, sent, limits, task, in_flight: true, is_streaming: false, never_ran: false }
+    }
+
+    /// Records the outcome of the attempt.
+    pub(super) fn end(&mut self, outcome: Outcome) {
+        self.in_flight = false;
+        self.never_ran = outcome.never_ran();
+    }
+}
+
+/// Request that awaits its final answer or the end of its attempts.
+pub(super) struct InFlightRequest {
+    pub(super) context: Rc<RequestContext>,
+    /// Removed when the final answer is sent.
+    pub(super) reply: Option<oneshot::Sender<(Answer, Trace)>>,
+    pub(super) attempts: Vec<Attempt>,
+    /// Last error response of an upstream, and that upstream.
+    pub(super) last_error: Option<(UpstreamResponse, UpstreamId)>,
+    /// Deduplication window of the request's key on arrival; `None` without a key.
+    dedup_window: Option<Duration>,
+}
+
+impl InFlightRequest {
+    /// Creates the state of a request that has just arrived.
+    pub(super) fn new(
+        context: RequestContext,
+        reply: oneshot::Sender<(Answer, Trace)>,
+        dedup_window: Option<Duration>,
+    ) -> Self {
+        Self {
+            context: Rc::new(context),
+            reply: Some(reply),
+            attempts: Vec::new(),
+            last_error: None,
+            dedup_window,
+        }
+    }
+
+    /// Returns the limits of an attempt that is sent now. A retry of a keyed request respects the window that
+    /// applied on arrival, and `dedup_window`, the one that applies now.
+    pub(super) fn attempt_limits(&self, answer_by: Instant, dedup_window: Option<Duration>) -> AttemptLimits {
+        let presence = self.context.presence.clone();
+        if self.attempts.is_empty() {
+            return AttemptLimits::first(answer_by).with_presence(presence);
+        }
+        let earliest = self.attempts.iter().filter(|a| !a.never_ran).map(|a| a.sent).min();
+        let dedup_window = self.dedup_window.into_iter().chain(dedup_window).min();
+        let write_by = earliest
+            .zip(dedup_window)
+            .map(|(at, dedup_window)| at + dedup_window.saturating_sub(DELIVERY_MARGIN));
+        AttemptLimits::repeat(answer_by, write_by).with_presence(presence)
+    }
+
+    /// Returns the attempts that have written nothing, if the request already has its answer.
+    pub(super) fn unwritten_attempts(&self) -> impl Iterator<Item = (usize, &Attempt)> {
+        let attempts = self.attempts.iter().enumerate();
+        attempts.filter(|(_, a)| self.reply.is_none() && a.in_flight && !a.limits.has_started())
+    }
+}
--- a/crates/engine/src/parts/driver/pending.rs
+++ b/crates/engine/src/parts/driver/pending.rs
@@ -1,11 +1,11 @@
-//! A request between the module and whoever asked it.
+//! Handle to the final answer of a submitted request.
 
-use super::{Answer, Driver, Happening, Trace};
+use super::{Answer, Driver, DriverEvent, Trace};
 use maplehook_core::RequestId;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A request that is owed its final answer.
+/// Final answer that is not available yet. Dropping the handle abandons the request.
 pub struct PendingAnswer {
     driver: Rc<Driver>,
     id: RequestId,
@@ -13,25 +13,25 @@
 }
 
 impl PendingAnswer {
-    /// One whose answer comes by this.
+    /// Creates a handle that receives its answer from `answer`.
     pub(super) fn new(driver: Rc<Driver>, id: RequestId, answer: oneshot::Receiver<(Answer, Trace)>) -> Self {
         Self { driver, id, answer: Some(answer) }
     }
 
-    /// The final answer.
+    /// Waits for the final answer.
     pub async fn answer(mut self) -> (Answer, Trace) {
-        const LOST: (Answer, Trace) = (Answer::Failed, Trace { attempts: 0, upstream: None });
-        let Some(answer) = &mut self.answer else { return LOST };
+        const UNANSWERED: (Answer, Trace) = (Answer::Failed, Trace { attempts: 0, upstream: None });
+        let Some(answer) = &mut self.answer else { return UNANSWERED };
         let answer = answer.await;
         self.answer = None;
-        answer.unwrap_or(LOST)
+        answer.unwrap_or(UNANSWERED)
     }
 }
 
 impl Drop for PendingAnswer {
     fn drop(&mut self) {
         if self.answer.take().is_some() {
-            self.driver.happened(Happening::Gone(self.id));
+            self.driver.handle_event(DriverEvent::ClientGone(self.id));
         }
     }
 }
--- a/crates/engine/src/parts/mod.rs
+++ b/crates/engine/src/parts/mod.rs
@@ -1,15 +1,15 @@
-//! What a way in is made of, for those that do not go through [`Handle`](crate::Handle): the daemon, and sources of the
-//! list. Hosts need none of it.
+//! Building blocks of an engine, for programs that do not use [`Handle`](crate::Handle): the daemon, and
+//! sources of the endpoint list. Embedding programs do not need them.
 //!
-//! | part | what it does |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`dispatcher`] | takes requests in; the ledger stands here |
-//! | [`driver`] | the only owner of the decision module: events in, actions carried out |
-//! | [`upstream`], [`attempt`], [`connection`] | where upstreams are, one request at one of them, one connection |
-//! | [`attempt_limits`] | until when an attempt may be written and waited for |
-//! | [`body`], [`answer`], [`body_memory`] | bodies of requests and answers, and the memory that they share |
-//! | [`descriptors`] | who may hold how many, and what is done when none is left |
-//! | [`discovery`] | the platform's list |
+//! | [`dispatcher`] | accepts requests and owns the ledger |
+//! | [`driver`] | owns the decision module: applies events, performs actions |
+//! | [`upstream`], [`attempt`], [`connection`] | known upstreams, one request to one upstream, one connection |
+//! | [`attempt_limits`] | deadlines for writing an attempt and for its response |
+//! | [`body`], [`answer`], [`body_memory`] | request and response bodies, and the memory they share |
+//! | [`descriptors`] | descriptor limits, and the handling of a shortage |
+//! | [`discovery`] | client of the platform's endpoint list |
 
 pub mod answer;
 pub mod attempt;
--- a/crates/engine/src/parts/pool.rs
+++ b/crates/engine/src/parts/pool.rs
@@ -1,6 +1,6 @@
-//! Connections to upstreams: how many may be open, and which of them are idle.
+//! Connection pool: limits the open connections to upstreams and stores the idle ones.
 
-use crate::parts::connection::{Connection, Unasked};
+use crate::parts::connection::{Connection, UnsolicitedAt};
 use crate::parts::descriptors::Descriptors;
 use crate::parts::rate_limited_log::RateLimitedLog;
 use maplehook_admission::DescriptorClass;
@@ -13,277 +13,282 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How often idle connections are looked over.
-const SWEEP_EVERY: Duration = Duration::from_millis(100);
+/// Interval of the sweep over idle connections.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How many of them at one look.
-const SWEEP_MOST: usize = 512;
+/// Most connections that one sweep checks for a close by the upstream.
+const MAX_CHECKED_PER_SWEEP: usize = 512;
 
-/// How long a connection rests before its next request while upstreams are known to answer twice. What comes of a second answer
-/// while the connection is idle ends it; what comes once the next request is written would be taken for the answer to that.
-const REST: Duration = Duration::from_millis(20);
+/// Cooldown of a connection before its next request, while upstreams are known to send duplicate responses. A
+/// duplicate that arrives during the cooldown closes the connection; one that arrives after the next request
+/// was written would be taken for the response to that request.
+const DUPLICATE_COOLDOWN: Duration = Duration::from_millis(20);
 
-/// How long upstreams are known for that.
-const REST_KEPT: Duration = Duration::from_secs(60);
+/// Time for which the cooldown applies after unsolicited data.
+const COOLDOWN_DURATION: Duration = Duration::from_secs(60);
 
-/// Connections open to all upstreams together.
+/// Count of open connections to all upstreams.
 #[derive(Default)]
-struct Open {
+struct OpenConnections {
     count: Cell<usize>,
-    /// Attempts that wait for `freed`.
+    /// Number of attempts that wait for `freed`.
     waiting: Cell<usize>,
     freed: Notify,
 }
 
-impl Open {
-    /// Waits until a connection is closed or falls idle.
-    async fn changed(&self) {
-        let _waits = Waits::new(&self.waiting);
+impl OpenConnections {
+    /// Waits until a connection is closed or becomes idle.
+    async fn wait_for_change(&self) {
+        let _guard = WaiterGuard::new(&self.waiting);
         self.freed.notified().await;
     }
 
-    /// Tells one that waits, and nobody else: who waits next would close one more than is needed.
-    fn tell(&self) {
+    /// Wakes one waiter. A stored permit would make a later waiter close one connection too many, so nothing
+    /// is notified without a waiter.
+    fn notify_one(&self) {
         if self.waiting.get() > 0 {
             self.freed.notify_one();
         }
     }
 }
 
-/// One that waits, until it is dropped.
-struct Waits<'a>(&'a Cell<usize>);
+/// Counts one waiter until the guard is dropped.
+struct WaiterGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Waits<'a> {
+impl<'a> WaiterGuard<'a> {
     fn new(waiting: &'a Cell<usize>) -> Self {
         waiting.set(waiting.get() + 1);
         Self(waiting)
     }
 }
 
-impl Drop for Waits<'_> {
+impl Drop for WaiterGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// One of them, until its descriptor is closed.
-pub struct Slot(Rc<Open>);
+/// Permission for one open connection; released when its descriptor is closed.
+pub struct Slot(Rc<OpenConnections>);
 
 impl Drop for Slot {
     fn drop(&mut self) {
         self.0.count.set(self.0.count.get() - 1);
-        self.0.tell();
+        self.0.notify_one();
     }
 }
 
-/// What there is for an attempt.
-pub enum Found {
-    /// A connection that was idle.
+/// Resource for an attempt.
+pub enum Acquired {
+    /// A reusable connection.
     Idle(Connection),
-    /// Room for a new one.
+    /// Permission to open a new connection.
     Slot(Slot),
 }
 
-/// An idle connection.
-struct Kept {
+/// Idle connection and the time at which it became idle.
+struct IdleConnection {
     upstream: UpstreamId,
     connection: Connection,
     since: Instant,
 }
 
-/// Idle connections by the order in which they fell idle.
+/// Idle connections in the order in which they became idle.
 #[derive(Default)]
-struct Idle {
-    kept: BTreeMap<u64, Kept>,
-    /// The same by upstream; none is empty.
-    of: FxHashMap<UpstreamId, VecDeque<u64>>,
-    next: u64,
+struct IdleConnections {
+    by_age: BTreeMap<u64, IdleConnection>,
+    /// Sequence numbers of idle connections by upstream; no queue is empty.
+    by_upstream: FxHashMap<UpstreamId, VecDeque<u64>>,
+    next_sequence: u64,
 }
 
-impl Idle {
-    fn remove(&mut self, number: u64) -> Option<Kept> {
-        let kept = self.kept.remove(&number)?;
-        if let Some(of) = self.of.get_mut(&kept.upstream) {
-            // At one of the ends, but for one that its upstream has closed.
-            of.retain(|n| *n != number);
-            if of.is_empty() {
-                self.of.remove(&kept.upstream);
+impl IdleConnections {
+    fn remove(&mut self, sequence: u64) -> Option<IdleConnection> {
+        let entry = self.by_age.remove(&sequence)?;
+        if let Some(by_upstream) = self.by_upstream.get_mut(&entry.upstream) {
+            // Usually at one of the ends, except for a connection closed by its upstream.
+            by_upstream.retain(|n| *n != sequence);
+            if by_upstream.is_empty() {
+                self.by_upstream.remove(&entry.upstream);
             }
         }
-        Some(kept)
+        Some(entry)
     }
 }
 
-/// The connections to all upstreams.
+/// Connections to all upstreams.
 pub struct Pool {
-    idle: RefCell<Idle>,
-    open: Rc<Open>,
+    idle: RefCell<IdleConnections>,
+    open: Rc<OpenConnections>,
     descriptors: Rc<Descriptors>,
-    idle_most: Cell<Duration>,
-    /// When an upstream last spoke on an idle connection.
-    unasked: Unasked,
-    full: RateLimitedLog,
+    max_idle: Cell<Duration>,
+    /// Last time that data arrived on an idle connection.
+    last_unsolicited: UnsolicitedAt,
+    limit_warnings: RateLimitedLog,
 }
 
 impl Pool {
-    /// At most so many connections as there are descriptors for, each of use while it has not been idle for
-    /// `idle_most`.
-    pub fn new(descriptors: Rc<Descriptors>, idle_most: Duration) -> Self {
-        let full = RateLimitedLog::default();
+    /// Creates a pool bounded by the descriptor budget. A connection can be reused until it has been idle for
+    /// `max_idle`.
+    pub fn new(descriptors: Rc<Descriptors>, max_idle: Duration) -> Self {
+        let limit_warnings = RateLimitedLog::default();
         Self {
             idle: RefCell::default(),
             open: Rc::default(),
             descriptors,
-            idle_most: Cell::new(idle_most),
-            unasked: Unasked::default(),
-            full,
+            max_idle: Cell::new(max_idle),
+            last_unsolicited: UnsolicitedAt::default(),
+            limit_warnings,
         }
     }
 
-    /// From now on they are of use while they have not been idle for so long.
-    pub fn retune(&self, idle_most: Duration) {
-        self.idle_most.set(idle_most);
+    /// Sets how long a connection may be idle before it is no longer reused.
+    pub fn set_max_idle(&self, max_idle: Duration) {
+        self.max_idle.set(max_idle);
     }
 
-    /// Keeps a connection on which nothing is out.
-    pub fn put(&self, upstream: UpstreamId, connection: Connection) {
+    /// Stores a connection without a request in flight.
+    pub fn store_idle(&self, upstream: UpstreamId, connection: Connection) {
         if connection.is_closed() {
             return;
         }
-        connection.rest(&self.unasked);
+        connection.mark_idle(&self.last_unsolicited);
         let idle = &mut *self.idle.borrow_mut();
-        let number = idle.next;
-        idle.next += 1;
-        idle.kept.insert(number, Kept { upstream, connection, since: Instant::now() });
-        idle.of.entry(upstream).or_default().push_back(number);
-        // Whoever waits for room has it here, or the connection itself.
-        self.open.tell();
+        let sequence = idle.next_sequence;
+        idle.next_sequence += 1;
+        idle.by_age.insert(sequence, IdleConnection { upstream, connection, since: Instant::now() });
+        idle.by_upstream.entry(upstream).or_default().push_back(sequence);
+        // A waiter either takes this connection or closes it to open its own.
+        self.open.notify_one();
     }
 
-    /// How long connections rest now.
-    fn rest(&self) -> Duration {
-        let lately = self.unasked.get().is_some_and(|at| at.elapsed() < REST_KEPT);
-        if lately { REST } else { Duration::ZERO }
+    /// Returns the cooldown that currently applies.
+    fn cooldown(&self) -> Duration {
+        let is_recent = self.last_unsolicited.get().is_some_and(|at| at.elapsed() < COOLDOWN_DURATION);
+        if is_recent { DUPLICATE_COOLDOWN } else { Duration::ZERO }
     }
 
-    /// Of the connections to an upstream that have rested, the one that fell idle last, if any is still of use.
-    fn take_rested(&self, upstream: UpstreamId) -> Option<Connection> {
-        let rest = self.rest();
-        self.take(upstream, |idle, of| {
-            of.iter().rev().find(|number| idle[*number].since.elapsed() >= rest).copied()
+    /// Takes the connection to an upstream that became idle last, among those past the cooldown.
+    fn take_cooled_down(&self, upstream: UpstreamId) -> Option<Connection> {
+        let cooldown = self.cooldown();
+        self.take_usable(upstream, |idle, by_upstream| {
+            by_upstream.iter().rev().find(|sequence| idle[*sequence].since.elapsed() >= cooldown).copied()
         })
     }
 
-    /// The connection to an upstream that has rested longest, if any is of use.
+    /// Takes the connection to an upstream that has been idle longest.
     fn take_longest_idle(&self, upstream: UpstreamId) -> Option<Connection> {
-        self.take(upstream, |_, of| of.front().copied())
+        self.take_usable(upstream, |_, by_upstream| by_upstream.front().copied())
     }
 
-    /// The connection to an upstream that is chosen, again until one is of use.
-    fn take(
+    /// Takes connections by `choose` until one is usable; the unusable ones are closed.
+    fn take_usable(
         &self,
         upstream: UpstreamId,
-        choose: impl Fn(&BTreeMap<u64, Kept>, &VecDeque<u64>) -> Option<u64>,
+        choose: impl Fn(&BTreeMap<u64, IdleConnection>, &VecDeque<u64>) -> Option<u64>,
     ) -> Option<Connection> {
         let idle = &mut *self.idle.borrow_mut();
         loop {
-            let number = choose(&idle.kept, idle.of.get(&upstream)?)?;
-            let kept = idle.remove(number)?;
-            if kept.since.elapsed() < self.idle_most.get() && !kept.connection.is_closed() {
-                return Some(kept.connection);
+            let sequence = choose(&idle.by_age, idle.by_upstream.get(&upstream)?)?;
+            let entry = idle.remove(sequence)?;
+            if entry.since.elapsed() < self.max_idle.get() && !entry.connection.is_closed() {
+                return Some(entry.connection);
             }
         }
     }
 
     /// Closes the idle connections to an upstream.
-    pub fn close(&self, upstream: UpstreamId) {
+    pub fn close_idle(&self, upstream: UpstreamId) {
         let idle = &mut *self.idle.borrow_mut();
-        for number in idle.of.remove(&upstream).unwrap_or_default() {
-            idle.kept.remove(&number);
+        for sequence in idle.by_upstream.remove(&upstream).unwrap_or_default() {
+            idle.by_age.remove(&sequence);
         }
     }
 
-    /// Closes the one that has been idle longest, whoever is at its other end; `false` if none is idle.
+    /// Closes the connection that has been idle longest, of any upstream; returns false if none is idle.
     pub fn close_oldest(&self) -> bool {
         let idle = &mut *self.idle.borrow_mut();
-        let number = idle.kept.first_key_value().map(|(number, _)| *number);
-        number.and_then(|number| idle.remove(number)).is_some()
+        let sequence = idle.by_age.first_key_value().map(|(sequence, _)| *sequence);
+        sequence.and_then(|sequence| idle.remove(sequence)).is_some()
     }
 
-    /// An idle connection to an upstream, or else room for one more, made by closing an idle one to another if need be.
-    pub async fn found(&self, upstream: UpstreamId) -> Found {
+    /// Returns an idle connection to an upstream, or a slot for a new one. At the limit it closes an idle
+    /// connection to another upstream, or waits.
+    pub async fn acquire(&self, upstream: UpstreamId) -> Acquired {
         loop {
-            if let Some(connection) = self.take_rested(upstream) {
-                return Found::Idle(connection);
+            if let Some(connection) = self.take_cooled_down(upstream) {
+                return Acquired::Idle(connection);
             }
-            let most = self.descriptors.limit_of(DescriptorClass::Upstreams);
-            if self.open.count.get() < most {
+            let limit = self.descriptors.limit_of(DescriptorClass::Upstreams);
+            if self.open.count.get() < limit {
                 break;
             }
-            // Without room for another it can't rest.
+            // At the limit there is no alternative to a connection in its cooldown.
             if let Some(connection) = self.take_longest_idle(upstream) {
-                return Found::Idle(connection);
+                return Acquired::Idle(connection);
             }
             if !self.close_oldest() {
-                self.full.warn(|| format!("all {most} connections to upstreams are in use"));
+                self.limit_warnings.warn(|| format!("all {limit} connections to upstreams are in use"));
             }
-            self.open.changed().await;
+            self.open.wait_for_change().await;
         }
         self.open.count.set(self.open.count.get() + 1);
-        Found::Slot(Slot(Rc::clone(&self.open)))
+        Acquired::Slot(Slot(Rc::clone(&self.open)))
     }
 
-    /// There are fewer descriptors than there were: closes idle connections as far as that helps.
-    pub fn shrink(&self) {
-        let over =
+    /// Applies a changed descriptor limit: closes idle connections over the limit and wakes all waiters.
+    pub fn apply_limit(&self) {
+        let excess =
             self.open.count.get().saturating_sub(self.descriptors.limit_of(DescriptorClass::Upstreams));
-        for _ in 0..over {
+        for _ in 0..excess {
             if !self.close_oldest() {
                 break;
             }
         }
-        // More descriptors than there were are for all that wait.
+        // The limit may have risen, which can serve every waiter.
         self.open.freed.notify_waiters();
     }
 
-    /// Closes what has been idle for long, again and again, and what its upstream has closed, a part at each look: in
-    /// a large fleet there are thousands.
+    /// Closes connections that have been idle too long or were closed by the upstream; never returns. Each
+    /// sweep checks a part, since a large fleet has thousands of connections.
     pub async fn sweep(&self) {
         let mut next = 0;
         loop {
-            tokio::time::sleep(SWEEP_EVERY).await;
+            tokio::time::sleep(SWEEP_INTERVAL).await;
             let (now, idle) = (Instant::now(), &mut *self.idle.borrow_mut());
-            // In the order in which they fell idle.
-            let old = idle.kept.iter().take_while(|(_, kept)| now - kept.since >= self.idle_most.get());
-            let old: Vec<u64> = old.map(|(n, _)| *n).collect();
-            let looked: Vec<(u64, bool)> = idle
-                .kept
+            // Iterates in the order in which connections became idle.
+            let expired =
+                idle.by_age.iter().take_while(|(_, entry)| now - entry.since >= self.max_idle.get());
+            let expired: Vec<u64> = expired.map(|(n, _)| *n).collect();
+            let checked: Vec<(u64, bool)> = idle
+                .by_age
                 .range(next..)
-                .take(SWEEP_MOST)
-                .map(|(n, kept)| (*n, kept.connection.is_closed()))
+                .take(MAX_CHECKED_PER_SWEEP)
+                .map(|(n, entry)| (*n, entry.connection.is_closed()))
                 .collect();
-            next = looked.last().filter(|_| looked.len() == SWEEP_MOST).map_or(0, |(n, _)| n + 1);
-            for number in
-                old.into_iter().chain(looked.into_iter().filter(|(_, closed)| *closed).map(|(n, _)| n))
+            next =
+                checked.last().filter(|_| checked.len() == MAX_CHECKED_PER_SWEEP).map_or(0, |(n, _)| n + 1);
+            for sequence in
+                expired.into_iter().chain(checked.into_iter().filter(|(_, closed)| *closed).map(|(n, _)| n))
             {
-                idle.remove(number);
+                idle.remove(sequence);
             }
         }
     }
 
-    /// How many connections are open.
+    /// Returns the sequence of open connections.
     #[cfg(test)]
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.open.count.get()
     }
 
-    /// Room for one more connection to an upstream that has no idle one.
+    /// Reserves a slot for a new connection.
     #[cfg(test)]
-    pub async fn slot(&self) -> Slot {
-        const NOBODY: UpstreamId = UpstreamId(u64::MAX);
-        match self.found(NOBODY).await {
-            Found::Slot(slot) => slot,
-            Found::Idle(_) => unreachable!("nobody has a connection"),
+    pub async fn reserve_slot(&self) -> Slot {
+        const UNUSED_ID: UpstreamId = UpstreamId(u64::MAX);
+        match self.acquire(UNUSED_ID).await {
+            Acquired::Slot(slot) => slot,
+            Acquired::Idle(_) => unreachable!("the id has no connections"),
         }
     }
 }
@@ -293,36 +298,36 @@
     use super::*;
     use tokio::net::TcpListener;
 
-    const LONG: Duration = Duration::from_secs(20);
+    const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
-    /// Descriptors of which upstreams may have just `n`.
+    /// Returns a budget in which upstreams get exactly `n` descriptors.
     pub fn descriptors(n: usize) -> Rc<Descriptors> {
         use maplehook_admission::descriptor_budget::{
             BASE_DESCRIPTORS, DISCOVERY_DESCRIPTORS, MIN_DESCRIPTORS, REJECTION_DESCRIPTORS,
         };
-        let shared_out = MIN_DESCRIPTORS - BASE_DESCRIPTORS - DISCOVERY_DESCRIPTORS - REJECTION_DESCRIPTORS;
-        let descriptors = Descriptors::new(MIN_DESCRIPTORS, 0, (n as f64 + 0.5) / shared_out as f64).unwrap();
+        let divisible = MIN_DESCRIPTORS - BASE_DESCRIPTORS - DISCOVERY_DESCRIPTORS - REJECTION_DESCRIPTORS;
+        let descriptors = Descriptors::new(MIN_DESCRIPTORS, 0, (n as f64 + 0.5) / divisible as f64).unwrap();
         assert_eq!(descriptors.limit_of(DescriptorClass::Upstreams), n);
         descriptors
     }
 
-    /// Guards warm connections where places run out: the one least likely to be used again makes room,
-    /// whichever upstream it leads to.
+    /// Guards recently used connections at the limit: the one that has been idle longest is closed, whichever
+    /// upstream it belongs to.
     #[tokio::test(flavor = "local")]
-    async fn the_longest_idle_makes_room() {
+    async fn the_longest_idle_connection_is_closed_at_the_limit() {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let peer = listener.local_addr().unwrap();
-        let pool = Pool::new(descriptors(9), LONG);
+        let pool = Pool::new(descriptors(9), LONG_TIMEOUT);
         let order = [3, 8, 1, 7, 2, 9, 4, 6, 5].map(UpstreamId);
         for upstream in order {
-            pool.put(upstream, Connection::open(peer, pool.slot().await).await.unwrap());
+            pool.store_idle(upstream, Connection::open(peer, pool.reserve_slot().await).await.unwrap());
         }
         let mut slots = Vec::new();
         for (n, upstream) in order.into_iter().enumerate() {
-            assert!(pool.idle.borrow().of.contains_key(&upstream));
-            slots.push(pool.slot().await);
-            assert!(!pool.idle.borrow().of.contains_key(&upstream), "{n}");
-            assert_eq!((pool.idle.borrow().kept.len(), pool.open()), (8 - n, 9));
+            assert!(pool.idle.borrow().by_upstream.contains_key(&upstream));
+            slots.push(pool.reserve_slot().await);
+            assert!(!pool.idle.borrow().by_upstream.contains_key(&upstream), "connection {n} was not closed");
+            assert_eq!((pool.idle.borrow().by_age.len(), pool.open_count()), (8 - n, 9));
         }
     }
 }
--- a/crates/engine/src/parts/rate_limited_log.rs
+++ b/crates/engine/src/parts/rate_limited_log.rs
@@ -1,11 +1,11 @@
-//! Log lines about what peers send, at a bounded rate: a peer can repeat itself faster than a log can grow.
+//! Rate-limited warnings about input from peers: a peer could otherwise fill the log.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-const EVERY: Duration = Duration::from_secs(1);
+const MIN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Lets one line a second pass and counts the others.
+/// Logs one line per second and counts the suppressed ones.
 #[derive(Default)]
 pub struct RateLimitedLog {
     last: Cell<Option<Instant>>,
@@ -13,14 +13,14 @@
 }
 
 impl RateLimitedLog {
-    /// A warning, unless one has passed within the second.
-    pub fn warn(&self, what: impl FnOnce() -> String) {
+    /// Logs a warning, unless another one was logged within the last second.
+    pub fn warn(&self, message: impl FnOnce() -> String) {
         let now = Instant::now();
-        if self.last.get().is_some_and(|last| now - last < EVERY) {
+        if self.last.get().is_some_and(|last| now - last < MIN_INTERVAL) {
             self.skipped.set(self.skipped.get() + 1);
             return;
         }
         self.last.set(Some(now));
-        tracing::warn!(skipped = self.skipped.replace(0), "{}", what());
+        tracing::warn!(skipped = self.skipped.replace(0), "{}", message());
     }
 }
--- a/crates/engine/src/parts/upstream.rs
+++ b/crates/engine/src/parts/upstream.rs
@@ -1,11 +1,11 @@
-//! The upstreams: where they are, whether they take requests, the connections to them.
+//! Known upstreams: their addresses, availability and connections.
 
 use crate::parts::body_memory::BodyMemory;
 use crate::parts::connection::Connection;
 use crate::parts::descriptors::{self, Descriptors, is_descriptor_exhaustion, is_local_failure};
 use crate::parts::driver::ConnectStats;
 use crate::parts::headers;
-use crate::parts::pool::{Found, Pool};
+use crate::parts::pool::{Acquired, Pool};
 use crate::parts::rate_limited_log::RateLimitedLog;
 use crate::tally::Tally;
 use maplehook_core::{
@@ -21,18 +21,18 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Share of the upstreams' idle time after which a connection is closed or not used any more: a request that
-/// crosses the upstream's own close ends as a reset, and an unsafe one is lost to its client then.
-const IDLE_SHARE: f64 = 0.8;
+/// Fraction of the upstreams' idle timeout after which a connection is closed or not reused. A request that
+/// crosses the upstream's own close ends as a reset, and an unsafe request cannot be retried then.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
-/// An entry of the list, as far as connections go.
+/// Connection-related part of an entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointState {
-    /// Where it listens; `None` if the list did not say so in a readable way.
+    /// Listening address; `None` if the list had no readable address.
     pub endpoint: Option<SocketAddr>,
-    /// Whether it takes requests.
+    /// Whether the upstream accepts requests, drains, or was removed.
     pub availability: Availability,
-    /// When it last started, by the list.
+    /// Last start according to the list, as Unix time in milliseconds.
     pub boot_ms: u64,
 }
 
@@ -40,268 +40,282 @@
     endpoint: Cell<Option<SocketAddr>>,
     boot_ms: Cell<u64>,
     zone: Cell<ZoneId>,
-    /// Counts the processes that have listened for it: one more with each start and each move.
-    pub(crate) process: Cell<u32>,
-    /// Cleared once it drains or is gone: attempts that still wait for a connection look here.
-    pub(crate) ready: Cell<bool>,
+    /// Counts processes behind this upstream: incremented at each restart and each change of address.
+    pub(crate) process_epoch: Cell<u32>,
+    /// False once the upstream drains or is removed; attempts that wait for a connection check it.
+    pub(crate) is_ready: Cell<bool>,
 }
 
 impl Upstream {
-    /// Whether it takes requests and is still the process that a request was decided for: another one is cold.
-    pub(crate) fn takes(&self, process: u32) -> bool {
-        self.ready.get() && self.process.get() == process
+    /// Returns true if the upstream accepts requests and still runs the process that a request was assigned
+    /// to. A restarted process is in slow start.
+    pub(crate) fn accepts(&self, process_epoch: u32) -> bool {
+        self.is_ready.get() && self.process_epoch.get() == process_epoch
     }
 }
 
-/// All upstreams known.
+/// All known upstreams, and their connections.
 pub struct Upstreams {
-    known: RefCell<FxHashMap<UpstreamId, Rc<Upstream>>>,
+    by_id: RefCell<FxHashMap<UpstreamId, Rc<Upstream>>>,
     pub(crate) pool: Pool,
     descriptors: Rc<Descriptors>,
-    pub(crate) room: BodyMemory,
+    pub(crate) body_memory: BodyMemory,
     pub(crate) forwarding: Forwarding,
-    pub(crate) probing: Rc<Passage>,
+    pub(crate) probe_passage: Rc<Passage>,
     pub(crate) tally: Arc<Tally>,
     connect_timeout: Cell<Duration>,
-    /// How long the keys of each class are remembered, where it has keys.
-    windows: RefCell<Vec<Option<Duration>>>,
+    /// Deduplication window of each class; `None` for classes without keys.
+    dedup_windows: RefCell<Vec<Option<Duration>>>,
     pub(crate) reports: Cell<Reports>,
     report_fields: RefCell<Vec<LoadField>>,
-    odd_reports: RateLimitedLog,
-    short: RateLimitedLog,
+    report_warnings: RateLimitedLog,
+    local_failure_warnings: RateLimitedLog,
     lease: Cell<Lease>,
-    /// Connections made, by zone.
-    connects: RefCell<BTreeMap<u8, ConnectStats>>,
+    /// Connection statistics by zone id.
+    connect_stats: RefCell<BTreeMap<u8, ConnectStats>>,
 }
 
-/// Until when the rules hold by which requests were decided.
+/// Validity of the rules under which requests are decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lease {
-    /// For good.
+    /// The rules do not expire.
     Unlimited,
-    /// Until then; after that nothing is written a second time, and where `covers_first_attempts` nothing at all.
+    /// The rules expire. After that no retry is written and, with `covers_first_attempts`, no attempt at all.
     Until {
-        /// When it ends.
+        /// Expiry time.
         until: Instant,
-        /// Whether that is so of a first attempt too.
+        /// True if first attempts also stop at the expiry.
         covers_first_attempts: bool,
     },
 }
 
 impl Upstreams {
-    /// None yet; connections to them share the descriptors that upstreams may have, and bodies in hand the room.
+    /// Creates an empty set. Its connections share the descriptors of the upstream class, and its buffered
+    /// bodies share `body_memory`.
     pub fn new(
         settings: &Settings,
         descriptors: Rc<Descriptors>,
-        room: BodyMemory,
+        body_memory: BodyMemory,
         forwarding: Forwarding,
         tally: Arc<Tally>,
     ) -> Self {
         Self {
-            known: RefCell::default(),
-            pool: Pool::new(Rc::clone(&descriptors), settings.connection_idle_timeout.mul_f64(IDLE_SHARE)),
+            by_id: RefCell::default(),
+            pool: Pool::new(
+                Rc::clone(&descriptors),
+                settings.connection_idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION),
+            ),
             descriptors,
-            room,
+            body_memory,
             forwarding,
-            probing: Rc::new(Passage::platform()),
+            probe_passage: Rc::new(Passage::platform()),
             tally,
             connect_timeout: Cell::new(settings.connect_timeout),
-            windows: RefCell::new(windows(settings)),
+            dedup_windows: RefCell::new(dedup_windows(settings)),
             reports: Cell::new(settings.reports),
             report_fields: RefCell::new(settings.report_fields.clone()),
-            odd_reports: RateLimitedLog::default(),
-            short: RateLimitedLog::default(),
+            report_warnings: RateLimitedLog::default(),
+            local_failure_warnings: RateLimitedLog::default(),
             lease: Cell::new(Lease::Unlimited),
-            connects: RefCell::default(),
+            connect_stats: RefCell::default(),
         }
     }
 
-    /// Until when the rules hold. It is looked at in the moment of writing: a process that was stopped must not go on by rules
-    /// that have run out meanwhile.
+    /// Sets the lease on the rules. It is checked at the moment of writing: a process that was suspended must
+    /// not continue under expired rules.
     pub fn set_lease(&self, lease: Lease) {
         self.lease.set(lease);
     }
 
-    /// Whether an attempt may be written now.
-    pub(crate) fn may_write(&self, repeat: bool) -> bool {
+    /// Returns true if the lease allows an attempt to be written now.
+    pub(crate) fn may_write(&self, is_repeat: bool) -> bool {
         match self.lease.get() {
             Lease::Unlimited => true,
             Lease::Until { until, covers_first_attempts } => {
-                !(repeat || covers_first_attempts) || Instant::now() < until
+                !(is_repeat || covers_first_attempts) || Instant::now() < until
             }
         }
     }
 
-    /// The settings have changed. Connections that are open stay.
-    pub fn retune(&self, settings: &Settings) {
-        self.pool.retune(settings.connection_idle_timeout.mul_f64(IDLE_SHARE));
+    /// Applies new settings; open connections remain.
+    pub fn update_settings(&self, settings: &Settings) {
+        self.pool.set_max_idle(settings.connection_idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION));
         self.connect_timeout.set(settings.connect_timeout);
-        *self.windows.borrow_mut() = windows(settings);
+        *self.dedup_windows.borrow_mut() = dedup_windows(settings);
         self.reports.set(settings.reports);
         self.report_fields.borrow_mut().clone_from(&settings.report_fields);
     }
 
-    /// How long the keys of a class are remembered; `None`: it has none.
-    pub(crate) fn window(&self, class: ClassId) -> Option<Duration> {
-        self.windows.borrow().get(usize::from(class.0)).copied().flatten()
+    /// Returns the deduplication window of a class, or `None` if the class has no keys.
+    pub(crate) fn dedup_window(&self, class: ClassId) -> Option<Duration> {
+        self.dedup_windows.borrow().get(usize::from(class.0)).copied().flatten()
     }
 
-    /// Takes in what the list says of one.
-    pub fn update_endpoint(&self, id: UpstreamId, zone: ZoneId, place: &EndpointState) {
-        let mut known = self.known.borrow_mut();
-        if place.availability == Availability::Removed {
-            if let Some(upstream) = known.remove(&id) {
-                upstream.ready.set(false);
+    /// Applies the list entry of one upstream.
+    pub fn update_endpoint(&self, id: UpstreamId, zone: ZoneId, state: &EndpointState) {
+        let mut by_id = self.by_id.borrow_mut();
+        if state.availability == Availability::Removed {
+            if let Some(upstream) = by_id.remove(&id) {
+                upstream.is_ready.set(false);
             }
-            self.pool.close(id);
+            self.pool.close_idle(id);
             return;
         }
-        let upstream = known.entry(id).or_insert_with(|| {
+        let upstream = by_id.entry(id).or_insert_with(|| {
             Rc::new(Upstream {
                 endpoint: Cell::new(None),
-                boot_ms: Cell::new(place.boot_ms),
+                boot_ms: Cell::new(state.boot_ms),
                 zone: Cell::new(zone),
-                process: Cell::new(0),
-                ready: Cell::new(false),
+                process_epoch: Cell::new(0),
+                is_ready: Cell::new(false),
             })
         });
         upstream.zone.set(zone);
-        let moved = place.endpoint.is_some() && upstream.endpoint.get() != place.endpoint;
-        if moved {
-            upstream.endpoint.set(place.endpoint);
+        let has_moved = state.endpoint.is_some() && upstream.endpoint.get() != state.endpoint;
+        if has_moved {
+            upstream.endpoint.set(state.endpoint);
         }
-        upstream.ready.set(place.availability == Availability::Ready);
-        let another = upstream.boot_ms.replace(place.boot_ms) != place.boot_ms || moved;
-        if another {
-            upstream.process.set(upstream.process.get().wrapping_add(1));
+        upstream.is_ready.set(state.availability == Availability::Ready);
+        let is_new_process = upstream.boot_ms.replace(state.boot_ms) != state.boot_ms || has_moved;
+        if is_new_process {
+            upstream.process_epoch.set(upstream.process_epoch.get().wrapping_add(1));
         }
-        // Connections to a process that is no more, or wants nothing new, serve nobody.
-        if another || !upstream.ready.get() {
-            self.pool.close(id);
+        // Connections to a replaced or draining process cannot be used again.
+        if is_new_process || !upstream.is_ready.get() {
+            self.pool.close_idle(id);
         }
     }
 
-    /// Where those listen that take requests.
+    /// Returns the zones and addresses of upstreams that accept requests.
     pub(crate) fn endpoints(&self) -> Vec<(ZoneId, SocketAddr)> {
-        let known = self.known.borrow();
-        let ready = known.values().filter(|upstream| upstream.ready.get());
+        let by_id = self.by_id.borrow();
+        let ready = by_id.values().filter(|upstream| upstream.is_ready.get());
         ready.filter_map(|upstream| Some((upstream.zone.get(), upstream.endpoint.get()?))).collect()
     }
 
-    /// Forgets all that `listed` does not name: they are gone.
+    /// Removes all upstreams that `listed` rejects.
     pub fn retain_listed(&self, listed: impl Fn(UpstreamId) -> bool) {
-        self.known.borrow_mut().retain(|id, upstream| {
-            let stays = listed(*id);
-            if !stays {
-                upstream.ready.set(false);
-                self.pool.close(*id);
+        self.by_id.borrow_mut().retain(|id, upstream| {
+            let is_listed = listed(*id);
+            if !is_listed {
+                upstream.is_ready.set(false);
+                self.pool.close_idle(*id);
             }
-            stays
+            is_listed
         });
     }
 
-    /// Closes the idle connections to one.
+    /// Closes the idle connections to an upstream.
     pub fn close_idle(&self, id: UpstreamId) {
-        self.pool.close(id);
+        self.pool.close_idle(id);
     }
 
-    /// Closes the connection that has been idle longest, for its descriptor; `false` if none is idle.
+    /// Closes the connection that has been idle longest, to free its descriptor; returns false if none is
+    /// idle.
     pub fn close_oldest(&self) -> bool {
         self.pool.close_oldest()
     }
 
-    /// There are fewer descriptors than there were, or more.
+    /// Applies a changed descriptor limit to the pool.
     pub fn apply_descriptor_limit(&self) {
-        self.pool.shrink();
+        self.pool.apply_limit();
     }
 
-    /// Closes what has been idle for long, again and again.
-    pub async fn sweep(&self) {
+    /// Closes unusable idle connections periodically; never returns.
+    pub async fn run_idle_sweep(&self) {
         self.pool.sweep().await;
     }
 
-    /// Keeps a connection that leads to this process of an upstream.
-    pub(crate) fn put_back(&self, id: UpstreamId, upstream: &Upstream, process: u32, connection: Connection) {
-        if upstream.takes(process) && upstream.endpoint.get() == Some(connection.peer()) {
-            self.pool.put(id, connection);
+    /// Returns a connection to the pool, if it still leads to the current process of the upstream.
+    pub(crate) fn return_connection(
+        &self,
+        id: UpstreamId,
+        upstream: &Upstream,
+        process_epoch: u32,
+        connection: Connection,
+    ) {
+        if upstream.accepts(process_epoch) && upstream.endpoint.get() == Some(connection.peer()) {
+            self.pool.store_idle(id, connection);
         }
     }
 
-    /// A connection in use before, or else a new one; `true`: in use before.
-    pub(crate) async fn connection(
+    /// Returns a connection to an upstream, and true if it was used before.
+    pub(crate) async fn acquire_connection(
         &self,
         id: UpstreamId,
         upstream: &Upstream,
-        give_up: Instant,
+        answer_by: Instant,
     ) -> Result<(Connection, bool), Outcome> {
         let Some(endpoint) = upstream.endpoint.get() else { return Err(Outcome::NotSent) };
-        let until = give_up.min(Instant::now() + self.connect_timeout.get());
+        let deadline = answer_by.min(Instant::now() + self.connect_timeout.get());
         loop {
-            // Out of descriptors or of time says nothing of the upstream.
-            let slot = match timeout_at(until, self.pool.found(id)).await {
-                Ok(Found::Slot(slot)) => slot,
-                Ok(Found::Idle(mut connection)) => match timeout_at(until, connection.is_usable()).await {
+            // A shortage of descriptors or time on this side does not count against the upstream.
+            let slot = match timeout_at(deadline, self.pool.acquire(id)).await {
+                Ok(Acquired::Slot(slot)) => slot,
+                Ok(Acquired::Idle(mut connection)) => match timeout_at(deadline, connection.ready()).await {
                     Ok(true) => return Ok((connection, true)),
                     Ok(false) => continue,
                     Err(_) => return Err(Outcome::NotSent),
                 },
                 Err(_) => return Err(Outcome::NotSent),
             };
-            let begun = Instant::now();
-            match timeout_at(until, Connection::open(endpoint, slot)).await {
+            let started_at = Instant::now();
+            match timeout_at(deadline, Connection::open(endpoint, slot)).await {
                 Ok(Ok(connection)) => {
-                    let connects = &mut *self.connects.borrow_mut();
-                    let of = connects.entry(upstream.zone.get().0).or_default();
-                    (of.count, of.total_time) = (of.count + 1, of.total_time + begun.elapsed());
+                    let connect_stats = &mut *self.connect_stats.borrow_mut();
+                    let stats = connect_stats.entry(upstream.zone.get().0).or_default();
+                    (stats.count, stats.total_time) =
+                        (stats.count + 1, stats.total_time + started_at.elapsed());
                     return Ok((connection, false));
                 }
                 Ok(Err(e)) if is_descriptor_exhaustion(&e) => {
                     self.descriptors.record_exhaustion("connect");
-                    if Instant::now() + descriptors::EXHAUSTION_BACKOFF >= until {
+                    if Instant::now() + descriptors::EXHAUSTION_BACKOFF >= deadline {
                         return Err(Outcome::NotSent);
                     }
                     sleep(descriptors::EXHAUSTION_BACKOFF).await;
                 }
                 Ok(Err(e)) if is_local_failure(&e) => {
-                    self.short.warn(|| format!("no connection to {endpoint}: {e}"));
+                    self.local_failure_warnings
+                        .warn(|| format!("cannot connect to {endpoint} for lack of local resources: {e}"));
                     return Err(Outcome::NotSent);
                 }
                 Ok(Err(e)) => {
-                    tracing::debug!(%endpoint, "no connection: {e}");
+                    tracing::debug!(%endpoint, "connection failed: {e}");
                     return Err(Outcome::ConnectFailed);
                 }
-                Err(_) if until == give_up => return Err(Outcome::NotSent),
+                Err(_) if deadline == answer_by => return Err(Outcome::NotSent),
                 Err(_) => return Err(Outcome::ConnectFailed),
             }
         }
     }
 
-    /// Connections made, by zone.
-    pub(crate) fn connects(&self) -> Vec<(ZoneId, ConnectStats)> {
-        self.connects.borrow().iter().map(|(zone, of)| (ZoneId(*zone), *of)).collect()
+    /// Returns the connection statistics by zone.
+    pub(crate) fn connect_stats(&self) -> Vec<(ZoneId, ConnectStats)> {
+        self.connect_stats.borrow().iter().map(|(zone, stats)| (ZoneId(*zone), *stats)).collect()
     }
 
     pub(crate) fn get(&self, id: UpstreamId) -> Option<Rc<Upstream>> {
-        self.known.borrow().get(&id).map(Rc::clone)
+        self.by_id.borrow().get(&id).map(Rc::clone)
     }
 
     pub(crate) fn read_report(&self, text: &[u8]) -> Vec<f32> {
-        let read = std::str::from_utf8(text)
+        let values = std::str::from_utf8(text)
             .ok()
             .and_then(|t| headers::load_report(t, &self.report_fields.borrow()));
-        read.unwrap_or_else(|| {
-            let shown = || String::from_utf8_lossy(&text[..text.len().min(80)]).into_owned();
-            self.odd_reports.warn(|| format!("unreadable load report {:?}", shown()));
+        values.unwrap_or_else(|| {
+            let excerpt = || String::from_utf8_lossy(&text[..text.len().min(80)]).into_owned();
+            self.report_warnings.warn(|| format!("malformed load report {:?}", excerpt()));
             Vec::new()
         })
     }
 }
 
-/// The windows of all classes in which a repeat of a key has no second effect.
-fn windows(settings: &Settings) -> Vec<Option<Duration>> {
-    let window = |effect| match effect {
+/// Returns the window of each class within which a repeated key does not run again.
+fn dedup_windows(settings: &Settings) -> Vec<Option<Duration>> {
+    let dedup_window = |effect| match effect {
         Effect::Deduplicated { ttl, .. } => Some(ttl),
         Effect::Idempotent | Effect::AtMostOnce => None,
     };
-    settings.classes.iter().map(|class| window(class.effect)).collect()
+    settings.classes.iter().map(|class| dedup_window(class.effect)).collect()
 }
