--- a/crates/engine/src/parts/attempt.rs
+++ b/crates/engine/src/parts/attempt.rs
@@ -1,6 +1,6 @@
 //! Attempts: one request sent to one upstream, and its outcome.
 //!
-//! An attempt counts as not run only if that is proved: no connection was made, the connection result before
+//! An attempt counts as not run only if that is proved: no connection was made, the connection ended before
 //! the kernel had taken enough of the request for the upstream to start it, or the upstream rejected it
 //! explicitly.
 
--- a/crates/engine/src/parts/attempt/tests.rs
+++ b/crates/engine/src/parts/attempt/tests.rs
@@ -46,7 +46,7 @@
     (upstreams, listener, state)
 }
 
-/// Guards against retries after the lease has result: a process that was suspended must check the lease at the
+/// Guards against retries after the lease has ended: a process that was suspended must check the lease at the
 /// moment of writing.
 #[tokio::test(flavor = "local")]
 async fn an_expired_lease_stops_attempts_at_the_moment_of_writing() {
--- a/crates/engine/src/parts/attempt_limits.rs
+++ b/crates/engine/src/parts/attempt_limits.rs
@@ -24,8 +24,8 @@
     StaleTimeLeft,
 }
 
-/// Tells whether the client is still connected. The check queries the current state, which may be newer than
-/// what the runtime has reported.
+/// Reports whether the client is still connected. The check queries the current state, which may be newer
+/// than the runtime's information.
 #[derive(Clone)]
 pub struct Presence(Rc<dyn Fn() -> bool>);
 
--- a/crates/engine/src/parts/body/upload.rs
+++ b/crates/engine/src/parts/body/upload.rs
@@ -17,7 +17,7 @@
 const RECHECK_DELAY: Duration = Duration::from_millis(1);
 
 /// Counts the bytes of a connection that the kernel accepted, and wakes the task that waits for the first
-/// one.
+/// byte.
 #[derive(Default)]
 pub struct WriteCounter {
     count: Cell<u64>,
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Starts a request. `sent_counter` is incremented once `length` bytes are written, or at the end of the body if
-    /// `length` is `None`.
+    /// Starts a request. `sent_counter` is incremented once `length` bytes are written, or at the end of the
+    /// body if `length` is `None`.
     pub fn begin_request(&self, length: Option<u64>, sent_counter: Option<Counter>) {
         self.request_end.set(length.map_or(u64::MAX, |n| self.count.get() + n));
         self.sent_counter.set(sent_counter);
--- a/crates/engine/src/parts/body/upload/tests.rs
+++ b/crates/engine/src/parts/body/upload/tests.rs
@@ -16,9 +16,9 @@
 const TOLERANCE: Duration = Duration::from_millis(20);
 
 /// Body that yields the pieces sent through a channel.
-struct Pieces(mpsc::UnboundedReceiver<Bytes>);
+struct ChannelBody(mpsc::UnboundedReceiver<Bytes>);
 
-impl Body for Pieces {
+impl Body for ChannelBody {
     type Data = Bytes;
     type Error = Failure;
 
@@ -39,7 +39,7 @@
 
 fn start_upload() -> UploadInProgress {
     let (sender, pieces) = mpsc::unbounded_channel();
-    let remaining: BodySource = Box::pin(Pieces(pieces));
+    let remaining: BodySource = Box::pin(ChannelBody(pieces));
     let upload = Upload::new(Bytes::from_static(b"first"), remaining, None, 1 << 20, TIMEOUTS);
     let written = Rc::new(WriteCounter::default());
     let mut body = upload.send(Rc::clone(&written));
--- a/crates/engine/src/parts/descriptors.rs
+++ b/crates/engine/src/parts/descriptors.rs
@@ -31,7 +31,7 @@
     limit_listeners: RefCell<Vec<Box<dyn Fn()>>>,
     /// Last time that the relief callbacks ran; one shortage makes many operations fail at once.
     last_relief: Cell<Option<Instant>>,
-    /// One log per operation, so that the most frequent failure does not suppress the others.
+    /// Separate log for each operation, so that the most frequent failure does not suppress the others.
     exhaustion_logs: RefCell<FxHashMap<&'static str, RateLimitedLog>>,
 }
 
--- a/crates/engine/src/parts/discovery/documents.rs
+++ b/crates/engine/src/parts/discovery/documents.rs
@@ -20,7 +20,7 @@
 
 /// Reason why input is not a sequence of documents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Malformed {
+pub(super) enum DocumentError {
     /// A byte that cannot start a document.
     UnexpectedByte(u8),
     /// A truncated document on a line of its own, not the first line of an indented document.
@@ -31,7 +31,7 @@
     UnexpectedEnd,
 }
 
-impl fmt::Display for Malformed {
+impl fmt::Display for DocumentError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::UnexpectedByte(byte) => write!(f, "byte {byte:#04x} cannot start a document"),
@@ -42,7 +42,7 @@
     }
 }
 
-impl Error for Malformed {}
+impl Error for DocumentError {}
 
 /// Incremental splitter; examines each byte once.
 #[derive(Default)]
@@ -65,22 +65,22 @@
     }
 
     /// Returns the next complete item, or `None` if more input is needed.
-    pub(super) fn next_item(&mut self) -> Result<Option<WatchItem>, Malformed> {
+    pub(super) fn next_item(&mut self) -> Result<Option<WatchItem>, DocumentError> {
         while let Some(byte) = self.pending.get(self.scanned).copied() {
             self.scanned += 1;
             if let Some(item) = self.scan_byte(byte)? {
                 return Ok(Some(item));
             }
         }
-        if self.pending.len() > MAX_DOCUMENT_BYTES { Err(Malformed::TooLong) } else { Ok(None) }
+        if self.pending.len() > MAX_DOCUMENT_BYTES { Err(DocumentError::TooLong) } else { Ok(None) }
     }
 
     /// Checks that the stream did not end inside a document.
-    pub(super) fn finish(&self) -> Result<(), Malformed> {
-        if self.depth > 0 { Err(Malformed::UnexpectedEnd) } else { Ok(()) }
+    pub(super) fn finish(&self) -> Result<(), DocumentError> {
+        if self.depth > 0 { Err(DocumentError::UnexpectedEnd) } else { Ok(()) }
     }
 
-    fn scan_byte(&mut self, byte: u8) -> Result<Option<WatchItem>, Malformed> {
+    fn scan_byte(&mut self, byte: u8) -> Result<Option<WatchItem>, DocumentError> {
         if self.in_string {
             return self.scan_string_byte(byte);
         }
@@ -98,15 +98,15 @@
                 return Ok(Some(WatchItem::EndOfLine));
             }
             _ if self.depth > 0 || byte.is_ascii_whitespace() => {}
-            _ => return Err(Malformed::UnexpectedByte(byte)),
+            _ => return Err(DocumentError::UnexpectedByte(byte)),
         }
         Ok(None)
     }
 
-    fn scan_string_byte(&mut self, byte: u8) -> Result<Option<WatchItem>, Malformed> {
+    fn scan_string_byte(&mut self, byte: u8) -> Result<Option<WatchItem>, DocumentError> {
         match byte {
             // A JSON string cannot contain a raw line end.
-            b'\n' => return Err(Malformed::TruncatedLine),
+            b'\n' => return Err(DocumentError::TruncatedLine),
             _ if self.is_escaped => self.is_escaped = false,
             b'\\' => self.is_escaped = true,
             b'"' => self.in_string = false,
@@ -118,12 +118,12 @@
     /// Distinguishes a corrupt line from the first line of an indented document as soon as the line ends. The
     /// corrupt line may have announced a drain, and waiting for more input would last until the watch times
     /// out.
-    fn check_first_line(&mut self) -> Result<(), Malformed> {
+    fn check_first_line(&mut self) -> Result<(), DocumentError> {
         if !self.is_indented {
             let first = &self.pending[..self.scanned];
             let parsed: Result<IgnoredAny, _> = serde_json::from_slice(first);
             if parsed.is_err_and(|e| !e.is_eof()) {
-                return Err(Malformed::TruncatedLine);
+                return Err(DocumentError::TruncatedLine);
             }
             self.is_indented = true;
         }
--- a/crates/engine/src/parts/discovery/tests.rs
+++ b/crates/engine/src/parts/discovery/tests.rs
@@ -1,6 +1,6 @@
 //! Splitting of watch streams, discovery timeouts, and interpretation of lists.
 
-use super::documents::{DocumentSplitter, Malformed, WatchItem};
+use super::documents::{DocumentError, DocumentSplitter, WatchItem};
 use super::timeouts::{DiscoveryTimeouts, WatchDeadline};
 use super::*;
 use maplehook_core::discovery_timing::{
@@ -15,7 +15,7 @@
     "{\r\n  \"rev\": 4,\r\n\r\n  \"targets\": [\r\n    {\r\n      \"uid\": \"b\"\r\n    }\r\n  ]\r\n}";
 
 /// Splits `text`, delivered in chunks that end at `cuts`.
-fn split(text: &[u8], cuts: &[usize]) -> Result<Vec<WatchItem>, Malformed> {
+fn split(text: &[u8], cuts: &[usize]) -> Result<Vec<WatchItem>, DocumentError> {
     let (mut documents, mut all, mut from) = (DocumentSplitter::default(), Vec::new(), 0);
     for to in cuts.iter().copied().chain([text.len()]) {
         documents.push(&text[from..to]);
@@ -62,19 +62,19 @@
 #[test]
 fn malformed_input_is_rejected_at_the_end_of_its_line() {
     for (text, reason) in [
-        ("{\"rev\":5,\"all\":tr\n", Malformed::TruncatedLine),
-        ("{\"rev\":5,\"targets\":[{\"uid\":\"s-\n", Malformed::TruncatedLine),
-        ("\n}\n", Malformed::UnexpectedByte(b'}')),
-        ("nothing", Malformed::UnexpectedByte(b'n')),
-        ("{\"rev\":5,\"targets\":[\n", Malformed::UnexpectedEnd),
-        ("{\"rev\":5,\"targets\":[", Malformed::UnexpectedEnd),
+        ("{\"rev\":5,\"all\":tr\n", DocumentError::TruncatedLine),
+        ("{\"rev\":5,\"targets\":[{\"uid\":\"s-\n", DocumentError::TruncatedLine),
+        ("\n}\n", DocumentError::UnexpectedByte(b'}')),
+        ("nothing", DocumentError::UnexpectedByte(b'n')),
+        ("{\"rev\":5,\"targets\":[\n", DocumentError::UnexpectedEnd),
+        ("{\"rev\":5,\"targets\":[", DocumentError::UnexpectedEnd),
     ] {
         assert_eq!(split(text.as_bytes(), &[]), Err(reason), "input {text:?}");
     }
     let mut documents = DocumentSplitter::default();
     documents.push(b"{\"rev\":");
     documents.push(&vec![b'1'; super::documents::MAX_DOCUMENT_BYTES]);
-    assert_eq!(documents.next_item(), Err(Malformed::TooLong));
+    assert_eq!(documents.next_item(), Err(DocumentError::TooLong));
 }
 
 /// Guards the 6 s limit for noticing a change: at whatever step a call or a watch goes silent, enough time
@@ -114,7 +114,7 @@
     assert!(agent.expires_at() < start + grace);
 }
 
-fn discovery(address: SocketAddr) -> Discovery {
+fn discovery_client(address: SocketAddr) -> Discovery {
     let names = IdNames { zones: vec!["a".into()], kinds: vec!["m".into()], ..IdNames::default() };
     let descriptors = Descriptors::new(256, 0, 0.5).unwrap();
     Discovery::new(address, names, descriptors)
@@ -130,7 +130,7 @@
 /// leave a gap, but a full list with a lower version replaces the cached list.
 #[test]
 fn a_lower_version_is_accepted_only_with_a_full_list() {
-    let discovery = discovery(([127, 0, 0, 1], 9).into());
+    let discovery = discovery_client(([127, 0, 0, 1], 9).into());
     discovery.set_rev(41);
     assert!(discovery.parse_list(list_json(3, false).as_bytes(), false).is_err());
     assert_eq!(discovery.rev(), 41);
@@ -146,7 +146,7 @@
 /// Guards the cached list against unreadable data: nothing is reported, and the version remains.
 #[test]
 fn an_unreadable_list_leaves_the_version_unchanged() {
-    let discovery = discovery(([127, 0, 0, 1], 9).into());
+    let discovery = discovery_client(([127, 0, 0, 1], 9).into());
     discovery.set_rev(41);
     for invalid in
         ["", "[]", "{}", r#"{"rev":-1,"targets":[]}"#, r#"{"rev":50}"#, r#"{"rev":50,"targets":{}}"#]
@@ -163,7 +163,7 @@
 #[tokio::test(flavor = "local")]
 async fn an_empty_line_confirms_only_a_cached_list() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let discovery = discovery(listener.local_addr().unwrap());
+    let discovery = discovery_client(listener.local_addr().unwrap());
     for (rev, expected) in [
         (41, vec![EndpointUpdate::unchanged(), EndpointUpdate::failed()]),
         (0, vec![EndpointUpdate::failed()]),
--- a/crates/engine/src/parts/driver.rs
+++ b/crates/engine/src/parts/driver.rs
@@ -45,7 +45,7 @@
     Failed,
 }
 
-/// How an answer was obtained.
+/// Attempts and upstream behind an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Trace {
     /// Number of attempts that were started.
@@ -82,7 +82,7 @@
     AttemptEnded(RequestId, AttemptNo, AttemptResult),
     /// The body of this attempt has started to stream.
     UploadStarted(RequestId, AttemptNo),
-    /// A streamed response has result.
+    /// A streamed response has ended.
     StreamEnded(RequestId, AttemptNo, Outcome),
     ProbeEnded(UpstreamId, Duration, AttemptResult),
     ClientGone(RequestId),
@@ -266,7 +266,7 @@
             }
             DriverEvent::AttemptEnded(id, no, result) => {
                 let Some(request) = core.requests.get_mut(&id) else { return };
-                // Each attempt reports one event: a cancelled attempt may already have result on its own.
+                // Each attempt reports one event: a cancelled attempt may already have ended on its own.
                 let Some(attempt) = request.attempts.get_mut(usize::from(no.0)).filter(|a| a.in_flight)
                 else {
                     return;
--- a/crates/engine/src/parts/driver/actions.rs
+++ b/crates/engine/src/parts/driver/actions.rs
@@ -199,7 +199,7 @@
             && let Some(reply) = request.reply.take()
         {
             let attempts = request.attempts.len() as u8;
-            tracing::debug!(id = id.0, attempts, ?answer, "request result without a response");
+            tracing::debug!(id = id.0, attempts, ?answer, "request ended without a response");
             // No attempt is left: an upstream's error response explains the failure better than a local one.
             let answer = match request.last_error.take() {
                 Some((error_response, upstream)) => {
--- a/crates/engine/src/parts/mod.rs
+++ b/crates/engine/src/parts/mod.rs
@@ -1,11 +1,11 @@
 //! Building blocks of an engine, for programs that do not use [`Handle`](crate::Handle): the daemon, and
-//! sources of the endpoint list. Embedding programs do not need them.
+//! sources of the endpoint list. Embedding programs do not need these modules.
 //!
 //! | module | purpose |
 //! | --- | --- |
 //! | [`dispatcher`] | accepts requests and owns the ledger |
 //! | [`driver`] | owns the decision module: applies events, performs actions |
-//! | [`upstream`], [`attempt`], [`connection`] | known upstreams, one request to one upstream, one connection |
+//! | [`upstream`], [`attempt`], [`connection`] | known upstreams, one attempt, one connection |
 //! | [`attempt_limits`] | deadlines for writing an attempt and for its response |
 //! | [`body`], [`answer`], [`body_memory`] | request and response bodies, and the memory they share |
 //! | [`descriptors`] | descriptor limits, and the handling of a shortage |
--- a/crates/engine/src/parts/rate_limited_log.rs
+++ b/crates/engine/src/parts/rate_limited_log.rs
@@ -13,7 +13,7 @@
 }
 
 impl RateLimitedLog {
-    /// Logs a warning, unless another one was logged within the last second.
+    /// Logs a warning, unless another warning was logged within the last second.
     pub fn warn(&self, message: impl FnOnce() -> String) {
         let now = Instant::now();
         if self.last.get().is_some_and(|last| now - last < MIN_INTERVAL) {
--- a/crates/engine/src/parts/upstream.rs
+++ b/crates/engine/src/parts/upstream.rs
@@ -30,7 +30,7 @@
 pub struct EndpointState {
     /// Listening address; `None` if the list had no readable address.
     pub endpoint: Option<SocketAddr>,
-    /// Whether the upstream accepts requests, drains, or was removed.
+    /// Availability according to the list: ready, draining or removed.
     pub availability: Availability,
     /// Last start according to the list, as Unix time in milliseconds.
     pub boot_ms: u64,
--- a/crates/eureka/src/client.rs
+++ b/crates/eureka/src/client.rs
@@ -130,7 +130,7 @@
                 Some(connection) if !connection.is_closed() => connection,
                 _ => Connection::open(self.replica, ()).await.map_err(broken)?,
             };
-            if !connection.is_usable().await {
+            if !connection.ready().await {
                 connection = Connection::open(self.replica, ()).await.map_err(broken)?;
             }
             let mut request = Request::builder()
