--- /dev/null
+++ b/crates/engine/src/parts/dispatcher.rs
@@ -0,0 +1,199 @@
+//! Dispatcher: the entry point for requests. A request that must not run twice and has an identity goes
+//! through the ledger.
+
+use crate::ledger::{Bounds, BoundsError, Ending, EntryId, Identity, Ledger, Opened, Waiter};
+use crate::parts::answer::UpstreamResponse;
+use crate::parts::driver::{Answer, Driver, RequestContext, Trace};
+use crate::tally::{Counting, Tally};
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{Notify, oneshot};
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep_until};
+
+/// Retry delay sent to a client when the ledger is full.
+const LEDGER_FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
+
+type TracedAnswer = (Answer, Trace);
+
+/// Response as the ledger stores it.
+struct StoredResponse {
+    response: UpstreamResponse,
+    trace: Trace,
+}
+
+impl StoredResponse {
+    fn to_answer(&self) -> TracedAnswer {
+        self.response
+            .buffered_copy()
+            .map_or((Answer::Failed, self.trace), |response| (Answer::Served(response), self.trace))
+    }
+}
+
+/// Entry point for requests; counts them and deduplicates them by identity.
+pub struct Dispatcher {
+    driver: Rc<Driver>,
+    counting: Rc<Counting>,
+    ledger: RefCell<Ledger<Rc<StoredResponse>>>,
+    waiters: RefCell<HashMap<Waiter, oneshot::Sender<TracedAnswer>>>,
+    next_waiter: Cell<Waiter>,
+    in_flight: Cell<usize>,
+    idle: Notify,
+}
+
+/// Counts a request as in flight until the guard is dropped.
+pub struct InFlightGuard(Rc<Dispatcher>);
+
+impl Drop for InFlightGuard {
+    fn drop(&mut self) {
+        let in_flight = self.0.in_flight.get() - 1;
+        self.0.in_flight.set(in_flight);
+        if in_flight == 0 {
+            self.0.idle.notify_waiters();
+        }
+    }
+}
+
+/// Waiter for the result of a ledger entry; dropping the guard removes the waiter.
+struct WaiterGuard {
+    dispatcher: Rc<Dispatcher>,
+    entry: EntryId,
+    waiter: Waiter,
+}
+
+impl Drop for WaiterGuard {
+    fn drop(&mut self) {
+        if self.dispatcher.waiters.borrow_mut().remove(&self.waiter).is_some() {
+            self.dispatcher.ledger.borrow_mut().left(self.entry, self.waiter);
+        }
+    }
+}
+
+impl Dispatcher {
+    /// Creates a dispatcher in front of `driver`. Requests are counted in `counting`.
+    pub fn new(
+        driver: Rc<Driver>,
+        counting: Rc<Counting>,
+        bounds: Bounds,
+        seed: u64,
+    ) -> Result<Rc<Self>, BoundsError> {
+        Ok(Rc::new(Self {
+            driver,
+            counting,
+            ledger: RefCell::new(Ledger::new(bounds, seed)?),
+            waiters: RefCell::default(),
+            next_waiter: Cell::new(0),
+            in_flight: Cell::new(0),
+            idle: Notify::new(),
+        }))
+    }
+
+    /// Returns the driver that executes the requests.
+    pub fn driver(&self) -> &Rc<Driver> {
+        &self.driver
+    }
+
+    /// Returns the metrics that requests are counted in.
+    pub fn tally(&self) -> &Tally {
+        self.counting.tally()
+    }
+
+    /// Counts one more request as in flight.
+    pub fn track(self: &Rc<Self>) -> InFlightGuard {
+        self.in_flight.set(self.in_flight.get() + 1);
+        InFlightGuard(Rc::clone(self))
+    }
+
+    /// Waits until no request is in flight.
+    pub async fn wait_until_idle(&self) {
+        loop {
+            let idle = self.idle.notified();
+            if self.in_flight.get() == 0 {
+                return;
+            }
+            idle.await;
+        }
+    }
+
+    /// Returns the final answer to a request. Dropping the future means that the client has closed: in-flight
+    /// attempts are cancelled, except for a request with an identity, which continues so that a repeat gets
+    /// its answer.
+    pub async fn dispatch(
+        self: &Rc<Self>,
+        request: RequestContext,
+        identity: Option<Identity>,
+    ) -> TracedAnswer {
+        let accounting = self.counting.taken(request.class, request.tenant);
+        let (mut answer, trace) = self.resolve(request, identity).await;
+        accounting.answered(&mut answer);
+        (answer, trace)
+    }
+
+    async fn resolve(self: &Rc<Self>, request: RequestContext, identity: Option<Identity>) -> TracedAnswer {
+        let Some(identity) = identity else { return self.driver.submit(request).answer().await };
+        let (waiter, deadline) = (self.next_waiter.replace(self.next_waiter.get() + 1), request.deadline);
+        let opened = self.ledger.borrow_mut().open(self.driver.now(), &identity, waiter);
+        let entry = match opened {
+            Opened::First(entry) => {
+                let (dispatcher, in_flight) = (Rc::clone(self), self.track());
+                spawn_local(async move {
+                    let (answer, trace) = dispatcher.driver.submit(request).answer().await;
+                    dispatcher.finish(entry, answer, trace);
+                    drop(in_flight);
+                });
+                entry
+            }
+            Opened::Joined(entry) => entry,
+            Opened::Ended(result) => return stored_answer(&result),
+            Opened::Crowded | Opened::Full => {
+                return (Answer::Rejected(Some(LEDGER_FULL_RETRY_AFTER)), Trace::default());
+            }
+        };
+        self.await_entry(entry, waiter, deadline).await
+    }
+
+    async fn await_entry(self: &Rc<Self>, entry: EntryId, waiter: Waiter, deadline: Instant) -> TracedAnswer {
+        const UNANSWERED: TracedAnswer = (Answer::Failed, Trace { attempts: 0, upstream: None });
+        let (sender, answer) = oneshot::channel();
+        self.waiters.borrow_mut().insert(waiter, sender);
+        let _guard = WaiterGuard { dispatcher: Rc::clone(self), entry, waiter };
+        tokio::select! {
+            biased;
+            answer = answer => answer.unwrap_or(UNANSWERED),
+            // The first caller may have a later deadline than this one, so the request may have run.
+            () = sleep_until(deadline + Duration::from_millis(50)) => UNANSWERED,
+        }
+    }
+
+    fn finish(&self, entry: EntryId, answer: Answer, trace: Trace) {
+        let (result, size) = match &answer {
+            Answer::Served(response) => match (response.buffered_copy(), response.buffered_size()) {
+                (Some(response), Some(size)) => {
+                    (Ending::Served(Rc::new(StoredResponse { response, trace })), size)
+                }
+                _ => (Ending::ServedNotKept, 0),
+            },
+            Answer::Rejected(_) => (Ending::Refused, 0),
+            Answer::Failed => (Ending::Failed, 0),
+        };
+        // Waiters get the response even if it is too long for the ledger to store.
+        let shared = result.clone();
+        let waiters = self.ledger.borrow_mut().ended(self.driver.now(), entry, result, size);
+        let mut answer = Some((answer, trace));
+        for waiter in waiters {
+            let Some(sender) = self.waiters.borrow_mut().remove(&waiter) else { continue };
+            let _ = sender.send(answer.take().unwrap_or_else(|| stored_answer(&shared)));
+        }
+    }
+}
+
+/// Returns the answer for a repeat of a finished request.
+fn stored_answer(result: &Ending<Rc<StoredResponse>>) -> TracedAnswer {
+    match result {
+        Ending::Served(stored) => stored.to_answer(),
+        Ending::ServedNotKept | Ending::Failed => (Answer::Failed, Trace::default()),
+        Ending::Refused => (Answer::Rejected(Some(LEDGER_FULL_RETRY_AFTER)), Trace::default()),
+    }
+}
--- a/crates/eureka/src/client.rs
+++ b/crates/eureka/src/client.rs
@@ -130,7 +130,7 @@
                 Some(connection) if !connection.is_closed() => connection,
                 _ => Connection::open(self.replica, ()).await.map_err(broken)?,
             };
-            if !connection.is_usable().await {
+            if !connection.ready().await {
                 connection = Connection::open(self.replica, ()).await.map_err(broken)?;
             }
             let mut request = Request::builder()
@@ -146,7 +146,7 @@
             if !body.is_empty() {
                 request = request.header(CONTENT_TYPE, "application/json").header(CONTENT_LENGTH, body.len());
             }
-            let request = request.body(connection.outbound(&Payload::Whole(body))).map_err(broken)?;
+            let request = request.body(connection.outbound(&Payload::Buffered(body))).map_err(broken)?;
             let response = connection.send(request).await.map_err(broken)?;
             let (parts, body) = response.into_parts();
             let text = |name| parts.headers.get(name).and_then(|v| v.to_str().ok()).map(str::to_owned);
