--- a/crates/config/src/places.rs
+++ b/crates/config/src/places.rs
@@ -174,16 +174,16 @@
     let mut bounds = maplehook_failover::Bounds::default();
     let table = &mut taken;
     if let Some(share) = ranged!(reader, table, "most_away", 0.0..=1.0f64, "0 to 1") {
-        bounds.most_away = share;
+        bounds.max_capacity_removed = share;
     }
     if let Some(least) = ranged!(reader, table, "least_in_service", 1..=64usize, "1 to 64") {
-        bounds.least_in_service = least;
+        bounds.min_zones_in_service = least;
     }
     if let Some(share) = ranged!(reader, table, "most_moved_per_s", 0.01..=1.0f64, "0.01 to 1") {
-        bounds.most_moved_per_s = share;
+        bounds.max_moved_per_s = share;
     }
     if let Some(share) = ranged!(reader, table, "shared_cause", 0.1..=1.0f64, "0.1 to 1") {
-        bounds.shared_cause = share;
+        bounds.shared_cause_share = share;
     }
     reader.done(taken);
     bounds
@@ -281,7 +281,7 @@
         let places = proxy.places.unwrap();
         assert_eq!(places.topology.zone_name(places.own), "a");
         assert_eq!(places.topology.trip(Zone(0), Zone(1)), Some(Duration::from_micros(1500)));
-        assert_eq!(places.bounds.most_away, 0.3);
+        assert_eq!(places.bounds.max_capacity_removed, 0.3);
         assert_eq!(places.addresses[0].sites, [Region(1), Region(0)]);
         // Without regions all zones lie in one, in the order of their names, whichever the own one is.
         let alone = crate::parse(&format!("{FILE}[locality]\n")).unwrap().proxy.unwrap().places.unwrap();
--- a/crates/failover-agent/src/act.rs
+++ b/crates/failover-agent/src/act.rs
@@ -5,7 +5,7 @@
 use crate::run::Runner;
 use crate::shown::{ShownRow, ShownShare};
 use crate::taking::Acted;
-use maplehook_failover::{Acts, Shares, WHOLE};
+use maplehook_failover::{EffectiveRouting, FULL_SHARE, Shares};
 use maplehook_history_checker::What;
 use maplehook_history_checker::record::ActedRow;
 use std::sync::Arc;
@@ -26,10 +26,10 @@
             return;
         }
         let rows = rows(&config, &acted.acts);
-        let (epoch, in_common) = (acted.acts.epoch, acted.acts.in_common);
+        let (epoch, in_common) = (acted.acts.epoch, acted.acts.uses_shared_plan);
         let before = self.noted.replace((epoch, in_common));
         if before != Some((epoch, in_common)) {
-            tracing::info!(epoch, in_common, "acts by: {}", acted.acts.why);
+            tracing::info!(epoch, in_common, "acts by: {}", acted.acts.reason);
         }
         if self.board.writer.is_on() {
             // Of what is agreed on, the plan's own rows: what an absent row comes to follows each balancer's evidence.
@@ -40,7 +40,7 @@
         }
         self.stands.send_modify(|stands| {
             stands.config = Some(config);
-            (stands.in_common, stands.acts, stands.by) = (in_common, rows, acted.acts.why.to_owned());
+            (stands.in_common, stands.acts, stands.by) = (in_common, rows, acted.acts.reason.to_owned());
         });
         if before.is_none_or(|(before, _)| before != epoch) && epoch > 0 {
             let shown = shown(&self.stands.borrow(), Some(&self.standing()));
@@ -65,7 +65,7 @@
             to: row
                 .to
                 .iter()
-                .map(|share| (share.zone.clone(), (share.share * f64::from(WHOLE)).round() as u16))
+                .map(|share| (share.zone.clone(), (share.share * f64::from(FULL_SHARE)).round() as u16))
                 .collect(),
         };
         let rows = rows.map(row).collect();
@@ -74,7 +74,7 @@
 }
 
 /// What is acted on, as it is shown.
-fn rows(config: &Config, acts: &Acts) -> Vec<ShownRow> {
+fn rows(config: &Config, acts: &EffectiveRouting) -> Vec<ShownRow> {
     let (topology, rules) = (&config.topology, config.rules.all());
     let from = topology.zone_name(config.own);
     let row = |(rule, shares): (usize, &Shares)| ShownRow {
--- a/crates/failover-agent/src/lead.rs
+++ b/crates/failover-agent/src/lead.rs
@@ -5,7 +5,7 @@
 use crate::talk::{Agreed, Reply, Wish};
 use maplehook_address_announcement::{self as addresses, SiteHealth};
 use maplehook_cluster::hash::fnv1a;
-use maplehook_failover::trips::{Measured, Measuring, Way};
+use maplehook_failover::rtt::{PeerRtt, RttEstimator, RttTable};
 use maplehook_failover::{self as failover, Report};
 use maplehook_locality::{Region, Zone};
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
     config: Config,
     places: failover::Decider,
     addresses: addresses::Decider,
-    measuring: Measuring,
+    measuring: RttEstimator,
     /// What stands in the log, as far as this leader knows.
     stands: Agreed,
     /// What is on its way there.
@@ -44,17 +44,17 @@
         );
         let addresses =
             addresses::Decider::new(config.addresses.clone(), config.sites(), Some(&stands.addresses), now);
-        places.measured(&stands.trips);
-        let measuring = Measuring::new(&stands.trips, &config.topology);
+        places.set_rtt_table(&stands.trips);
+        let measuring = RttEstimator::new(&stands.trips, &config.topology);
         Self { config, places, addresses, measuring, stands, proposed: None, zones: BTreeMap::new() }
     }
 
     /// Other rules or places are in force.
     pub fn retune(&mut self, config: Config, now: Duration) {
-        self.places.retune(config.topology.clone(), config.rules.clone(), now);
+        self.places.reconfigure(config.topology.clone(), config.rules.clone(), now);
         self.places.set_bounds(config.bounds);
         self.addresses.retune(config.addresses.clone(), config.sites(), now);
-        self.measuring = Measuring::new(&self.measuring.table(&self.config.topology), &config.topology);
+        self.measuring = RttEstimator::new(&self.measuring.table(&self.config.topology), &config.topology);
         self.config = config;
         // Zones are counted anew.
         self.zones.clear();
@@ -71,13 +71,13 @@
         if known && report.digest == self.config.digest {
             self.zones.insert(from.to_owned(), (report.zone, report.ready, now));
         }
-        self.places.hear(now, from, report);
+        self.places.record_report(now, from, report);
     }
 
     /// What a balancer measured of ways to others.
-    pub fn hear_trips(&mut self, now: Duration, from: &str, ways: &[Way]) {
+    pub fn hear_trips(&mut self, now: Duration, from: &str, ways: &[PeerRtt]) {
         if self.zones.contains_key(from) {
-            self.measuring.hear(now, from, ways);
+            self.measuring.record(now, from, ways);
         }
     }
 
@@ -97,7 +97,7 @@
         self.zones.retain(|_, (.., at)| now.saturating_sub(*at) < REMEMBERED);
         let members: Vec<(String, Zone)> =
             self.zones.iter().map(|(name, (zone, ..))| (name.clone(), *zone)).collect();
-        self.places.members(&members, without);
+        self.places.set_members(&members, without);
         let places = self.places.tick(now);
         let sites = self.sites(now);
         let behind = self.behind(behind);
@@ -115,7 +115,7 @@
     }
 
     /// Another table of round trips than the one that stands.
-    fn trips(&mut self, now: Duration) -> Option<Measured> {
+    fn trips(&mut self, now: Duration) -> Option<RttTable> {
         let by_digest = self.zones.iter().map(|(name, (zone, ..))| (fnv1a(name.as_bytes()), *zone)).collect();
         self.measuring.tick(now, |name| self.zones.get(name).map(|(zone, ..)| *zone), &by_digest);
         Some(self.measuring.table(&self.config.topology)).filter(|table| *table != self.stands.trips)
@@ -182,7 +182,7 @@
             return None;
         }
         self.places.accepted(&proposed.places);
-        self.places.measured(&proposed.trips);
+        self.places.set_rtt_table(&proposed.trips);
         self.addresses.accepted(&proposed.addresses);
         self.stands = proposed;
         Some(&self.stands)
@@ -220,9 +220,9 @@
 }
 
 /// What is not known yet may be soon.
-fn not_now(why: failover::Refusal) -> Reply {
+fn not_now(why: failover::OrderError) -> Reply {
     match why {
-        failover::Refusal::NothingKnown => Reply::Unavailable(why.to_string()),
+        failover::OrderError::NoReportsYet => Reply::Unavailable(why.to_string()),
         _ => refused(why),
     }
 }
--- a/crates/failover-agent/src/probe.rs
+++ b/crates/failover-agent/src/probe.rs
@@ -3,7 +3,7 @@
 //! A zone that serves its own alone has no other observers; without them nobody could tell a lost zone from a balancer with a
 //! bad network. A probe is a connection that is closed at once: it costs an upstream no request.
 
-use maplehook_failover::Sight;
+use maplehook_failover::ZoneObservation;
 use maplehook_locality::Zone;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -99,7 +99,7 @@
     }
 
     /// Adds what is known to what requests have shown.
-    pub(crate) fn add(&self, sights: &mut [Sight]) {
+    pub(crate) fn add(&self, sights: &mut [ZoneObservation]) {
         for sight in sights {
             let Some(of_it) = self.last.get(&sight.zone) else { continue };
             let fresh = of_it.iter().filter(|(at, _)| at.elapsed() < FRESH);
@@ -111,7 +111,7 @@
                     None => failed += 1.0,
                 }
             }
-            (sight.probed, sight.unprobed) = (probed, failed);
+            (sight.probes, sight.failed_probes) = (probed, failed);
             if sight.connect_ms == 0.0 && probed > failed {
                 sight.connect_ms = time.as_secs_f32() * 1e3 / (probed - failed);
             }
@@ -141,9 +141,9 @@
         prober.aim(Zone(0), &[at(0, 1), at(1, 7)]);
         assert_eq!(prober.targets[&Zone(1)], [at(1, 7).1]);
         let unprobed = |prober: &Prober, zone: u16| {
-            let mut sights = [Sight { zone: Zone(zone), ..Sight::default() }];
+            let mut sights = [ZoneObservation { zone: Zone(zone), ..ZoneObservation::default() }];
             prober.add(&mut sights);
-            sights[0].unprobed
+            sights[0].failed_probes
         };
         assert_eq!((unprobed(&prober, 1), unprobed(&prober, 2)), (1.0, 0.0));
         prober.forget();
--- a/crates/failover-agent/src/rates.rs
+++ b/crates/failover-agent/src/rates.rs
@@ -1,7 +1,7 @@
 //! From counters that only rise to rates over the last second: what a report is made of. Pure.
 
-use maplehook_failover::report::OVER;
-use maplehook_failover::{Demand, Sight};
+use maplehook_failover::report::RATE_WINDOW;
+use maplehook_failover::{Demand, ZoneObservation};
 use maplehook_locality::Zone;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -81,7 +81,9 @@
         self.kept.push_back(seen);
         let newest = self.kept.back().map_or(Duration::ZERO, |last| last.at);
         // One that is just older than the span stays: rates are over the whole of it.
-        while self.kept.len() > KEPT || self.kept.get(1).is_some_and(|second| second.at + OVER <= newest) {
+        while self.kept.len() > KEPT
+            || self.kept.get(1).is_some_and(|second| second.at + RATE_WINDOW <= newest)
+        {
             self.kept.pop_front();
         }
     }
@@ -92,7 +94,7 @@
     }
 
     /// What a report says of zones and rules; nothing before there are two snapshots.
-    pub fn rates(&self) -> (Vec<Sight>, Vec<Demand>) {
+    pub fn rates(&self) -> (Vec<ZoneObservation>, Vec<Demand>) {
         let (Some(first), Some(last)) = (self.kept.front(), self.kept.back()) else {
             return Default::default();
         };
@@ -104,12 +106,12 @@
         let rate = |now: u64, before: u64| (now.saturating_sub(before) as f64 / span) as f32;
         let sight = |z: &ZoneSeen| {
             let before = first.zones.iter().find(|other| other.zone == z.zone).copied().unwrap_or_default();
-            Sight {
+            ZoneObservation {
                 zone: z.zone,
                 stated: z.stated,
                 listed: z.listed as f32,
                 usable: z.usable as f32,
-                cold: z.cold as f32,
+                warming: z.cold as f32,
                 sent: rate(z.sent, before.sent),
                 ok: rate(z.ok, before.ok),
                 slow: rate(z.slow, before.slow),
@@ -117,14 +119,14 @@
                 unreached: rate(z.unreached, before.unreached),
                 connect_ms: z.connect_ms as f32,
                 load: z.load as f32,
-                ..Sight::default()
+                ..ZoneObservation::default()
             }
         };
         let demand = |(rule, seen): (usize, &RuleSeen)| {
             let before = first.rules.get(rule).copied().unwrap_or_default();
             let asked = rate(seen.asked, before.asked);
-            let refused = rate(seen.refused, before.refused);
-            (asked > 0.0).then_some(Demand { rule: rule as u16, asked, refused })
+            let rejected = rate(seen.refused, before.refused);
+            (asked > 0.0).then_some(Demand { rule: rule as u16, asked, rejected })
         };
         (last.zones.iter().map(sight).collect(), last.rules.iter().enumerate().filter_map(demand).collect())
     }
@@ -155,7 +157,7 @@
         }
         let (sights, demand) = window.rates();
         assert_eq!((sights[0].zone, sights[0].sent, sights[0].ok), (Zone(1), 50.0, 25.0));
-        assert_eq!(demand, [Demand { rule: 1, asked: 100.0, refused: 0.0 }]);
+        assert_eq!(demand, [Demand { rule: 1, asked: 100.0, rejected: 0.0 }]);
         assert!(window.kept.len() <= 7, "what is older is forgotten");
     }
 
--- a/crates/failover-agent/src/run.rs
+++ b/crates/failover-agent/src/run.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use maplehook_cluster::Name;
 use maplehook_consensus::{PartProposal, ProposalError, SharedDocumentStatus};
-use maplehook_failover::Acting;
+use maplehook_failover::BalancerRouting;
 use maplehook_history_checker::What;
 use maplehook_locality::Zone;
 use std::collections::BTreeMap;
@@ -54,7 +54,7 @@
     pub(crate) prober: Prober,
     /// The list that is probed.
     pub(crate) aims: Option<Arc<Vec<(Zone, SocketAddr)>>>,
-    pub(crate) acting: Option<Acting>,
+    pub(crate) acting: Option<BalancerRouting>,
     pub(crate) agreed: Option<Arc<Agreed>>,
     pub(crate) number: u64,
     pub(crate) leading: Option<Leading>,
@@ -171,14 +171,14 @@
         self.prober.forget();
         self.aims = None;
         match &mut self.acting {
-            Some(acting) => acting.retune(config.topology.clone(), config.rules.clone(), config.own),
+            Some(acting) => acting.reconfigure(config.topology.clone(), config.rules.clone(), config.own),
             None => {
                 let (topology, rules) = (config.topology.clone(), config.rules.clone());
-                let mut acting = Acting::new(topology, rules, config.own, now);
-                acting.balancers(self.setup.balancers);
+                let mut acting = BalancerRouting::new(topology, rules, config.own, now);
+                acting.set_balancer_count(self.setup.balancers);
                 if let Some(agreed) = &self.agreed {
-                    acting.measured(&agreed.trips);
-                    acting.agreed(&agreed.places);
+                    acting.set_rtt_table(&agreed.trips);
+                    acting.set_document(&agreed.places);
                 }
                 self.acting = Some(acting);
             }
@@ -197,8 +197,8 @@
                 Some(agreed) => {
                     self.note_agreed(&agreed);
                     if let Some(acting) = &mut self.acting {
-                        acting.measured(&agreed.trips);
-                        acting.agreed(&agreed.places);
+                        acting.set_rtt_table(&agreed.trips);
+                        acting.set_document(&agreed.places);
                     }
                     (self.agreed, self.number) = (Some(Arc::new(agreed)), common.number);
                     self.stands.send_modify(|stands| {
--- a/crates/failover-agent/src/sees.rs
+++ b/crates/failover-agent/src/sees.rs
@@ -2,7 +2,7 @@
 
 use crate::rates::Seen;
 use crate::run::Runner;
-use maplehook_failover::{Demand, Sight};
+use maplehook_failover::{Demand, ZoneObservation};
 use std::sync::Arc;
 
 impl Runner {
@@ -18,7 +18,7 @@
     }
 
     /// What is seen of zones and asked for by rules, by requests and by probes.
-    pub(crate) fn sights(&self) -> (Vec<Sight>, Vec<Demand>) {
+    pub(crate) fn sights(&self) -> (Vec<ZoneObservation>, Vec<Demand>) {
         let (mut sights, demand) = self.window.rates();
         self.prober.add(&mut sights);
         (sights, demand)
--- a/crates/failover-agent/src/shown.rs
+++ b/crates/failover-agent/src/shown.rs
@@ -2,8 +2,8 @@
 
 use crate::config::Config;
 use crate::talk::Agreed;
-use maplehook_failover::WHOLE;
-use maplehook_failover::trips::Measured;
+use maplehook_failover::FULL_SHARE;
+use maplehook_failover::rtt::RttTable;
 use maplehook_locality::Topology;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -106,9 +106,9 @@
 }
 
 /// Ways that are known, by these zones and by what was measured in common.
-pub(crate) fn trips(topology: &Topology, measured: Option<&Measured>) -> Vec<ShownTrip> {
+pub(crate) fn trips(topology: &Topology, measured: Option<&RttTable>) -> Vec<ShownTrip> {
     let mut known = topology.clone();
-    known.set_measured(measured.into_iter().flat_map(|measured| measured.of(topology)));
+    known.set_measured(measured.into_iter().flat_map(|measured| measured.resolve(topology)));
     let pairs = topology.zones().flat_map(|a| topology.zones().filter(move |b| a < *b).map(move |b| (a, b)));
     let trip = |(a, b)| {
         Some(ShownTrip {
@@ -128,14 +128,14 @@
         let document = &agreed.places;
         let topology = &config.topology;
         let zone = |n: usize| document.zones.get(n).cloned().unwrap_or_default();
-        let places = document.places.iter().enumerate().map(|(n, place)| {
+        let places = document.zone_statuses.iter().enumerate().map(|(n, place)| {
             let name = zone(n);
             let region = topology.zone(&name).map(|zone| topology.region_name(topology.region_of(zone)));
             ShownPlace {
                 region: region.unwrap_or_default().to_owned(),
                 zone: name,
-                state: place.state.word().into(),
-                why: place.why.clone(),
+                state: place.state.as_str().into(),
+                why: place.reason.clone(),
                 usable: place.usable,
                 load: place.load,
                 since_ms: place.since_ms.saturating_add(age),
@@ -150,20 +150,20 @@
                 .iter()
                 .map(|share| ShownShare {
                     zone: zone(usize::from(share.zone.0)),
-                    share: f64::from(share.part) / f64::from(WHOLE),
+                    share: f64::from(share.part) / f64::from(FULL_SHARE),
                 })
                 .collect(),
         });
         let evacuated = document.evacuations.iter().map(|evacuation| {
             let zones = evacuation.zones.iter().map(|of| zone(usize::from(of.0))).collect();
-            (zones, evacuation.by.clone(), evacuation.left_ms.map(|left| left.saturating_sub(age)))
+            (zones, evacuation.by.clone(), evacuation.remaining_ms.map(|left| left.saturating_sub(age)))
         });
         Self {
             epoch: document.plan.epoch,
             places: places.collect(),
             plan: rows.collect(),
             evacuated: evacuated.collect(),
-            held: document.held.as_ref().map(|held| held.by.clone()),
+            held: document.hold.as_ref().map(|held| held.by.clone()),
             shared_cause: document.shared_cause.clone(),
             ..Self::default()
         }
--- a/crates/failover-agent/src/taking.rs
+++ b/crates/failover-agent/src/taking.rs
@@ -6,7 +6,7 @@
 use crate::rates::Seen;
 use crate::run::Runner;
 use maplehook_consensus::{PartChannels, SharedDocumentStatus};
-use maplehook_failover::Acts;
+use maplehook_failover::EffectiveRouting;
 use maplehook_transport::MeasuredRtts;
 use std::collections::VecDeque;
 use std::path::PathBuf;
@@ -67,7 +67,7 @@
     /// What it rests on.
     pub config: Arc<Config>,
     /// Shares, rule by rule.
-    pub acts: Acts,
+    pub acts: EffectiveRouting,
 }
 
 impl Taking {
--- a/crates/failover-agent/src/talk.rs
+++ b/crates/failover-agent/src/talk.rs
@@ -2,7 +2,7 @@
 
 use maplehook_address_announcement::State;
 use maplehook_failover::Document;
-use maplehook_failover::trips::{Measured, Way};
+use maplehook_failover::rtt::{PeerRtt, RttTable};
 use serde::{Deserialize, Serialize};
 
 /// All that is agreed on beside versions: one body in the agreement's log.
@@ -13,7 +13,7 @@
     /// Service addresses.
     pub addresses: State,
     /// Round trips between zones. Programs that know none leave it out, and read what stands before it.
-    pub trips: Measured,
+    pub trips: RttTable,
 }
 
 impl Agreed {
@@ -26,7 +26,7 @@
     /// From the log; `None` for what is none, as of a later program.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let ((places, addresses), rest) = postcard::take_from_bytes(bytes).ok()?;
-        let trips = if rest.is_empty() { Measured::default() } else { postcard::from_bytes(rest).ok()? };
+        let trips = if rest.is_empty() { RttTable::default() } else { postcard::from_bytes(rest).ok()? };
         let agreed = Self { places, addresses, trips };
         let sound = agreed.places.is_sound() && agreed.addresses.is_sound() && agreed.trips.is_sound();
         sound.then_some(agreed)
@@ -114,5 +114,5 @@
         reply: Reply,
     },
     /// Round trips to other balancers. A message of its own: reports stay as programs before it read them.
-    Trips(Vec<Way>),
+    Trips(Vec<PeerRtt>),
 }
--- a/crates/failover-agent/src/tell.rs
+++ b/crates/failover-agent/src/tell.rs
@@ -7,8 +7,8 @@
 use maplehook_cluster::Name;
 use maplehook_cluster::hash::fnv1a;
 use maplehook_consensus::SHARED_DOCUMENT_TOPIC;
-use maplehook_failover::trips::{PEERS_MOST, Way};
-use maplehook_failover::{Acting, Report, Sight};
+use maplehook_failover::rtt::{MAX_PEERS, PeerRtt};
+use maplehook_failover::{BalancerRouting, Report, ZoneObservation};
 use maplehook_transport::frames::Message;
 use std::time::Instant;
 
@@ -35,7 +35,7 @@
     pub(crate) fn report(&mut self) {
         let (Some(config), Some(last)) = (self.config(), self.window.last()) else { return };
         let ready = last.ready;
-        let (sights, demand) = self.sights();
+        let (observations, demand) = self.sights();
         self.reports += 1;
         let report = Report {
             number: self.reports,
@@ -44,9 +44,9 @@
             digest: config.digest,
             epoch: self.noted.filter(|(_, common)| *common).map_or(0, |(epoch, _)| epoch),
             ready,
-            sights,
+            observations,
             demand,
-            out_ms: self.acting.as_ref().map(Acting::out_ms).unwrap_or_default(),
+            out_ms: self.acting.as_ref().map(BalancerRouting::unreachable_ms).unwrap_or_default(),
         };
         let now = self.now();
         if let Some(leading) = &mut self.leading {
@@ -59,11 +59,11 @@
     /// Round trips to other balancers, to whoever leads.
     pub(crate) fn tell_trips(&mut self) {
         let Some(trips) = &self.setup.trips else { return };
-        let way = |(name, took): &(Name, std::time::Duration)| Way {
+        let way = |(name, took): &(Name, std::time::Duration)| PeerRtt {
             peer: fnv1a(name.as_str().as_bytes()),
             ms: took.as_secs_f32() * 1e3,
         };
-        let ways: Vec<Way> = trips.borrow().iter().take(PEERS_MOST).map(way).collect();
+        let ways: Vec<PeerRtt> = trips.borrow().iter().take(MAX_PEERS).map(way).collect();
         let now = self.now();
         if let Some(leading) = &mut self.leading {
             leading.hear_trips(now, &self.setup.name, &ways);
@@ -75,8 +75,9 @@
     /// Share of the own clients' demand that is served, by own evidence.
     pub(crate) fn served(&mut self) {
         let (sights, demand) = self.sights();
-        let sum = |of: &dyn Fn(&Sight) -> f32| sights.iter().map(of).sum::<f32>();
-        let (asked, refused) = demand.iter().fold((0.0f32, 0.0f32), |(a, r), d| (a + d.asked, r + d.refused));
+        let sum = |of: &dyn Fn(&ZoneObservation) -> f32| sights.iter().map(of).sum::<f32>();
+        let (asked, refused) =
+            demand.iter().fold((0.0f32, 0.0f32), |(a, r), d| (a + d.asked, r + d.rejected));
         let admitted = if asked > 0.0 { ((asked - refused) / asked).clamp(0.0, 1.0) } else { 1.0 };
         let (ok, bad) = (sum(&|s| s.ok), sum(&|s| s.slow + s.failed + s.unreached));
         let answered = if ok + bad > 0.0 { ok / (ok + bad) } else { 1.0 };
--- a/crates/failover-agent/tests/leading.rs
+++ b/crates/failover-agent/tests/leading.rs
@@ -1,6 +1,6 @@
 //! The leader's part, without its thread: what it has agreed on, one body at a time, and operators' wishes by name.
 
-use maplehook_failover::{Demand, PlaceState, Report, Sight};
+use maplehook_failover::{Demand, Report, ZoneObservation, ZoneState};
 use maplehook_failover_agent::Config;
 use maplehook_failover_agent::lead::Leading;
 use maplehook_failover_agent::talk::{Agreed, Reply, Wish};
@@ -78,15 +78,15 @@
     }
 
     fn report(&self, zone: Zone) -> Report {
-        let sight = |to: u16| Sight {
+        let sight = |to: u16| ZoneObservation {
             zone: Zone(to),
             stated: true,
             listed: 100.0,
             usable: 100.0,
             sent: if Zone(to) == zone { 20.0 } else { 0.0 },
             ok: if Zone(to) == zone { 20.0 } else { 0.0 },
-            probed: if Zone(to) == zone { 0.0 } else { 3.0 },
-            ..Sight::default()
+            probes: if Zone(to) == zone { 0.0 } else { 3.0 },
+            ..ZoneObservation::default()
         };
         Report {
             number: self.number,
@@ -94,8 +94,8 @@
             zone,
             digest: self.config.digest,
             ready: true,
-            sights: (0..4).map(sight).collect(),
-            demand: vec![Demand { rule: 0, asked: 20.0, refused: 0.0 }],
+            observations: (0..4).map(sight).collect(),
+            demand: vec![Demand { rule: 0, asked: 20.0, rejected: 0.0 }],
             ..Report::default()
         }
     }
@@ -112,7 +112,7 @@
 #[test]
 fn calm_is_agreed_on_and_one_site_announces() {
     let led = Led::new();
-    assert!(led.agreed.places.places.iter().all(|place| place.state == PlaceState::Serving));
+    assert!(led.agreed.places.zone_statuses.iter().all(|place| place.state == ZoneState::Serving));
     assert!(led.agreed.places.plan.rows.is_empty());
     assert_eq!(led.agreed.addresses.addresses["book"].holder.as_deref(), Some("n"));
 }
@@ -142,7 +142,7 @@
     assert!(led.leading.tick(led.now, &[], &[]).is_none());
     led.agreed = led.leading.ended(true).cloned().unwrap();
     led.run(10);
-    assert_eq!(led.agreed.places.places[1].state, PlaceState::Evacuated);
+    assert_eq!(led.agreed.places.zone_statuses[1].state, ZoneState::Evacuated);
     let row = led.agreed.places.plan.row(0, Zone(1)).unwrap();
     assert_eq!((row.part(Zone(0)), row.part(Zone(1))), (10_000, 0), "the neighbour has room");
     let other = led.wish(&Wish::Release { place: Some("a".into()) });
@@ -165,8 +165,8 @@
 }
 
 /// What one says of its ways: 2 ms to its own region, so long to the other one.
-fn ways(own: usize, far_ms: f32) -> Vec<maplehook_failover::trips::Way> {
-    let way = |zone: usize| maplehook_failover::trips::Way {
+fn ways(own: usize, far_ms: f32) -> Vec<maplehook_failover::rtt::PeerRtt> {
+    let way = |zone: usize| maplehook_failover::rtt::PeerRtt {
         peer: maplehook_cluster::hash::fnv1a(format!("b{zone}0").as_bytes()),
         ms: if zone / 2 == own / 2 { 2.0 } else { far_ms },
     };
@@ -192,10 +192,10 @@
     led.leading.hear_trips(led.now, "stranger", &ways(0, 9.0));
     let took = measured(&mut led, 30, 12.0).expect("a table");
     assert!((12..=15).contains(&took), "5 s of 400 ms each, and not {took}");
-    let (epoch, of) = (led.agreed.places.plan.epoch, |trips: &maplehook_failover::trips::Measured, a, b| {
-        trips.trips.iter().find(|trip| (trip.a, trip.b) == (a, b)).map(|trip| trip.us)
+    let (epoch, of) = (led.agreed.places.plan.epoch, |trips: &maplehook_failover::rtt::RttTable, a, b| {
+        trips.rtts.iter().find(|trip| (trip.a, trip.b) == (a, b)).map(|trip| trip.us)
     });
-    assert_eq!(led.agreed.trips.trips.len(), 6);
+    assert_eq!(led.agreed.trips.rtts.len(), 6);
     assert_eq!(of(&led.agreed.trips, 0, 1), Some(2000));
     assert_eq!(of(&led.agreed.trips, 0, 2), Some(12_000));
     assert_eq!(measured(&mut led, 10, 12.9), None, "no more than a jitter");
@@ -223,7 +223,7 @@
     assert_eq!(read, Agreed { trips: Default::default(), ..led.agreed.clone() });
     assert!(Agreed::decode(&body[..body.len() - 1]).is_none(), "cut short");
     let mut wild = led.agreed;
-    wild.trips.trips.reverse();
+    wild.trips.rtts.reverse();
     assert!(Agreed::decode(&wild.encode()).is_none());
 }
 
--- a/crates/failover/src/pouring.rs
+++ b/crates/failover/src/assignment.rs
@@ -1,7 +1,7 @@
 //! Two places never pour into each other: what would cross is swapped back, and where a rule forbids that, the lesser way is closed.
 
 use crate::flow::{Flows, Ground, waterfall};
-use crate::ladders::{Ladders, Zones};
+use crate::priorities::{PriorityLists, Zones};
 use maplehook_locality::Zone;
 
 /// A flow that crosses: shape and zone.
@@ -9,7 +9,7 @@
 
 /// Rooms as a question takes them: what each zone can be given, what at last, and who reaches whom.
 #[derive(Clone, Copy, Debug)]
-pub struct Rooms<'a> {
+pub struct AvailableCapacity<'a> {
     /// See [`Ground::room`].
     pub room: &'a [f64],
     /// See [`Ground::last`].
@@ -20,21 +20,21 @@
 
 /// The best split of what is asked for by rule and source, and what that comes to by shape: no plan before it binds it. `open`:
 /// whether full first steps spill at their thresholds.
-pub fn split(
-    ladders: &Ladders,
-    rooms: Rooms<'_>,
+pub fn assign(
+    priorities: &PriorityLists,
+    rooms: AvailableCapacity<'_>,
     open: bool,
     demand: impl IntoIterator<Item = ((u16, Zone), f64)>,
 ) -> (Flows, Vec<f64>) {
-    let mut asked = vec![0.0; ladders.shapes.len()];
+    let mut asked = vec![0.0; priorities.lists.len()];
     for ((rule, from), rate) in demand {
-        if let Some(n) = ladders.shape(rule, from) {
+        if let Some(n) = priorities.list_index(rule, from) {
             asked[n] += rate;
         }
     }
     let open = vec![open; asked.len()];
-    let Rooms { room, last, reach } = rooms;
-    let ground = Ground { ladders, room, last, reach, open: &open, asked: &asked };
+    let AvailableCapacity { room, last, reach } = rooms;
+    let ground = Ground { priorities, room, last, reach, open: &open, asked: &asked };
     (best(&ground), asked)
 }
 
@@ -47,8 +47,8 @@
 
 /// Takes out what regions, and then zones, would send each other both ways. What a rule names first is its wish and no spill.
 pub fn undo(ground: &Ground<'_>, flows: &mut Flows) {
-    let regions = &ground.ladders.region_of;
-    undo_between(ground, flows, regions, ground.ladders.regions.len());
+    let regions = &ground.priorities.region_of;
+    undo_between(ground, flows, regions, ground.priorities.regions.len());
     let zones: Vec<usize> = (0..ground.room.len()).collect();
     undo_between(ground, flows, &zones, zones.len());
 }
@@ -57,7 +57,7 @@
     let nothing = ground.nothing();
     let mut crossing: Vec<Vec<Crossing>> = vec![Vec::new(); groups * groups];
     for (n, to) in flows.to.iter().enumerate() {
-        let shape = &ground.ladders.shapes[n];
+        let shape = &ground.priorities.lists[n];
         let here = group_of[usize::from(shape.from.0)];
         let first = shape.steps.first().copied().unwrap_or(0);
         if to.zones() & !first == 0 {
@@ -94,7 +94,7 @@
 /// Who crosses one way takes the place of who crosses the other: loads stay as they are. First each in proportion, so that none
 /// is put before another, then what is left of those that can.
 fn swap(ground: &Ground<'_>, flows: &mut Flows, there: &[Crossing], back: &[Crossing]) {
-    let usable = |n: usize, zone: usize| ground.usable(&ground.ladders.shapes[n]) >> zone & 1 == 1;
+    let usable = |n: usize, zone: usize| ground.usable(&ground.priorities.lists[n]) >> zone & 1 == 1;
     let rates =
         |flows: &Flows, way: &[Crossing]| way.iter().map(|(n, z)| flows.sent(*n, *z)).collect::<Vec<_>>();
     let (out, home) = (rates(flows, there), rates(flows, back));
--- a/crates/failover/src/acting.rs
+++ b/crates/failover/src/balancer_routing.rs
@@ -4,12 +4,12 @@
 //! was agreed on as spare, so that the sum over all sides stays within the room. Without any plan ever: near first, and a fixed
 //! cautious part of what can be seen.
 
-use crate::document::{Document, PlaceState, WHOLE};
-use crate::evidence::Word;
-use crate::ladders::{Ladders, Zones, bit, each};
+use crate::document::{Document, FULL_SHARE, ZoneState};
+use crate::evidence::Verdict;
 use crate::names;
-use crate::report::{Demand, Sight};
-use crate::trips::Measured;
+use crate::priorities::{PriorityLists, Zones, each, zone_bit};
+use crate::report::{Demand, ZoneObservation};
+use crate::rtt::RttTable;
 use maplehook_locality::{Rules, Topology, Zone};
 use std::time::Duration;
 
@@ -35,16 +35,16 @@
     /// By zone, as parts of all.
     pub to: Vec<(Zone, f64)>,
     /// What is refused, as a part of all.
-    pub refused: f64,
+    pub rejected: f64,
 }
 
 /// What a balancer acts on.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Acts {
+pub struct EffectiveRouting {
     /// Whether it acts on what is agreed on in common.
-    pub in_common: bool,
+    pub uses_shared_plan: bool,
     /// Why, in words.
-    pub why: &'static str,
+    pub reason: &'static str,
     /// The epoch of the plan that it goes by.
     pub epoch: u64,
     /// By rule.
@@ -67,118 +67,124 @@
 
 /// The balancer's machine.
 #[derive(Clone, Debug)]
-pub struct Acting {
+pub struct BalancerRouting {
     topology: Topology,
     rules: Rules,
-    ladders: Ladders,
+    priorities: PriorityLists,
     zone: Zone,
     balancers: usize,
     agreed: Option<Document>,
-    measured: Measured,
+    measured: RttTable,
     own: Vec<Own>,
     looked: Duration,
-    acts: Acts,
+    routing: EffectiveRouting,
 }
 
-impl Acting {
+impl BalancerRouting {
     /// For a balancer of this zone.
     pub fn new(topology: Topology, rules: Rules, zone: Zone, now: Duration) -> Self {
-        let ladders = Ladders::new(&topology, &rules);
-        let own = vec![Own::default(); ladders.region_of.len()];
-        let acts = Acts::default();
+        let priorities = PriorityLists::new(&topology, &rules);
+        let own = vec![Own::default(); priorities.region_of.len()];
+        let routing = EffectiveRouting::default();
         Self {
             topology,
             rules,
-            ladders,
+            priorities,
             zone,
             balancers: 1,
             agreed: None,
-            measured: Measured::default(),
+            measured: RttTable::default(),
             own,
             looked: now,
-            acts,
+            routing,
         }
     }
 
     /// Ways between zones as they are agreed on; before the document that comes with them.
-    pub fn measured(&mut self, measured: &Measured) {
+    pub fn set_rtt_table(&mut self, measured: &RttTable) {
         if self.measured != *measured {
             self.measured = measured.clone();
             let (topology, rules) = (self.topology.clone(), self.rules.clone());
-            self.retune(topology, rules, self.zone);
+            self.reconfigure(topology, rules, self.zone);
         }
     }
 
     /// Other places or rules: what was agreed on is carried over by name.
-    pub fn retune(&mut self, mut topology: Topology, rules: Rules, zone: Zone) {
-        topology.set_measured(self.measured.of(&topology.clone()));
-        let ladders = Ladders::new(&topology, &rules);
+    pub fn reconfigure(&mut self, mut topology: Topology, rules: Rules, zone: Zone) {
+        topology.set_measured(self.measured.resolve(&topology.clone()));
+        let priorities = PriorityLists::new(&topology, &rules);
         let old = std::mem::replace(&mut self.topology, topology);
         let own = |new: Zone| {
             let before = old.zone(self.topology.zone_name(new));
             before.and_then(|zone| self.own.get(usize::from(zone.0))).copied().unwrap_or_default()
         };
         self.own = self.topology.zones().map(own).collect();
-        (self.rules, self.ladders, self.zone) = (rules, ladders, zone);
+        (self.rules, self.priorities, self.zone) = (rules, priorities, zone);
         if let Some(agreed) = self.agreed.take() {
-            self.agreed = Some(names::read_with(&agreed, &self.topology, &self.rules, &self.ladders));
+            self.agreed = Some(names::read_with(&agreed, &self.topology, &self.rules, &self.priorities));
         }
     }
 
     /// A document is in force.
-    pub fn agreed(&mut self, document: &Document) {
-        self.agreed = Some(names::read_with(document, &self.topology, &self.rules, &self.ladders));
+    pub fn set_document(&mut self, document: &Document) {
+        self.agreed = Some(names::read_with(document, &self.topology, &self.rules, &self.priorities));
     }
 
     /// How many balancers share what is spare: all that there are, in touch or not, with places or without.
-    pub fn balancers(&mut self, count: usize) {
+    pub fn set_balancer_count(&mut self, count: usize) {
         self.balancers = count.max(1);
     }
 
     /// What was acted on at the last tick.
-    pub fn acts(&self) -> &Acts {
-        &self.acts
+    pub fn routing(&self) -> &EffectiveRouting {
+        &self.routing
     }
 
     /// What to act on now. `lease`: whether the agreement's lease holds; `sights` and `demand` are this balancer's own.
-    pub fn tick(&mut self, now: Duration, lease: bool, sights: &[Sight], demand: &[Demand]) -> &Acts {
-        self.look(now, sights);
-        let in_common = lease && self.agreed.is_some();
-        let why = match (&self.agreed, lease) {
+    pub fn tick(
+        &mut self,
+        now: Duration,
+        lease: bool,
+        observations: &[ZoneObservation],
+        demand: &[Demand],
+    ) -> &EffectiveRouting {
+        self.look(now, observations);
+        let uses_shared_plan = lease && self.agreed.is_some();
+        let reason = match (&self.agreed, lease) {
             (Some(_), true) => "the plan in common",
             (Some(_), false) => "out of touch: the last plan, and own evidence within what is spare",
             (None, _) => "no plan was agreed on yet: near first, and own evidence within a cautious part",
         };
         let mut rules: Vec<Shares> =
-            (0..self.rules.all().len() as u16).map(|rule| self.planned(rule, sights)).collect();
-        if !in_common {
-            self.go_alone(&mut rules, sights, demand);
+            (0..self.rules.all().len() as u16).map(|rule| self.planned(rule, observations)).collect();
+        if !uses_shared_plan {
+            self.go_alone(&mut rules, observations, demand);
         }
         let epoch = self.agreed.as_ref().map_or(0, |agreed| agreed.plan.epoch);
-        self.acts = Acts { in_common, why, epoch, rules };
-        &self.acts
+        self.routing = EffectiveRouting { uses_shared_plan, reason, epoch, rules };
+        &self.routing
     }
 
     /// What a report says of zones that are out of reach without a break, and for how long, in milliseconds.
-    pub fn out_ms(&self) -> Vec<(Zone, u16)> {
+    pub fn unreachable_ms(&self) -> Vec<(Zone, u16)> {
         let for_ms =
             |since: Duration| self.looked.saturating_sub(since).as_millis().min(u128::from(u16::MAX)) as u16;
         let out = |(zone, own): (usize, &Own)| Some((Zone(zone as u16), for_ms(own.out_since?)));
         self.own.iter().enumerate().filter_map(out).collect()
     }
 
-    fn look(&mut self, now: Duration, sights: &[Sight]) {
+    fn look(&mut self, now: Duration, observations: &[ZoneObservation]) {
         // Whoever was stopped has seen nothing meanwhile.
         if now.saturating_sub(self.looked) > LOOK_MOST {
             self.own.iter_mut().for_each(|own| own.out_since = None);
         }
         let passed = now.saturating_sub(self.looked).min(LOOK_MOST);
         self.looked = self.looked.max(now);
-        for sight in sights {
+        for sight in observations {
             let Some(own) = self.own.get_mut(usize::from(sight.zone.0)) else { continue };
-            let word = Word::of(sight);
-            own.out_since = (word == Word::Out).then(|| own.out_since.unwrap_or(now));
-            if word == Word::Out {
+            let verdict = Verdict::of(sight);
+            own.out_since = (verdict == Verdict::Out).then(|| own.out_since.unwrap_or(now));
+            if verdict == Verdict::Out {
                 own.out_for = (own.out_for + passed).min(OUT_AFTER);
                 // What fails when it is tried out has failed again, at the first look.
                 if !own.out && own.out_for >= OUT_AFTER || own.tried {
@@ -191,7 +197,7 @@
                 let since = *own.well_since.get_or_insert(now);
                 let waited = now.saturating_sub(since);
                 // Whoever sends nothing there sees nothing wrong with it, and would try it out again and again.
-                let silent = word <= Word::Quiet;
+                let silent = verdict <= Verdict::Quiet;
                 let doubled = if silent { own.falls.saturating_sub(1) } else { 0 };
                 if own.tried && waited >= TRIED_FOR {
                     (own.out, own.tried, own.well_since) = (false, false, Some(now));
@@ -205,17 +211,18 @@
     }
 
     /// The plan's row, else the rule's first step by what is usable of its zones.
-    fn planned(&self, rule: u16, sights: &[Sight]) -> Shares {
+    fn planned(&self, rule: u16, observations: &[ZoneObservation]) -> Shares {
         if let Some(row) = self.agreed.as_ref().and_then(|agreed| agreed.plan.row(rule, self.zone)) {
-            let part = |part: u16| f64::from(part) / f64::from(WHOLE);
+            let part = |part: u16| f64::from(part) / f64::from(FULL_SHARE);
             let to: Vec<(Zone, f64)> = row.to.iter().map(|share| (share.zone, part(share.part))).collect();
             let sent: f64 = to.iter().map(|(_, part)| part).sum();
-            return Shares { to, refused: (1.0 - sent).max(0.0) };
+            return Shares { to, rejected: (1.0 - sent).max(0.0) };
         }
-        let first = self.ladders.shape(rule, self.zone).and_then(|n| self.ladders.shapes[n].steps.first());
+        let first =
+            self.priorities.list_index(rule, self.zone).and_then(|n| self.priorities.lists[n].steps.first());
         let step = first.copied().unwrap_or(0);
         let usable = |zone: usize| {
-            let sight = sights.iter().find(|sight| usize::from(sight.zone.0) == zone);
+            let sight = observations.iter().find(|sight| usize::from(sight.zone.0) == zone);
             sight.map_or(0.0, |sight| f64::from(sight.usable)).max(0.0)
         };
         let all: f64 = each(step).map(usable).sum();
@@ -223,23 +230,23 @@
         let part = |zone: usize| if all > 0.0 { usable(zone) / all } else { even };
         let to: Vec<(Zone, f64)> =
             each(step).map(|zone| (Zone(zone as u16), part(zone))).filter(|(_, part)| *part > 0.0).collect();
-        Shares { refused: if to.is_empty() { 1.0 } else { 0.0 }, to }
+        Shares { rejected: if to.is_empty() { 1.0 } else { 0.0 }, to }
     }
 
     /// Moves what can't be served where it is to where there is something to spare.
-    fn go_alone(&self, rules: &mut [Shares], sights: &[Sight], demand: &[Demand]) {
+    fn go_alone(&self, rules: &mut [Shares], observations: &[ZoneObservation], demand: &[Demand]) {
         let zones = self.own.len();
         let state = |zone: usize| {
             self.agreed
                 .as_ref()
-                .and_then(|agreed| agreed.places.get(zone))
-                .map_or(PlaceState::Serving, |p| p.state)
+                .and_then(|agreed| agreed.zone_statuses.get(zone))
+                .map_or(ZoneState::Serving, |p| p.state)
         };
-        let closed = |zone: usize| matches!(state(zone), PlaceState::Lost | PlaceState::Evacuated);
-        let seen = |zone: usize| sights.iter().find(|sight| usize::from(sight.zone.0) == zone);
+        let closed = |zone: usize| matches!(state(zone), ZoneState::Unreachable | ZoneState::Evacuated);
+        let seen = |zone: usize| observations.iter().find(|sight| usize::from(sight.zone.0) == zone);
         let alive = |zone: usize| {
             !self.own[zone].out
-                && seen(zone).is_some_and(|sight| !Word::of(sight).is_bad() && sight.listed > 0.0)
+                && seen(zone).is_some_and(|sight| !Verdict::of(sight).is_bad() && sight.listed > 0.0)
         };
         // Who sees nothing well has bad eyes: it stays with what it has.
         if !(0..zones).any(alive) {
@@ -255,10 +262,10 @@
         let total: f64 = (0..rules.len()).map(asked).sum();
         let mut spare: Vec<f64> = (0..zones).map(|zone| self.spare(zone, seen(zone), total)).collect();
         for (n, shares) in rules.iter_mut().enumerate() {
-            let Some(shape) = self.ladders.shape(n as u16, self.zone) else { continue };
+            let Some(shape) = self.priorities.list_index(n as u16, self.zone) else { continue };
             let asked = asked(n);
             let mut lost = 0.0;
-            for (zone, part) in shares.to.iter_mut().filter(|(zone, _)| out & bit(*zone) != 0) {
+            for (zone, part) in shares.to.iter_mut().filter(|(zone, _)| out & zone_bit(*zone) != 0) {
                 let tried = self.own[usize::from(zone.0)].tried;
                 let keeps = if tried { *part * TRIES } else { 0.0 };
                 lost += *part - keeps;
@@ -268,10 +275,10 @@
                 continue;
             }
             shares.to.retain(|(_, part)| *part > 0.0);
-            let shape = &self.ladders.shapes[shape];
+            let shape = &self.priorities.lists[shape];
             let mut beyond = shape.beyond_most;
             for (zone, part) in &shares.to {
-                beyond -= if shape.beyond & bit(*zone) != 0 { *part } else { 0.0 };
+                beyond -= if shape.beyond & zone_bit(*zone) != 0 { *part } else { 0.0 };
             }
             for step in &shape.steps {
                 let into: Zones = step & last;
@@ -298,12 +305,12 @@
                 }
             }
             shares.to.sort_by_key(|(zone, _)| *zone);
-            shares.refused = (1.0 - shares.to.iter().map(|(_, part)| part).sum::<f64>()).max(0.0);
+            shares.rejected = (1.0 - shares.to.iter().map(|(_, part)| part).sum::<f64>()).max(0.0);
         }
     }
 
     /// What this balancer may send a zone beside the plan, in requests a second.
-    fn spare(&self, zone: usize, sight: Option<&Sight>, asked: f64) -> f64 {
+    fn spare(&self, zone: usize, sight: Option<&ZoneObservation>, asked: f64) -> f64 {
         match (&self.agreed, sight) {
             (Some(agreed), _) => agreed.plan.lent(self.own.len(), self.zone, zone, self.balancers),
             (None, Some(sight)) if sight.stated => CAUTIOUS * f64::from(sight.usable) / self.balancers as f64,
--- a/crates/failover/src/bounds.rs
+++ b/crates/failover/src/bounds.rs
@@ -33,14 +33,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// The most of all capacity that evidence may take away at once, as a share.
-    pub most_away: f64,
+    pub max_capacity_removed: f64,
     /// Zones that stay in service whatever is seen or ordered.
-    pub least_in_service: usize,
+    pub min_zones_in_service: usize,
     /// The most of all traffic that plans move in a second, as a share.
-    pub most_moved_per_s: f64,
+    pub max_moved_per_s: f64,
     /// More than this share of the capacity ill within [`Bounds::moment`] is one shared cause: nothing moves.
-    pub shared_cause: f64,
-    /// See [`Bounds::shared_cause`].
+    pub shared_cause_share: f64,
+    /// See [`Bounds::shared_cause_share`].
     pub moment: Duration,
     /// Share of all requests that a plan has to serve, or to serve nearer, beyond the one before to take its place.
     pub gain: f64,
@@ -63,10 +63,10 @@
 impl Default for Bounds {
     fn default() -> Self {
         Self {
-            most_away: 0.6,
-            least_in_service: 1,
-            most_moved_per_s: 0.5,
-            shared_cause: 0.6,
+            max_capacity_removed: 0.6,
+            min_zones_in_service: 1,
+            max_moved_per_s: 0.5,
+            shared_cause_share: 0.6,
             moment: Duration::from_secs(10),
             gain: 0.02,
             spare: 0.9,
--- a/crates/failover/src/damp.rs
+++ b/crates/failover/src/damp.rs
@@ -1,7 +1,7 @@
 //! How one zone stands over time: dwell times against single glitches, RFC 2439's penalty against flapping, a slow return.
 
 use crate::bounds::{Bounds, Damping};
-use crate::document::{Place, PlaceState};
+use crate::document::{ZoneState, ZoneStatus};
 use crate::evidence::Seen;
 use std::time::Duration;
 
@@ -51,9 +51,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Standing {
     /// Its state; cut is told apart by [`crate::reach`].
-    pub state: PlaceState,
+    pub state: ZoneState,
     /// Why, in words.
-    pub why: String,
+    pub reason: String,
     /// Share of its room that it is given.
     pub given: f64,
     /// Whether it is given all although it is ill or lost: a bound holds it in.
@@ -78,12 +78,12 @@
     }
 
     /// As it was agreed on.
-    pub fn of(place: &Place, now: Duration, damping: &Damping) -> Self {
+    pub fn of(place: &ZoneStatus, now: Duration, damping: &Damping) -> Self {
         let given = f64::from(place.given);
-        let bad = matches!(place.state, PlaceState::Ill | PlaceState::Lost);
+        let bad = matches!(place.state, ZoneState::Unhealthy | ZoneState::Unreachable);
         Self {
-            state: if place.state == PlaceState::Cut { PlaceState::Serving } else { place.state },
-            why: place.why.clone(),
+            state: if place.state == ZoneState::Partitioned { ZoneState::Serving } else { place.state },
+            reason: place.reason.clone(),
             given: if given.is_finite() { given.clamp(0.0, 1.0) } else { 1.0 },
             kept: bad && given >= 1.0,
             observers: place.observers,
@@ -100,7 +100,7 @@
 
     /// Ill or lost.
     pub fn is_bad(&self) -> bool {
-        matches!(self.state, PlaceState::Ill | PlaceState::Lost)
+        matches!(self.state, ZoneState::Unhealthy | ZoneState::Unreachable)
     }
 
     /// Whether it seems bad at this instant, whatever its state.
@@ -109,15 +109,15 @@
     }
 
     /// Takes what is seen, and says which worse state it has seemed to be in for long enough.
-    pub fn look(&mut self, now: Duration, seen: &Seen, bounds: &Bounds) -> Option<PlaceState> {
+    pub fn look(&mut self, now: Duration, seen: &Seen, bounds: &Bounds) -> Option<ZoneState> {
         let passed = now.saturating_sub(self.looked).min(LOOK_MOST);
         self.looked = self.looked.max(now);
         let count = |so: bool, time: Duration, most: Duration| {
             // Half as fast back, so that what is bad every other second is not well.
             if so { (time + passed).min(most) } else { time.saturating_sub(passed / 2) }
         };
-        let lost = seen.state == PlaceState::Lost;
-        let bad = lost || seen.state == PlaceState::Ill;
+        let lost = seen.state == ZoneState::Unreachable;
+        let bad = lost || seen.state == ZoneState::Unhealthy;
         self.bad_for = count(bad, self.bad_for, bounds.ill_after);
         self.lost_for = count(lost, self.lost_for, bounds.lost_after);
         if lost {
@@ -130,33 +130,35 @@
             self.well_since.get_or_insert(now);
         }
         if self.is_bad() && bad {
-            (self.why, self.observers) = (seen.why.clone(), seen.observers);
+            (self.reason, self.observers) = (seen.reason.clone(), seen.observers);
         }
         let to = match seen.state {
-            PlaceState::Lost if self.lost_for >= bounds.lost_after => PlaceState::Lost,
-            PlaceState::Ill | PlaceState::Lost if self.bad_for >= bounds.ill_after => PlaceState::Ill,
+            ZoneState::Unreachable if self.lost_for >= bounds.lost_after => ZoneState::Unreachable,
+            ZoneState::Unhealthy | ZoneState::Unreachable if self.bad_for >= bounds.ill_after => {
+                ZoneState::Unhealthy
+            }
             _ => return None,
         };
         // What is lost is not called ill for a moment in between.
-        let same = self.state == to || lost && self.state == PlaceState::Lost;
-        (self.state != PlaceState::Evacuated && (!same || self.kept)).then_some(to)
+        let same = self.state == to || lost && self.state == ZoneState::Unreachable;
+        (self.state != ZoneState::Evacuated && (!same || self.kept)).then_some(to)
     }
 
     /// It falls out, or is held in.
-    pub fn fall(&mut self, now: Duration, to: PlaceState, seen: &Seen, how: Fall, bounds: &Bounds) {
+    pub fn fall(&mut self, now: Duration, to: ZoneState, seen: &Seen, how: Fall, bounds: &Bounds) {
         if !self.is_bad() {
             self.penalty.add(now, &bounds.damping);
         }
         if self.state != to {
             self.turn(now, to);
         }
-        (self.why, self.observers) = (seen.why.clone(), seen.observers);
+        (self.reason, self.observers) = (seen.reason.clone(), seen.observers);
         self.kept = matches!(how, Fall::Kept(_));
         self.given = match how {
             Fall::Out => 0.0,
             Fall::Relieved => RELIEVED.min(self.given),
-            Fall::Kept(why) => {
-                self.why = format!("{}; held in: {why}", self.why);
+            Fall::Kept(reason) => {
+                self.reason = format!("{}; held in: {reason}", self.reason);
                 1.0
             }
         };
@@ -167,20 +169,22 @@
         let well = self.well_since.is_some_and(|since| now.saturating_sub(since) >= bounds.well_after);
         let suppressed = self.penalty.suppresses(now, &bounds.damping);
         match self.state {
-            _ if evacuated && self.state != PlaceState::Evacuated => {
-                self.turn(now, PlaceState::Evacuated);
+            _ if evacuated && self.state != ZoneState::Evacuated => {
+                self.turn(now, ZoneState::Evacuated);
                 (self.given, self.kept) = (0.0, false);
             }
-            PlaceState::Evacuated if !evacuated => self.back(now, "released"),
+            ZoneState::Evacuated if !evacuated => self.back(now, "released"),
             // An illness that half the room does not cure is not one of being full.
-            PlaceState::Ill if self.is_not_cured(now, bounds) => self.given = 0.0,
-            PlaceState::Ill | PlaceState::Lost if well && !suppressed => self.back(now, "well again"),
-            PlaceState::Returning => {
+            ZoneState::Unhealthy if self.is_not_cured(now, bounds) => self.given = 0.0,
+            ZoneState::Unhealthy | ZoneState::Unreachable if well && !suppressed => {
+                self.back(now, "well again")
+            }
+            ZoneState::Returning => {
                 let part = passed.as_secs_f64() / bounds.return_over.as_secs_f64().max(1e-3);
                 self.given = (self.given + part).min(1.0);
                 if self.given >= 1.0 {
-                    self.turn(now, PlaceState::Serving);
-                    self.why.clear();
+                    self.turn(now, ZoneState::Serving);
+                    self.reason.clear();
                 }
             }
             _ => {}
@@ -191,14 +195,14 @@
         self.given > 0.0 && !self.kept && self.seems_bad() && self.age(now) >= 3 * bounds.ill_after
     }
 
-    fn back(&mut self, now: Duration, why: &str) {
-        self.turn(now, PlaceState::Returning);
-        self.why = why.to_owned();
+    fn back(&mut self, now: Duration, reason: &str) {
+        self.turn(now, ZoneState::Returning);
+        self.reason = reason.to_owned();
         self.kept = false;
         self.given = self.given.max(FIRST);
     }
 
-    fn turn(&mut self, now: Duration, to: PlaceState) {
+    fn turn(&mut self, now: Duration, to: ZoneState) {
         (self.state, self.since, self.older) = (to, now, Duration::ZERO);
     }
 }
--- a/crates/failover/src/decider.rs
+++ b/crates/failover/src/decider.rs
@@ -2,17 +2,17 @@
 
 use crate::bounds::Bounds;
 use crate::damp::Standing;
-use crate::document::{Document, Evacuation, Place, PlaceState, Plan};
+use crate::document::{Document, Evacuation, Plan, ZoneState, ZoneStatus};
 use crate::evidence::Views;
 use crate::heard::{HEARD_MOST, Heard, digest};
-use crate::ladders::{Ladders, Zones, bit};
 use crate::names;
-use crate::orders::{Order, Refusal};
+use crate::orders::{Order, OrderError};
 use crate::plan::{Planner, Setting, by_rule};
+use crate::priorities::{PriorityLists, Zones, zone_bit};
 use crate::reach::Reach;
 use crate::report::Report;
-use crate::room::{Room, Rooms, credible, demand};
-use crate::trips::Measured;
+use crate::room::{CapacityEstimator, Room, credible, demand};
+use crate::rtt::RttTable;
 use crate::written::Shown;
 use maplehook_locality::{Rules, Topology, Zone};
 use std::collections::BTreeMap;
@@ -41,12 +41,12 @@
 #[derive(Clone, Debug)]
 pub struct Decider {
     pub(crate) topology: Topology,
-    pub(crate) ladders: Ladders,
+    pub(crate) priorities: PriorityLists,
     pub(crate) bounds: Bounds,
     rules: Rules,
-    measured: Measured,
+    measured: RttTable,
     heard: Heard,
-    rooms: Rooms,
+    rooms: CapacityEstimator,
     /// What each zone listed and could take when it was last well.
     pub(crate) remembered: Vec<f64>,
     pub(crate) standings: Vec<Standing>,
@@ -62,7 +62,7 @@
     pub(crate) shared_at: Option<Duration>,
     pub(crate) agreed: Document,
     proposed: Option<(Document, Duration)>,
-    pub(crate) held: Option<crate::document::Held>,
+    pub(crate) hold: Option<crate::document::PlanHold>,
     settled: Duration,
     looked: Option<Duration>,
     figures_at: Duration,
@@ -81,18 +81,18 @@
         before: Option<&Document>,
         now: Duration,
     ) -> Self {
-        let ladders = Ladders::new(&topology, &rules);
-        let none = Document { places: Vec::new(), ..Document::default() };
-        let agreed = names::read_with(before.unwrap_or(&none), &topology, &rules, &ladders);
-        let may_move = if before.is_some() { 0.0 } else { bounds.most_moved_per_s };
+        let priorities = PriorityLists::new(&topology, &rules);
+        let none = Document { zone_statuses: Vec::new(), ..Document::default() };
+        let agreed = names::read_with(before.unwrap_or(&none), &topology, &rules, &priorities);
+        let may_move = if before.is_some() { 0.0 } else { bounds.max_moved_per_s };
         let mut decider = Self {
             topology,
-            ladders,
+            priorities,
             bounds,
             rules,
-            measured: Measured::default(),
+            measured: RttTable::default(),
             heard: Heard::default(),
-            rooms: Rooms::default(),
+            rooms: CapacityEstimator::default(),
             remembered: Vec::new(),
             standings: Vec::new(),
             shown: Vec::new(),
@@ -106,7 +106,7 @@
             shared_at: None,
             agreed: Document::default(),
             proposed: None,
-            held: None,
+            hold: None,
             settled: now + SETTLES,
             looked: None,
             figures_at: now,
@@ -120,24 +120,25 @@
     /// Takes over what was agreed, whoever wrote it.
     fn take(&mut self, agreed: Document, now: Duration) {
         let damping = self.bounds.damping;
-        self.standings = agreed.places.iter().map(|place| Standing::of(place, now, &damping)).collect();
-        self.remembered = agreed.places.iter().map(|place| f64::from(place.usable).max(0.0)).collect();
-        let shown = |place: &Place| Shown {
+        self.standings =
+            agreed.zone_statuses.iter().map(|place| Standing::of(place, now, &damping)).collect();
+        self.remembered = agreed.zone_statuses.iter().map(|place| f64::from(place.usable).max(0.0)).collect();
+        let shown = |place: &ZoneStatus| Shown {
             state: place.state,
             since: now,
             older: Duration::from_millis(place.since_ms),
         };
-        self.shown = agreed.places.iter().map(shown).collect();
-        self.reach = Reach::of(&agreed.places, now);
-        self.cut = vec![0; agreed.places.len()];
-        let crews = agreed.plan.spare_part(2, agreed.places.len());
+        self.shown = agreed.zone_statuses.iter().map(shown).collect();
+        self.reach = Reach::of(&agreed.zone_statuses, now);
+        self.cut = vec![0; agreed.zone_statuses.len()];
+        let crews = agreed.plan.spare_part(2, agreed.zone_statuses.len());
         self.crews = crews.iter().map(|crew| crew.clamp(0.0, HEARD_MOST as f32) as usize).collect();
-        self.crews.resize(agreed.places.len(), 0);
-        let until = |e: &Evacuation| e.left_ms.map(|left| now + Duration::from_millis(left));
+        self.crews.resize(agreed.zone_statuses.len(), 0);
+        let until = |e: &Evacuation| e.remaining_ms.map(|left| now + Duration::from_millis(left));
         self.evacuations = agreed.evacuations.iter().map(|e| (e.clone(), until(e))).collect();
         self.shared_cause.clone_from(&agreed.shared_cause);
         self.shared_at = self.shared_cause.is_some().then_some(now);
-        self.held.clone_from(&agreed.held);
+        self.hold.clone_from(&agreed.hold);
         self.agreed = agreed;
         self.proposed = None;
     }
@@ -153,46 +154,46 @@
     }
 
     /// Which balancers there are with places, each with its zone, and how many without.
-    pub fn members(&mut self, all: &[(String, Zone)], without: usize) {
-        self.heard.members(all, without);
+    pub fn set_members(&mut self, all: &[(String, Zone)], without: usize) {
+        self.heard.set_members(all, without);
     }
 
     /// Takes a report; says whether it is counted.
-    pub fn hear(&mut self, now: Duration, from: &str, report: Report) -> bool {
+    pub fn record_report(&mut self, now: Duration, from: &str, report: Report) -> bool {
         let by = (self.agreed.digest, self.standings.len(), self.rules.all().len());
-        self.heard.hear(now, from, report, by)
+        self.heard.record_report(now, from, report, by)
     }
 
     /// Ways between zones as they are agreed on: where they move a step, what stands is planned for anew.
-    pub fn measured(&mut self, measured: &Measured) {
+    pub fn set_rtt_table(&mut self, measured: &RttTable) {
         if self.measured == *measured {
             return;
         }
         self.measured = measured.clone();
-        self.topology.set_measured(measured.of(&self.topology.clone()));
-        let ladders = Ladders::new(&self.topology, &self.rules);
-        if ladders != self.ladders {
-            self.ladders = ladders;
+        self.topology.set_measured(measured.resolve(&self.topology.clone()));
+        let priorities = PriorityLists::new(&self.topology, &self.rules);
+        if priorities != self.priorities {
+            self.priorities = priorities;
             self.planner = Planner::new(self.looked.unwrap_or_default(), 0.0);
         }
     }
 
     /// Other places or rules: what stands is carried over by name. Who is a member has to be told anew.
-    pub fn retune(&mut self, mut topology: Topology, rules: Rules, now: Duration) {
-        topology.set_measured(self.measured.of(&topology.clone()));
+    pub fn reconfigure(&mut self, mut topology: Topology, rules: Rules, now: Duration) {
+        topology.set_measured(self.measured.resolve(&topology.clone()));
         if digest(&topology, &rules) == self.agreed.digest {
-            self.ladders = Ladders::new(&topology, &rules);
+            self.priorities = PriorityLists::new(&topology, &rules);
             (self.topology, self.rules) = (topology, rules);
             return;
         }
         // What is known now and not yet agreed on is carried over as well.
         let mut current = self.compose(now, self.newest_plan().clone());
         current.plan.epoch = self.epoch();
-        self.ladders = Ladders::new(&topology, &rules);
-        let read = names::read_with(&current, &topology, &rules, &self.ladders);
+        self.priorities = PriorityLists::new(&topology, &rules);
+        let read = names::read_with(&current, &topology, &rules, &self.priorities);
         (self.topology, self.rules) = (topology, rules);
         self.heard.forget();
-        self.rooms = Rooms::default();
+        self.rooms = CapacityEstimator::default();
         self.situation = Situation::default();
         self.planner = Planner::new(now, 0.0);
         self.take(read, now);
@@ -215,7 +216,7 @@
             }
             _ if *document == self.agreed => {}
             _ => {
-                let read = names::read_with(document, &self.topology, &self.rules, &self.ladders);
+                let read = names::read_with(document, &self.topology, &self.rules, &self.priorities);
                 self.take(read, self.looked.unwrap_or_default());
             }
         }
@@ -280,7 +281,7 @@
             self.reach.look(now, zones, &views, &self.bounds);
         }
         let kept = self.kept();
-        let lost = |zone: usize| self.standings[zone].state == PlaceState::Lost;
+        let lost = |zone: usize| self.standings[zone].state == ZoneState::Unreachable;
         let cut = |zone: usize| if lost(zone) { 0 } else { self.reach.cut_from(Zone(zone as u16)) & !kept };
         self.cut = (0..zones).map(cut).collect();
         true
@@ -311,8 +312,8 @@
             let given = usable * standing.given;
             // Where nothing else is left: half of what is ill, and all of what is well again.
             let last = match standing.state {
-                PlaceState::Ill => (usable * 0.5 - given).max(0.0),
-                PlaceState::Returning => (usable - given).max(0.0),
+                ZoneState::Unhealthy => (usable * 0.5 - given).max(0.0),
+                ZoneState::Returning => (usable - given).max(0.0),
                 _ => 0.0,
             };
             (given, last)
@@ -325,14 +326,14 @@
         let zones = self.standings.len();
         let troubled = |zone: usize| {
             let standing = &self.standings[zone];
-            standing.state != PlaceState::Serving && standing.given < 1.0
+            standing.state != ZoneState::Serving && standing.given < 1.0
         };
         let kept = self.kept();
         let mut reach = self.reach.matrix(zones, kept);
         // What a bound holds in keeps its own; nobody else's is moved to it.
         for (from, reached) in reach.iter_mut().enumerate() {
             let from = Zone(from as u16);
-            *reached &= !kept | bit(from) | self.ladders.firsts(from);
+            *reached &= !kept | zone_bit(from) | self.priorities.firsts(from);
         }
         (reach, crate::flow::zones_where(zones, troubled))
     }
@@ -341,14 +342,14 @@
     fn propose(&mut self, now: Duration, ordered: bool) -> Option<Document> {
         let due = now.saturating_sub(self.figures_at) >= FIGURES;
         let mut plan = None;
-        if self.held.is_none() && self.shared_cause.is_none() && !self.situation.rooms.is_empty() {
+        if self.hold.is_none() && self.shared_cause.is_none() && !self.situation.rooms.is_empty() {
             let (room, last) = self.given();
             let (reach, troubled) = self.ways();
             let any = room.iter().chain(&last).any(|room| *room > 0.0);
             let listed: Vec<f64> = self.situation.rooms.iter().map(|room| room.listed).collect();
             let table = by_rule(&self.situation.demand, room.len());
             let setting = Setting {
-                ladders: &self.ladders,
+                priorities: &self.priorities,
                 room: &room,
                 last: &last,
                 listed: &listed,
@@ -380,7 +381,7 @@
     }
 
     /// Does what an operator orders: the document is to be agreed on, and the order stands from now on.
-    pub fn order(&mut self, now: Duration, order: Order) -> Result<Document, Refusal> {
+    pub fn order(&mut self, now: Duration, order: Order) -> Result<Document, OrderError> {
         self.allow(now, order)?;
         self.mend(now, Duration::ZERO);
         let unchanged = self.agreed.clone();
--- a/crates/failover/src/document.rs
+++ b/crates/failover/src/document.rs
@@ -7,37 +7,40 @@
 use serde::{Deserialize, Serialize};
 
 /// All of a row: shares are counted in ten thousandths.
-pub const WHOLE: u16 = 10_000;
+pub const FULL_SHARE: u16 = 10_000;
 /// The most rows of a plan.
 pub const ROWS_MOST: usize = 4096;
 
 /// How a zone stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum PlaceState {
+pub enum ZoneState {
     /// It serves.
     #[default]
     Serving,
     /// Slow or failing for all who see it.
-    Ill,
+    #[serde(rename = "ill")]
+    Unhealthy,
     /// Nothing of it can be used by anybody.
-    Lost,
+    #[serde(rename = "lost")]
+    Unreachable,
     /// Fine in itself, out of reach from some.
-    Cut,
+    #[serde(rename = "cut")]
+    Partitioned,
     /// Taken out by an operator.
     Evacuated,
     /// Well again, and given back slowly.
     Returning,
 }
 
-impl PlaceState {
+impl ZoneState {
     /// The word for it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Serving => "serving",
-            Self::Ill => "ill",
-            Self::Lost => "lost",
-            Self::Cut => "cut",
+            Self::Unhealthy => "ill",
+            Self::Unreachable => "lost",
+            Self::Partitioned => "cut",
             Self::Evacuated => "evacuated",
             Self::Returning => "returning",
         }
@@ -46,11 +49,12 @@
 
 /// A zone in the document.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Place {
+pub struct ZoneStatus {
     /// How it stands.
-    pub state: PlaceState,
+    pub state: ZoneState,
     /// Why, in words.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// For how long.
     pub since_ms: u64,
     /// What can be used of it, in requests a second.
@@ -91,7 +95,7 @@
     /// Whether it is one: no zone twice, no more than the whole.
     pub fn is_sound(&self) -> bool {
         let total: u32 = self.to.iter().map(|share| u32::from(share.part)).sum();
-        total <= u32::from(WHOLE) && self.to.is_sorted_by(|a, b| a.zone < b.zone)
+        total <= u32::from(FULL_SHARE) && self.to.is_sorted_by(|a, b| a.zone < b.zone)
     }
 
     /// What goes to a zone.
@@ -153,12 +157,13 @@
     /// By whom.
     pub by: String,
     /// For how long still; `None`: until it is released.
-    pub left_ms: Option<u64>,
+    #[serde(rename = "left_ms")]
+    pub remaining_ms: Option<u64>,
 }
 
 /// By what an operator keeps the plan as it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct PlanHold {
     /// By whom.
     pub by: String,
 }
@@ -173,13 +178,15 @@
     /// Names of the rules.
     pub rules: Vec<String>,
     /// How each zone stands.
-    pub places: Vec<Place>,
+    #[serde(rename = "places")]
+    pub zone_statuses: Vec<ZoneStatus>,
     /// Where requests go.
     pub plan: Plan,
     /// What operators have taken out.
     pub evacuations: Vec<Evacuation>,
     /// Whether the plan is held, and by whom.
-    pub held: Option<Held>,
+    #[serde(rename = "held")]
+    pub hold: Option<PlanHold>,
     /// Why nothing moves although much seems ill, if that is so.
     pub shared_cause: Option<String>,
 }
--- a/crates/failover/src/flow.rs
+++ b/crates/failover/src/flow.rs
@@ -7,7 +7,7 @@
 //! same part, rules and sources alike: guarantees among classes and tenants are kept at the door, by admission, for what the plan
 //! leaves in.
 
-use crate::ladders::{Ladders, Shape, Zones, bit, each};
+use crate::priorities::{PriorityList, PriorityLists, Zones, each, zone_bit};
 use smallvec::SmallVec;
 
 /// Rounds in which a step's zones are shared out.
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct Ground<'a> {
     /// Rules and places.
-    pub ladders: &'a Ladders,
+    pub priorities: &'a PriorityLists,
     /// What each zone can be given, in requests a second.
     pub room: &'a [f64],
     /// What each can be given when nothing else is left: zones that are ill.
@@ -41,7 +41,7 @@
     }
 
     /// Zones that a shape may be sent to as things are.
-    pub fn usable(&self, shape: &Shape) -> Zones {
+    pub fn usable(&self, shape: &PriorityList) -> Zones {
         shape.allowed() & self.reach[usize::from(shape.from.0)]
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// What of a shape leaves its region.
-    fn beyond(&self, n: usize, shape: &Shape) -> f64 {
+    fn beyond(&self, n: usize, shape: &PriorityList) -> f64 {
         self.to[n].sum(shape.beyond)
     }
 }
@@ -135,8 +135,8 @@
     let zones = ground.room.len();
     let mut flows = Flows::none(ground.asked, zones);
     let (over, full): (Vec<f64>, Vec<f64>) =
-        ground.ladders.shapes.iter().map(|shape| (shape.over, 1.0)).unzip();
-    let deepest = ground.ladders.shapes.iter().map(|shape| shape.steps.len()).max().unwrap_or(0);
+        ground.priorities.lists.iter().map(|shape| (shape.over, 1.0)).unzip();
+    let deepest = ground.priorities.lists.iter().map(|shape| shape.steps.len()).max().unwrap_or(0);
     let none = vec![0.0; zones];
     for level in 0..deepest {
         let first: Vec<f64> = if level == 0 {
@@ -164,7 +164,7 @@
     for _ in 0..ROUNDS {
         claims.clear();
         let (mut claimed, mut highest) = (vec![0.0; zones], vec![0.0f64; zones]);
-        for (n, shape) in ground.ladders.shapes.iter().enumerate() {
+        for (n, shape) in ground.priorities.lists.iter().enumerate() {
             if flows.left[n] <= nothing || level >= shape.steps.len() || own && level >= shape.own {
                 continue;
             }
@@ -220,11 +220,11 @@
 /// Serves what is left by sending others on, as long as there is a way.
 fn augment(ground: &Ground<'_>, flows: &mut Flows) {
     let (nothing, zones) = (ground.nothing(), ground.room.len());
-    let shapes = &ground.ladders.shapes;
-    let usable: Vec<Zones> = shapes.iter().map(|shape| ground.usable(shape)).collect();
+    let lists = &ground.priorities.lists;
+    let usable: Vec<Zones> = lists.iter().map(|shape| ground.usable(shape)).collect();
     // How much of a shape can go to a zone, from another or (`None`) from what is left.
     let movable = |flows: &Flows, n: usize, from: Option<usize>, to: usize| {
-        let shape = &shapes[n];
+        let shape = &lists[n];
         let rate = from.map_or(flows.left[n], |zone| flows.sent(n, zone));
         let within = shape.beyond >> to & 1 == 0 || from.is_some_and(|zone| shape.beyond >> zone & 1 == 1);
         if usable[n] >> to & 1 == 0 {
@@ -236,7 +236,7 @@
         }
     };
     for _ in 0..PATHS {
-        let waiting: Vec<usize> = (0..shapes.len()).filter(|n| flows.left[*n] > nothing).collect();
+        let waiting: Vec<usize> = (0..lists.len()).filter(|n| flows.left[*n] > nothing).collect();
         if waiting.is_empty() {
             return;
         }
@@ -311,5 +311,5 @@
 pub fn zones_where(zones: usize, holds: impl Fn(usize) -> bool) -> Zones {
     (0..zones)
         .filter(|zone| holds(*zone))
-        .fold(0, |all, zone| all | bit(maplehook_locality::Zone(zone as u16)))
+        .fold(0, |all, zone| all | zone_bit(maplehook_locality::Zone(zone as u16)))
 }
--- a/crates/failover/src/heard.rs
+++ b/crates/failover/src/heard.rs
@@ -12,11 +12,11 @@
 
 /// By which zones and rules are counted: FNV-1a over their names and texts.
 pub fn digest(topology: &Topology, rules: &Rules) -> u64 {
-    let places: Vec<(&str, &str)> = topology
+    let zones: Vec<(&str, &str)> = topology
         .zones()
         .map(|zone| (topology.zone_name(zone), topology.region_name(topology.region_of(zone))))
         .collect();
-    let bytes = postcard::to_allocvec(&(places, rules)).unwrap_or_default();
+    let bytes = postcard::to_allocvec(&(zones, rules)).unwrap_or_default();
     bytes
         .iter()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x100_0000_01b3))
@@ -38,7 +38,7 @@
 
 impl Heard {
     /// Which balancers there are, and how many besides have no places yet. Until it is told, whoever speaks is heard.
-    pub fn members(&mut self, all: &[(String, Zone)], without: usize) {
+    pub fn set_members(&mut self, all: &[(String, Zone)], without: usize) {
         self.members = all.iter().take(HEARD_MOST).cloned().collect();
         self.without = without;
         let members = &self.members;
@@ -65,7 +65,13 @@
 
     /// Takes a report, unless it counts by other places or rules, is older than the one there, bears a figure that none can
     /// have, or comes from nobody that is known to be where it says. Says whether it was taken.
-    pub fn hear(&mut self, now: Duration, from: &str, mut report: Report, by: (u64, usize, usize)) -> bool {
+    pub fn record_report(
+        &mut self,
+        now: Duration,
+        from: &str,
+        mut report: Report,
+        by: (u64, usize, usize),
+    ) -> bool {
         let (digest, zones, rules) = by;
         if report.digest != digest || usize::from(report.zone.0) >= zones || !report.is_fine() {
             return false;
@@ -84,7 +90,7 @@
                 return false;
             }
         }
-        report.sights.retain(|sight| usize::from(sight.zone.0) < zones);
+        report.observations.retain(|sight| usize::from(sight.zone.0) < zones);
         report.demand.retain(|demand| usize::from(demand.rule) < rules);
         report.tidy();
         self.newest.insert(from.to_owned(), Entry { at: now, report });
--- a/crates/failover/src/judge.rs
+++ b/crates/failover/src/judge.rs
@@ -1,11 +1,11 @@
 //! Which zones fall, within the bounds, and which orders are allowed: the parts of [`Decider`] that say no.
 
+use crate::assignment::{self, AvailableCapacity};
 use crate::damp::Fall;
 use crate::decider::Decider;
-use crate::document::{Evacuation, Held, PlaceState};
-use crate::ladders::{Zones, bit, each};
-use crate::orders::{Order, Refusal};
-use crate::pouring::{self, Rooms};
+use crate::document::{Evacuation, PlanHold, ZoneState};
+use crate::orders::{Order, OrderError};
+use crate::priorities::{Zones, each, zone_bit};
 use maplehook_locality::Zone;
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
         let seen = std::mem::take(&mut self.seen_now);
         self.remember(passed);
         let bounds = self.bounds;
-        let wanted: Vec<Option<PlaceState>> = self
+        let wanted: Vec<Option<ZoneState>> = self
             .standings
             .iter_mut()
             .zip(&seen)
@@ -42,7 +42,7 @@
         if self.shared_cause.is_none() {
             let mut order: Vec<usize> = (0..wanted.len()).filter(|zone| wanted[*zone].is_some()).collect();
             // What is lost before what is ill: bounds are used up by what is certain.
-            order.sort_by_key(|zone| (wanted[*zone] != Some(PlaceState::Lost), *zone));
+            order.sort_by_key(|zone| (wanted[*zone] != Some(ZoneState::Unreachable), *zone));
             for zone in order {
                 let Some(to) = wanted[zone] else { continue };
                 let mut how = self.how(zone, to);
@@ -69,7 +69,7 @@
 
     /// Zones that operators have taken out.
     fn evacuated(&self) -> Zones {
-        self.evacuations.iter().flat_map(|(e, _)| &e.zones).fold(0, |all, zone| all | bit(*zone))
+        self.evacuations.iter().flat_map(|(e, _)| &e.zones).fold(0, |all, zone| all | zone_bit(*zone))
     }
 
     /// Keeps what each zone could take; what is gone is forgotten slowly, so that what goes at once is seen to.
@@ -77,7 +77,7 @@
         let fades = 0.5f64.powf(passed.as_secs_f64() / REMEMBERED.as_secs_f64());
         for (zone, room) in self.situation.rooms.iter().enumerate() {
             let standing = &self.standings[zone];
-            if standing.state == PlaceState::Serving && !standing.seems_bad() {
+            if standing.state == ZoneState::Serving && !standing.seems_bad() {
                 self.remembered[zone] = room.usable.max(self.remembered[zone] * fades);
             }
         }
@@ -101,13 +101,13 @@
         let fell = |zone: &usize| {
             let standing = &self.standings[*zone];
             let just = standing.is_bad() && standing.age(now) <= self.bounds.moment;
-            let out = matches!(standing.state, PlaceState::Evacuated) || standing.is_bad();
+            let out = matches!(standing.state, ZoneState::Evacuated) || standing.is_bad();
             just || !out && standing.seems_bad() || standing.kept && standing.seems_bad()
         };
         // What vanishes without a word (a list that is empty for all) counts as far as it is gone.
         let gone = |zone: usize| {
             let (room, before) = (&self.situation.rooms[zone], self.remembered[zone]);
-            let serves = self.standings[zone].state == PlaceState::Serving && before > 0.0;
+            let serves = self.standings[zone].state == ZoneState::Serving && before > 0.0;
             if serves { (1.0 - room.usable / before).max(0.0) } else { 0.0 }
         };
         let parts: Vec<f64> =
@@ -115,7 +115,7 @@
         let part: f64 = capacity.iter().zip(&parts).map(|(capacity, part)| capacity * part).sum();
         let fallen: Vec<usize> = (0..capacity.len()).filter(|zone| parts[*zone] > 0.5).collect();
         let unmoved = fallen.iter().any(|zone| self.standings[*zone].given > 0.0);
-        (part > self.bounds.shared_cause + 1e-9 && unmoved).then(|| {
+        (part > self.bounds.shared_cause_share + 1e-9 && unmoved).then(|| {
             format!(
                 "{} of {} zones with {:.0} % of the capacity seem ill at once: nothing moves",
                 fallen.len(),
@@ -130,7 +130,7 @@
     fn give_back(&mut self) -> bool {
         let mut any = false;
         for standing in &mut self.standings {
-            if standing.state == PlaceState::Returning && standing.given < 1.0 {
+            if standing.state == ZoneState::Returning && standing.given < 1.0 {
                 (standing.given, any) = (1.0, true);
             }
         }
@@ -138,7 +138,7 @@
     }
 
     /// How a zone falls without passing a bound.
-    fn how(&self, zone: usize, to: PlaceState) -> Fall {
+    fn how(&self, zone: usize, to: ZoneState) -> Fall {
         let capacity = self.capacity();
         let standing = &self.standings[zone];
         let others = || (0..capacity.len()).filter(|other| *other != zone);
@@ -149,11 +149,14 @@
         };
         let away: f64 = others().map(|other| capacity[other] * (1.0 - given(other))).sum();
         let left = others().filter(|other| given(*other) > 0.0).count();
-        if away + capacity[zone] > self.bounds.most_away + 1e-9 {
-            return Fall::Kept(format!("no more than {:.0} % may be away", self.bounds.most_away * 100.0));
+        if away + capacity[zone] > self.bounds.max_capacity_removed + 1e-9 {
+            return Fall::Kept(format!(
+                "no more than {:.0} % may be away",
+                self.bounds.max_capacity_removed * 100.0
+            ));
         }
-        if left < self.bounds.least_in_service {
-            return Fall::Kept(format!("{} zones have to stay", self.bounds.least_in_service));
+        if left < self.bounds.min_zones_in_service {
+            return Fall::Kept(format!("{} zones have to stay", self.bounds.min_zones_in_service));
         }
         let spilled = self
             .document()
@@ -161,91 +164,91 @@
             .rows
             .iter()
             .any(|row| usize::from(row.from.0) != zone && row.part(Zone(zone as u16)) > 0);
-        if to == PlaceState::Ill && spilled && !standing.is_bad() { Fall::Relieved } else { Fall::Out }
+        if to == ZoneState::Unhealthy && spilled && !standing.is_bad() { Fall::Relieved } else { Fall::Out }
     }
 
     /// Takes an order, or says why not.
-    pub(crate) fn allow(&mut self, now: Duration, order: Order) -> Result<(), Refusal> {
+    pub(crate) fn allow(&mut self, now: Duration, order: Order) -> Result<(), OrderError> {
         let short = |by: String| by.chars().take(NAME_MOST).collect::<String>();
         match order {
-            Order::Hold { by } => self.held = Some(Held { by: short(by) }),
+            Order::Hold { by } => self.hold = Some(PlanHold { by: short(by) }),
             Order::Release { zones, .. } => {
-                let (held, before) = (self.held.is_some() && zones.is_empty(), self.evacuated());
+                let (held, before) = (self.hold.is_some() && zones.is_empty(), self.evacuated());
                 for (evacuation, _) in &mut self.evacuations {
                     evacuation.zones.retain(|zone| !zones.is_empty() && !zones.contains(zone));
                 }
                 self.evacuations.retain(|(evacuation, _)| !evacuation.zones.is_empty());
                 if !held && self.evacuated() == before {
-                    return Err(Refusal::NothingToRelease);
+                    return Err(OrderError::NothingToRelease);
                 }
                 if zones.is_empty() {
-                    self.held = None;
+                    self.hold = None;
                 }
             }
             Order::Evacuate { mut zones, by, for_ms, anyway } => {
                 zones.sort();
                 zones.dedup();
-                if let Some(Held { by }) = &self.held {
-                    return Err(Refusal::Held { by: by.clone() });
+                if let Some(PlanHold { by }) = &self.hold {
+                    return Err(OrderError::PlanHeld { by: by.clone() });
                 }
-                if let Some(why) = &self.shared_cause {
-                    return Err(Refusal::SharedCause(why.clone()));
+                if let Some(reason) = &self.shared_cause {
+                    return Err(OrderError::SharedCause(reason.clone()));
                 }
                 self.bear(&zones, anyway)?;
                 let by = short(by);
                 // The same places again: the time counts anew.
                 self.evacuations.retain(|(e, _)| e.zones != zones);
                 if self.evacuations.len() >= EVACUATIONS_MOST {
-                    return Err(Refusal::TooMany);
+                    return Err(OrderError::TooManyEvacuations);
                 }
                 let until = for_ms.map(|ms| now.saturating_add(Duration::from_millis(ms)));
-                self.evacuations.push((Evacuation { zones, by, left_ms: for_ms }, until));
+                self.evacuations.push((Evacuation { zones, by, remaining_ms: for_ms }, until));
             }
         }
         Ok(())
     }
 
     /// Whether the rest can bear it that these zones go, besides those that are out already and so are given nothing.
-    fn bear(&self, zones: &[Zone], anyway: bool) -> Result<(), Refusal> {
+    fn bear(&self, zones: &[Zone], anyway: bool) -> Result<(), OrderError> {
         let count = self.standings.len();
         if zones.is_empty() || zones.iter().any(|zone| usize::from(zone.0) >= count) {
-            return Err(Refusal::NoSuchPlace);
+            return Err(OrderError::UnknownZone);
         }
-        let out = zones.iter().fold(0, |all, zone| all | bit(*zone));
+        let out = zones.iter().fold(0, |all, zone| all | zone_bit(*zone));
         let stays = |zone: &usize| out >> zone & 1 == 0 && self.standings[*zone].given > 0.0;
         let left = (0..count).filter(stays).count();
-        let least = self.bounds.least_in_service;
+        let least = self.bounds.min_zones_in_service;
         if left < least {
-            return Err(Refusal::TooFew { left, least });
+            return Err(OrderError::TooFewZones { left, least });
         }
         if anyway {
             return Ok(());
         }
         if self.situation.rooms.is_empty() {
-            return Err(Refusal::NothingKnown);
+            return Err(OrderError::NoReportsYet);
         }
         let capacity = self.capacity();
         let part = |zone: usize| if out >> zone & 1 == 1 { 1.0 } else { 1.0 - self.standings[zone].given };
         let away: f64 = (0..count).map(|zone| capacity[zone] * part(zone)).sum();
-        if away > self.bounds.most_away + 1e-9 {
-            return Err(Refusal::TooMuchAway { away, most: self.bounds.most_away });
+        if away > self.bounds.max_capacity_removed + 1e-9 {
+            return Err(OrderError::TooMuchCapacityRemoved { away, most: self.bounds.max_capacity_removed });
         }
-        let (refused_now, _, asked) = self.refused(0);
-        let (refused, room, _) = self.refused(out);
-        if refused > refused_now + COST * asked {
-            return Err(Refusal::NoRoom { asked, refused, refused_now, room });
+        let (rejected_now, _, asked) = self.rejected(0);
+        let (rejected, room, _) = self.rejected(out);
+        if rejected > rejected_now + COST * asked {
+            return Err(OrderError::InsufficientCapacity { asked, rejected, rejected_now, room });
         }
         Ok(())
     }
 
     /// What would be refused without these zones, the room that there would be, and what is asked for.
-    fn refused(&self, out: Zones) -> (f64, f64, f64) {
+    fn rejected(&self, out: Zones) -> (f64, f64, f64) {
         let (mut room, mut last) = self.given();
         each(out).for_each(|zone| (room[zone], last[zone]) = (0.0, 0.0));
         let (reach, _) = self.ways();
-        let rooms = Rooms { room: &room, last: &last, reach: &reach };
+        let rooms = AvailableCapacity { room: &room, last: &last, reach: &reach };
         let demand = self.situation.demand.iter().map(|(at, rate)| (*at, *rate));
-        let (flows, asked) = pouring::split(&self.ladders, rooms, true, demand);
+        let (flows, asked) = assignment::assign(&self.priorities, rooms, true, demand);
         (flows.left.iter().sum(), room.iter().sum(), asked.iter().sum())
     }
 }
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -5,7 +5,8 @@
 //! [`decider`] is the leader's machine: [`heard`], [`evidence`], [`reach`] and [`damp`] say how zones stand, [`room`] what they can
 //! take, [`plan`] (with [`ladders`], [`flow`] and [`pouring`]) where requests go, `judge` what the [`bounds`] allow.
 
-pub mod acting;
+pub mod assignment;
+pub mod balancer_routing;
 pub mod bounds;
 pub mod damp;
 pub mod decider;
@@ -14,22 +15,21 @@
 pub mod flow;
 pub mod heard;
 mod judge;
-pub mod ladders;
 pub mod names;
 pub mod orders;
 pub mod plan;
-pub mod pouring;
+pub mod priorities;
 pub mod reach;
 pub mod report;
 pub mod room;
+pub mod rtt;
 mod service;
-pub mod trips;
 mod written;
 
-pub use acting::{Acting, Acts, Shares};
+pub use balancer_routing::{BalancerRouting, EffectiveRouting, Shares};
 pub use bounds::{Bounds, Damping};
 pub use decider::Decider;
-pub use document::{Document, Evacuation, Held, Place, PlaceState, Plan, Row, Share, WHOLE};
+pub use document::{Document, Evacuation, FULL_SHARE, Plan, PlanHold, Row, Share, ZoneState, ZoneStatus};
 pub use heard::digest;
-pub use orders::{Order, Refusal};
-pub use report::{Demand, Report, Sight};
+pub use orders::{Order, OrderError};
+pub use report::{Demand, Report, ZoneObservation};
--- a/crates/failover/src/plan.rs
+++ b/crates/failover/src/plan.rs
@@ -1,10 +1,10 @@
 //! The plan: shares by rule and source, and when a new one takes the place of the one before.
 
+use crate::assignment;
 use crate::bounds::Bounds;
-use crate::document::{Plan, ROWS_MOST, Row, Share, WHOLE};
+use crate::document::{FULL_SHARE, Plan, ROWS_MOST, Row, Share};
 use crate::flow::{Flows, Ground, Split};
-use crate::ladders::{Ladders, Zones, each};
-use crate::pouring;
+use crate::priorities::{PriorityLists, Zones, each};
 use maplehook_locality::Zone;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct Setting<'a> {
     /// Rules and places.
-    pub ladders: &'a Ladders,
+    pub priorities: &'a PriorityLists,
     /// What each zone can be given.
     pub room: &'a [f64],
     /// What each zone that is ill can be given when nothing else is left.
@@ -89,14 +89,14 @@
         bounds: &Bounds,
     ) -> Option<Plan> {
         let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.may_move = (self.may_move + bounds.most_moved_per_s * passed).min(bounds.most_moved_per_s);
+        self.may_move = (self.may_move + bounds.max_moved_per_s * passed).min(bounds.max_moved_per_s);
         self.at = self.at.max(now);
         let asked = asked(setting);
         self.turn_gates(now, setting, &asked);
         let open: Vec<bool> = self.gates.iter().map(|gate| gate.open).collect();
-        let Setting { ladders, room, last, reach, .. } = *setting;
-        let ground = Ground { ladders, room, last, reach, open: &open, asked: &asked };
-        let mut flows = pouring::best(&ground);
+        let Setting { priorities, room, last, reach, .. } = *setting;
+        let ground = Ground { priorities, room, last, reach, open: &open, asked: &asked };
+        let mut flows = assignment::best(&ground);
         let old_flows = flows_of(before, setting, &asked);
         let mut plan = before.clone();
         // A gain that is small is waited for, and taken in the end.
@@ -109,7 +109,7 @@
             self.may_move = (self.may_move - moved * part).max(0.0);
             if part < 1.0 {
                 flows = between(&old_flows, &flows, part);
-                pouring::undo(&ground, &mut flows);
+                assignment::undo(&ground, &mut flows);
             }
             plan.rows = rows(setting, &flows, &asked);
         } else {
@@ -138,11 +138,11 @@
 
     /// Opens and closes the step after the first, with the times that the rules state.
     fn turn_gates(&mut self, now: Duration, setting: &Setting<'_>, asked: &[f64]) {
-        let shapes = &setting.ladders.shapes;
-        self.gates.resize(shapes.len(), Gate::default());
+        let lists = &setting.priorities.lists;
+        self.gates.resize(lists.len(), Gate::default());
         let zones = setting.room.len();
         let first = |n: usize| {
-            shapes[n].steps.first().map_or(0, |step| step & setting.reach[usize::from(shapes[n].from.0)])
+            lists[n].steps.first().map_or(0, |step| step & setting.reach[usize::from(lists[n].from.0)])
         };
         let mut pressure = vec![0.0; zones];
         for (n, asked) in asked.iter().enumerate() {
@@ -151,7 +151,7 @@
             each(step).filter(|_| room > 0.0).for_each(|z| pressure[z] += asked * setting.room[z] / room);
         }
         for (n, gate) in self.gates.iter_mut().enumerate() {
-            let (shape, step) = (&shapes[n], first(n));
+            let (shape, step) = (&lists[n], first(n));
             let sum = |of: &[f64], zones: Zones| each(zones).map(|zone| of[zone]).sum::<f64>();
             let room = sum(setting.room, step);
             let load = if room > 0.0 { sum(&pressure, step) / room } else { f64::INFINITY };
@@ -176,13 +176,13 @@
 
 /// What is asked for by shape. Who asks for nothing and would be sent into trouble is planned for with next to nothing.
 fn asked(setting: &Setting<'_>) -> Vec<f64> {
-    let shapes = &setting.ladders.shapes;
-    let mut asked = vec![0.0; shapes.len()];
-    for (rule, from, n) in setting.ladders.all() {
+    let lists = &setting.priorities.lists;
+    let mut asked = vec![0.0; lists.len()];
+    for (rule, from, n) in setting.priorities.all() {
         asked[n] += setting.rate(rule, from);
     }
     let little = 1e-6 * (1.0 + asked.iter().sum::<f64>());
-    for (asked, shape) in asked.iter_mut().zip(shapes) {
+    for (asked, shape) in asked.iter_mut().zip(lists) {
         if is_troubled(setting, shape.from, shape.steps.first()) {
             *asked = asked.max(little);
         }
@@ -198,11 +198,11 @@
 /// What a plan comes to. Who has no row is in the first step, by its rooms; rules of one shape count as their mean.
 fn flows_of(plan: &Plan, setting: &Setting<'_>, asked: &[f64]) -> Flows {
     let zones = setting.room.len();
-    let shapes = &setting.ladders.shapes;
+    let lists = &setting.priorities.lists;
     let rate = |rule: u16, from: Zone| setting.rate(rule, from) + 1e-9;
-    let mut plain = vec![0.0; shapes.len()];
-    let mut all = vec![0.0; shapes.len()];
-    for (n, weight) in setting.ladders.all().map(|(rule, from, n)| (n, rate(rule, from))) {
+    let mut plain = vec![0.0; lists.len()];
+    let mut all = vec![0.0; lists.len()];
+    for (n, weight) in setting.priorities.all().map(|(rule, from, n)| (n, rate(rule, from))) {
         plain[n] += weight;
         all[n] += weight;
     }
@@ -214,15 +214,15 @@
         }
     };
     for row in &plan.rows {
-        let Some(n) = setting.ladders.shape(row.rule, row.from) else { continue };
+        let Some(n) = setting.priorities.list_index(row.rule, row.from) else { continue };
         let weight = rate(row.rule, row.from);
         plain[n] -= weight;
         for share in row.to.iter().filter(|share| usize::from(share.zone.0) < zones) {
-            let part = f64::from(share.part) / f64::from(WHOLE);
+            let part = f64::from(share.part) / f64::from(FULL_SHARE);
             send(n, usize::from(share.zone.0), part * weight / all[n]);
         }
     }
-    for (n, shape) in shapes.iter().enumerate().filter(|(n, _)| plain[*n] > 1e-12) {
+    for (n, shape) in lists.iter().enumerate().filter(|(n, _)| plain[*n] > 1e-12) {
         let step = shape.steps.first().copied().unwrap_or(0);
         let room: f64 = each(step).map(|zone| setting.room[zone]).sum();
         let even = 1.0 / f64::from(step.count_ones().max(1));
@@ -273,7 +273,7 @@
     let mut limits: Vec<f64> = ground.room.to_vec();
     for (n, to) in old.to.iter().enumerate().filter(|(n, _)| ground.open[*n]) {
         for (zone, _) in to.iter().filter(|(_, sent)| *sent > nothing) {
-            limits[zone] = limits[zone].min(ground.ladders.shapes[n].over * ground.room[zone]);
+            limits[zone] = limits[zone].min(ground.priorities.lists[n].over * ground.room[zone]);
         }
     }
     let relieved =
@@ -283,7 +283,7 @@
     }
     // Into what is closed, and would not be any more.
     let closed = |n: usize, zone: usize| {
-        let shape = &ground.ladders.shapes[n];
+        let shape = &ground.priorities.lists[n];
         ground.cap(zone) <= 0.0 || ground.usable(shape) >> zone & 1 == 0
     };
     old.to.iter().enumerate().any(|(n, to)| {
@@ -301,7 +301,7 @@
         .collect();
     let (mut served, mut near) = (0.0, 0.0);
     for (n, to) in flows.to.iter().enumerate() {
-        let shape = &ground.ladders.shapes[n];
+        let shape = &ground.priorities.lists[n];
         let usable = ground.usable(shape);
         for (zone, sent) in to.iter().filter(|(zone, _)| usable >> zone & 1 == 1) {
             served += sent * part[zone];
@@ -321,7 +321,7 @@
         |zone: usize| ((ground.room[zone] - flows.load[zone]) * bounds.spare.clamp(0.0, 1.0)).max(0.0) as f32;
     let crew = |zone: usize| setting.crews.get(zone).copied().unwrap_or(0) as f64;
     let mut comes = vec![0.0; zones];
-    for (shape, asked) in ground.ladders.shapes.iter().zip(ground.asked) {
+    for (shape, asked) in ground.priorities.lists.iter().zip(ground.asked) {
         comes[usize::from(shape.from.0)] += asked;
     }
     let (asked, crews): (f64, f64) = (comes.iter().sum(), (0..zones).map(crew).sum());
@@ -335,20 +335,20 @@
 
 /// Rows of what does not simply keep to its first step.
 fn rows(setting: &Setting<'_>, flows: &Flows, asked: &[f64]) -> Vec<Row> {
-    let shapes = &setting.ladders.shapes;
+    let lists = &setting.priorities.lists;
     let differs = |n: usize| {
-        let (shape, little) = (&shapes[n], asked[n] * 1e-6);
+        let (shape, little) = (&lists[n], asked[n] * 1e-6);
         let first = shape.steps.first().copied().unwrap_or(0);
         let near = |(zone, sent): (usize, f64)| sent <= little || first >> zone & 1 == 1;
         let plain = flows.left[n] <= little && flows.to[n].iter().all(near);
         asked[n] > 0.0 && (!plain || is_troubled(setting, shape.from, shape.steps.first()))
     };
-    let differs: Vec<bool> = (0..shapes.len()).map(differs).collect();
+    let differs: Vec<bool> = (0..lists.len()).map(differs).collect();
     // Those with most of the requests, where there are too many.
     let mut chosen: Vec<(f64, u16, Zone, usize)> = Vec::new();
-    for (rule, from, n) in setting.ladders.all().filter(|(.., n)| differs[*n]) {
+    for (rule, from, n) in setting.priorities.all().filter(|(.., n)| differs[*n]) {
         let rate = setting.rate(rule, from);
-        if rate > 0.0 || is_troubled(setting, from, shapes[n].steps.first()) {
+        if rate > 0.0 || is_troubled(setting, from, lists[n].steps.first()) {
             chosen.push((rate, rule, from, n));
         }
     }
@@ -359,7 +359,7 @@
         chosen.truncate(ROWS_MOST);
         chosen.sort_unstable_by_key(|(_, rule, from, _)| (*rule, *from));
     }
-    let mut known: Vec<Option<Vec<Share>>> = vec![None; shapes.len()];
+    let mut known: Vec<Option<Vec<Share>>> = vec![None; lists.len()];
     let mut row = |(_, rule, from, n): (f64, u16, Zone, usize)| {
         let to = known[n].get_or_insert_with(|| parts(&flows.to[n], flows.left[n], asked[n])).clone();
         Row { rule, from, to }
@@ -372,7 +372,7 @@
     if asked <= 0.0 {
         return Vec::new();
     }
-    let whole = f64::from(WHOLE);
+    let whole = f64::from(FULL_SHARE);
     let exact = |sent: f64| (sent / asked * whole + 1e-6).clamp(0.0, whole);
     let mut shares: Vec<(f64, Share)> = to
         .iter()
@@ -385,7 +385,7 @@
     if left <= asked * 1e-6 && !shares.is_empty() {
         shares.sort_by(|a, b| b.0.total_cmp(&a.0));
         let count = shares.len();
-        (0..usize::from(WHOLE.saturating_sub(sum))).for_each(|n| shares[n % count].1.part += 1);
+        (0..usize::from(FULL_SHARE.saturating_sub(sum))).for_each(|n| shares[n % count].1.part += 1);
     }
     let mut shares: Vec<Share> = shares.into_iter().map(|(_, share)| share).filter(|s| s.part > 0).collect();
     shares.sort_by_key(|share| share.zone);
--- a/crates/failover/src/ladders.rs
+++ b/crates/failover/src/priorities.rs
@@ -7,7 +7,7 @@
 pub type Zones = u64;
 
 /// A zone as a bit; none for one that can't be.
-pub fn bit(zone: Zone) -> Zones {
+pub fn zone_bit(zone: Zone) -> Zones {
     1u64.checked_shl(u32::from(zone.0)).unwrap_or(0)
 }
 
@@ -22,7 +22,7 @@
 
 /// What rules and sources have in common that are planned for as one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shape {
+pub struct PriorityList {
     /// Where the requests come in.
     pub from: Zone,
     /// Zones of each step, the nearest first; with [`WhenLost::Anywhere`] the last is what no step names.
@@ -45,7 +45,7 @@
     pub beyond: Zones,
 }
 
-impl Shape {
+impl PriorityList {
     /// All zones that it may ever be sent to.
     pub fn allowed(&self) -> Zones {
         self.steps.iter().fold(0, |all, step| all | step)
@@ -59,9 +59,9 @@
 
 /// All rules and sources, by shape.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ladders {
+pub struct PriorityLists {
     /// The shapes there are.
-    pub shapes: Vec<Shape>,
+    pub lists: Vec<PriorityList>,
     /// Position of the shape by rule and then by zone.
     by_rule: Vec<Vec<usize>>,
     /// Zones by region.
@@ -70,14 +70,14 @@
     pub region_of: Vec<usize>,
 }
 
-impl Ladders {
+impl PriorityLists {
     /// Of a topology and its rules.
     pub fn new(topology: &Topology, rules: &Rules) -> Self {
-        let set = |zones: &[Zone]| zones.iter().fold(0, |all, zone| all | bit(*zone));
-        let all = topology.zones().fold(0, |all, zone| all | bit(zone));
+        let set = |zones: &[Zone]| zones.iter().fold(0, |all, zone| all | zone_bit(*zone));
+        let all = topology.zones().fold(0, |all, zone| all | zone_bit(zone));
         let regions: Vec<Zones> = topology.regions().map(|region| set(topology.zones_of(region))).collect();
         let region_of = topology.zones().map(|zone| usize::from(topology.region_of(zone).0)).collect();
-        let mut ladders = Self { regions, region_of, ..Self::default() };
+        let mut priorities = Self { regions, region_of, ..Self::default() };
         let mut known: BTreeMap<(Zone, Vec<Zones>, usize, [u64; 6]), usize> = BTreeMap::new();
         for rule in rules.all() {
             let mut of_rule = Vec::new();
@@ -100,10 +100,10 @@
                     rule.beyond_region_most.clamp(0.0, 1.0),
                 ];
                 let key = (from, steps, own, figures.map(f64::to_bits));
-                let shapes = &mut ladders.shapes;
+                let lists = &mut priorities.lists;
                 let position = *known.entry(key).or_insert_with_key(|(from, steps, own, _)| {
                     let [over, over_for, back, back_for, usable_least, beyond_most] = figures;
-                    shapes.push(Shape {
+                    lists.push(PriorityList {
                         from: *from,
                         steps: steps.clone(),
                         own: *own,
@@ -115,24 +115,24 @@
                         beyond_most,
                         beyond: all & !set(topology.zones_of(topology.region_of(*from))),
                     });
-                    shapes.len() - 1
+                    lists.len() - 1
                 });
                 of_rule.push(position);
             }
-            ladders.by_rule.push(of_rule);
+            priorities.by_rule.push(of_rule);
         }
-        ladders
+        priorities
     }
 
     /// The position of the shape of a rule and a source.
-    pub fn shape(&self, rule: u16, from: Zone) -> Option<usize> {
+    pub fn list_index(&self, rule: u16, from: Zone) -> Option<usize> {
         self.by_rule.get(usize::from(rule))?.get(usize::from(from.0)).copied()
     }
 
     /// Zones of the first steps of all rules, for requests of a zone.
     pub fn firsts(&self, from: Zone) -> Zones {
-        let shapes = self.by_rule.iter().filter_map(|of| of.get(usize::from(from.0)));
-        let firsts = shapes.filter_map(|shape| self.shapes[*shape].steps.first());
+        let lists = self.by_rule.iter().filter_map(|of| of.get(usize::from(from.0)));
+        let firsts = lists.filter_map(|shape| self.lists[*shape].steps.first());
         firsts.fold(0, |all, step| all | step)
     }
 
--- a/crates/failover/src/report.rs
+++ b/crates/failover/src/report.rs
@@ -10,11 +10,11 @@
 /// Bytes of a report at the most, encoded.
 pub const BYTES_MOST: usize = 2048;
 /// The time over which rates are counted.
-pub const OVER: Duration = Duration::from_secs(1);
+pub const RATE_WINDOW: Duration = Duration::from_secs(1);
 
 /// A zone as a balancer sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Sight {
+pub struct ZoneObservation {
     /// Which.
     pub zone: Zone,
     /// Whether rooms are requests a second; else they are weights.
@@ -24,7 +24,8 @@
     /// What those can take now that can be used: ready, not ejected, and as warm as they are.
     pub usable: f32,
     /// Part of `listed` that is missing since upstreams are cold.
-    pub cold: f32,
+    #[serde(rename = "cold")]
+    pub warming: f32,
     /// Attempts that this balancer sent there.
     pub sent: f32,
     /// Of these, answered in time.
@@ -38,9 +39,11 @@
     /// Mean time of a new connection, in milliseconds; 0 if none was made.
     pub connect_ms: f32,
     /// Of the last connections made for no other end than to see whether it is there: how many.
-    pub probed: f32,
+    #[serde(rename = "probed")]
+    pub probes: f32,
     /// How many of these came to nothing.
-    pub unprobed: f32,
+    #[serde(rename = "unprobed")]
+    pub failed_probes: f32,
     /// What it holds there against what could be held in good time: 1 is full. 0 if nothing was sent.
     pub load: f32,
 }
@@ -53,7 +56,8 @@
     /// Requests that came.
     pub asked: f32,
     /// Of these, refused here for want of room.
-    pub refused: f32,
+    #[serde(rename = "refused")]
+    pub rejected: f32,
 }
 
 /// What one balancer says.
@@ -72,7 +76,8 @@
     /// Whether it is ready for clients.
     pub ready: bool,
     /// Zones, each once.
-    pub sights: Vec<Sight>,
+    #[serde(rename = "sights")]
+    pub observations: Vec<ZoneObservation>,
     /// Rules with any demand.
     pub demand: Vec<Demand>,
     /// Zones that it has not reached for a while without a break, and for how long, in milliseconds: whoever leads next need not
@@ -97,8 +102,8 @@
             };
             match weakest(&mut report.demand.iter().map(|d| d.asked)) {
                 Some(n) => drop(report.demand.swap_remove(n)),
-                None => match weakest(&mut report.sights.iter().map(|s| s.sent)) {
-                    Some(n) => drop(report.sights.swap_remove(n)),
+                None => match weakest(&mut report.observations.iter().map(|s| s.sent)) {
+                    Some(n) => drop(report.observations.swap_remove(n)),
                     None => return bytes,
                 },
             }
@@ -118,8 +123,8 @@
 
     /// Zones and rules in order, each once.
     pub(crate) fn tidy(&mut self) {
-        self.sights.sort_by_key(|sight| sight.zone);
-        self.sights.dedup_by_key(|sight| sight.zone);
+        self.observations.sort_by_key(|sight| sight.zone);
+        self.observations.dedup_by_key(|sight| sight.zone);
         self.demand.sort_by_key(|demand| demand.rule);
         self.demand.dedup_by_key(|demand| demand.rule);
         self.out_ms.sort();
@@ -127,20 +132,21 @@
     }
 
     /// What it sees of a zone.
-    pub fn sight(&self, zone: Zone) -> Option<&Sight> {
-        let found = self.sights.binary_search_by_key(&zone, |sight| sight.zone);
-        found.ok().map(|n| &self.sights[n])
+    pub fn sight(&self, zone: Zone) -> Option<&ZoneObservation> {
+        let found = self.observations.binary_search_by_key(&zone, |sight| sight.zone);
+        found.ok().map(|n| &self.observations[n])
     }
 
     /// Whether all its figures are such as can be.
     pub(crate) fn is_fine(&self) -> bool {
         let fine = |rate: f32| rate.is_finite() && (0.0..=1e9).contains(&rate);
-        let sight = |s: &Sight| {
-            let rooms = [s.listed, s.usable, s.cold, s.load];
-            let rates = [s.sent, s.ok, s.slow, s.failed, s.unreached, s.connect_ms, s.probed, s.unprobed];
+        let sight = |s: &ZoneObservation| {
+            let rooms = [s.listed, s.usable, s.warming, s.load];
+            let rates =
+                [s.sent, s.ok, s.slow, s.failed, s.unreached, s.connect_ms, s.probes, s.failed_probes];
             rooms.into_iter().chain(rates).all(fine)
         };
-        self.sights.iter().all(sight) && self.demand.iter().all(|d| fine(d.asked) && fine(d.refused))
+        self.observations.iter().all(sight) && self.demand.iter().all(|d| fine(d.asked) && fine(d.rejected))
     }
 }
 
@@ -151,24 +157,29 @@
 
     #[test]
     fn the_least_is_left_out_of_what_is_too_long() {
-        let sight = |n: u16| Sight { zone: Zone(n), sent: f32::from(n), usable: 3.7, ..Sight::default() };
-        let demand = |n: u16| Demand { rule: n, asked: f32::from(n), refused: 0.0 };
+        let sight = |n: u16| ZoneObservation {
+            zone: Zone(n),
+            sent: f32::from(n),
+            usable: 3.7,
+            ..ZoneObservation::default()
+        };
+        let demand = |n: u16| Demand { rule: n, asked: f32::from(n), rejected: 0.0 };
         let report = Report {
-            sights: (0..64).map(sight).collect(),
+            observations: (0..64).map(sight).collect(),
             demand: (0..256).map(demand).collect(),
             ..Report::default()
         };
         let bytes = report.encode();
         assert!(bytes.len() <= BYTES_MOST);
         let read = Report::decode(&bytes).unwrap();
-        assert!(read.sights.iter().any(|sight| sight.zone == Zone(63)));
-        assert!(!read.sights.iter().any(|sight| sight.zone == Zone(0)), "the least sent to");
+        assert!(read.observations.iter().any(|sight| sight.zone == Zone(63)));
+        assert!(!read.observations.iter().any(|sight| sight.zone == Zone(0)), "the least sent to");
     }
 
     #[test]
     fn programs_before_and_after_read_each_other() {
         let report = Report {
-            sights: vec![Sight { zone: Zone(1), sent: 3.0, ..Sight::default() }],
+            observations: vec![ZoneObservation { zone: Zone(1), sent: 3.0, ..ZoneObservation::default() }],
             out_ms: vec![(Zone(1), 700), (Zone(2), 9000)],
             ..Report::default()
         };
@@ -182,7 +193,7 @@
     #[test]
     fn a_figure_that_none_can_have_is_no_report() {
         let wild = |rate: f32| Report {
-            sights: vec![Sight { sent: rate, ..Sight::default() }],
+            observations: vec![ZoneObservation { sent: rate, ..ZoneObservation::default() }],
             ..Report::default()
         };
         assert!(Report::decode(&wild(1.0).encode()).is_some());
--- a/crates/failover/src/room.rs
+++ b/crates/failover/src/room.rs
@@ -3,8 +3,8 @@
 //! A room is the median over zones of the medians over their balancers, so that whoever lies has one voice among its zone's, and a
 //! zone one among zones. What adds up over balancers (sent, asked) is capped by balancer.
 
-use crate::evidence::{Views, Word};
-use crate::report::{Report, Sight};
+use crate::evidence::{Verdict, Views};
+use crate::report::{Report, ZoneObservation};
 use maplehook_locality::Zone;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -37,7 +37,7 @@
 
 /// What has been learned of rooms so far.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Rooms {
+pub struct CapacityEstimator {
     /// Requests a second for one of weight, when it was learned last, and when it was last seen.
     learned: BTreeMap<Zone, (f64, Duration, Duration)>,
 }
@@ -55,7 +55,7 @@
     sent: f64,
 }
 
-impl Rooms {
+impl CapacityEstimator {
     /// Rooms by zone, of the reports that are counted. `asked` is what is asked for altogether.
     pub fn of(
         &mut self,
@@ -114,14 +114,14 @@
 }
 
 fn figures(zone: Zone, zones: usize, views: &Views, reports: &[&Report]) -> Figures {
-    let sights: Vec<(Zone, &Sight)> =
+    let observations: Vec<(Zone, &ZoneObservation)> =
         reports.iter().filter_map(|report| Some((report.zone, report.sight(zone)?))).collect();
-    let stated = sights.iter().filter(|(_, sight)| sight.stated).count() * 2 > sights.len();
+    let stated = observations.iter().filter(|(_, sight)| sight.stated).count() * 2 > observations.len();
     let (mut listed, mut usable, mut loads) = (Vec::new(), Vec::new(), Vec::new());
-    let reached = |from: Zone| views.word(from, zone) != Word::Out;
-    let any = sights.iter().any(|(from, _)| reached(*from));
-    let mut by_zone: Vec<Vec<&Sight>> = vec![Vec::new(); zones];
-    for (from, sight) in sights.iter().filter(|(_, sight)| sight.stated == stated) {
+    let reached = |from: Zone| views.verdict(from, zone) != Verdict::Out;
+    let any = observations.iter().any(|(from, _)| reached(*from));
+    let mut by_zone: Vec<Vec<&ZoneObservation>> = vec![Vec::new(); zones];
+    for (from, sight) in observations.iter().filter(|(_, sight)| sight.stated == stated) {
         by_zone[usize::from(from.0)].push(sight);
     }
     // Who sends nothing there has not heard of what is ejected or gone: it lists what there should be.
@@ -137,7 +137,8 @@
         if here.is_empty() || any && !reached(Zone(from as u16)) {
             continue;
         }
-        let of = |figure: fn(&Sight) -> f32| median(here.iter().map(|s| f64::from(figure(s))).collect());
+        let of =
+            |figure: fn(&ZoneObservation) -> f32| median(here.iter().map(|s| f64::from(figure(s))).collect());
         usable.extend(of(|s| s.usable.min(s.listed)));
         let used = here.iter().filter(|s| s.load > 0.0 && s.sent > 0.0).map(|s| f64::from(s.load)).collect();
         loads.extend(median(used));
@@ -187,20 +188,20 @@
     }
     // Rooms and weights are no figures of one kind.
     let listed = |zone: Zone, stated: bool| {
-        let sights = fresh.iter().filter_map(|report| report.sight(zone));
-        let of_kind = sights.filter(|sight| sight.stated == stated && sight.listed > 0.0);
+        let observations = fresh.iter().filter_map(|report| report.sight(zone));
+        let of_kind = observations.filter(|sight| sight.stated == stated && sight.listed > 0.0);
         median(of_kind.map(|sight| f64::from(sight.listed)).collect())
     };
     let listed: Vec<[Option<f64>; 2]> =
         (0..zones as u16).map(|zone| [false, true].map(|stated| listed(Zone(zone), stated))).collect();
     let can_be = |report: &&&Report| {
-        let sight_can = |sight: &Sight| {
+        let sight_can = |sight: &ZoneObservation| {
             let of_zone = listed.get(usize::from(sight.zone.0));
             let Some(listed) = of_zone.and_then(|of| of[usize::from(sight.stated)]) else { return true };
             let answers = !sight.stated || f64::from(sight.ok) <= TIMES_MEDIAN * listed + ANSWERS;
             f64::from(sight.listed) <= TIMES_MEDIAN * listed && answers
         };
-        report.sights.iter().all(sight_can)
+        report.observations.iter().all(sight_can)
     };
     let (can_be, wild): (Vec<&Report>, Vec<&Report>) = fresh.iter().partition(can_be);
     if 2 * wild.len() >= fresh.len() { (fresh.to_vec(), Vec::new()) } else { (can_be, wild) }
--- a/crates/failover/src/trips.rs
+++ b/crates/failover/src/rtt.rs
@@ -12,15 +12,15 @@
 use std::time::Duration;
 
 /// The most peers in one balancer's word.
-pub const PEERS_MOST: usize = 16;
+pub const MAX_PEERS: usize = 16;
 /// By how much, and by what part of it, a way has to differ from the table.
-pub const DIFFERENCE: Duration = Duration::from_millis(1);
+pub const MIN_DIFFERENCE: Duration = Duration::from_millis(1);
 /// See [`DIFFERENCE`].
-pub const PART: f64 = 0.25;
+pub const MIN_RELATIVE_DIFFERENCE: f64 = 0.25;
 /// For how long it has to.
-pub const KEPT: Duration = Duration::from_secs(5);
+pub const HOLD_TIME: Duration = Duration::from_secs(5);
 /// The longest way that is taken for one.
-pub const LONGEST: Duration = Duration::from_secs(10);
+pub const MAX_RTT: Duration = Duration::from_secs(10);
 /// After this a balancer's word is no longer counted.
 const FRESH: Duration = Duration::from_secs(15);
 /// Balancers whose word is kept.
@@ -31,7 +31,7 @@
 
 /// What a balancer measured of the way to another one.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Way {
+pub struct PeerRtt {
     /// FNV-1a of the other one's name.
     pub peer: u64,
     /// There and back, in milliseconds.
@@ -40,7 +40,7 @@
 
 /// The way between two zones, by their places in [`Measured::zones`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Trip {
+pub struct ZoneRtt {
     /// The one that stands first.
     pub a: u16,
     /// The other one.
@@ -51,28 +51,32 @@
 
 /// What is agreed on of ways: no more than some 10 KiB for 64 zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Measured {
+pub struct RttTable {
     /// Names of the zones.
     pub zones: Vec<String>,
     /// Ways, each once, in order.
-    pub trips: Vec<Trip>,
+    #[serde(rename = "trips")]
+    pub rtts: Vec<ZoneRtt>,
 }
 
-impl Measured {
+impl RttTable {
     /// Whether it is one: ways in order, between two zones that it names, none longer than [`LONGEST`].
     pub fn is_sound(&self) -> bool {
-        let fine = |trip: &Trip| {
+        let fine = |trip: &ZoneRtt| {
             trip.a < trip.b
                 && usize::from(trip.b) < self.zones.len()
-                && u128::from(trip.us) <= LONGEST.as_micros()
+                && u128::from(trip.us) <= MAX_RTT.as_micros()
         };
-        self.trips.iter().all(fine) && self.trips.is_sorted_by(|x, y| (x.a, x.b) < (y.a, y.b))
+        self.rtts.iter().all(fine) && self.rtts.is_sorted_by(|x, y| (x.a, x.b) < (y.a, y.b))
     }
 
     /// As this topology counts; what it does not know is left out.
-    pub fn of<'a>(&'a self, topology: &'a Topology) -> impl Iterator<Item = (Zone, Zone, Duration)> + 'a {
+    pub fn resolve<'a>(
+        &'a self,
+        topology: &'a Topology,
+    ) -> impl Iterator<Item = (Zone, Zone, Duration)> + 'a {
         let zone = |n: u16| self.zones.get(usize::from(n)).and_then(|name| topology.zone(name));
-        self.trips.iter().filter_map(move |trip| {
+        self.rtts.iter().filter_map(move |trip| {
             let (a, b) = (zone(trip.a)?, zone(trip.b)?);
             Some((a.min(b), a.max(b), Duration::from_micros(trip.us.into())))
         })
@@ -90,8 +94,8 @@
 
 /// The leader's part: words in, tables out.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Measuring {
-    heard: BTreeMap<String, (Duration, Vec<Way>)>,
+pub struct RttEstimator {
+    heard: BTreeMap<String, (Duration, Vec<PeerRtt>)>,
     table: BTreeMap<(Zone, Zone), Duration>,
     moving: BTreeMap<(Zone, Zone), Moving>,
     looked: Duration,
@@ -105,25 +109,27 @@
 
 /// Whether a way differs from the table; one that it lacks differs from all.
 fn differs(stands: Option<Duration>, said: Duration) -> bool {
-    stands.is_none_or(|stands| said.abs_diff(stands) > DIFFERENCE.max(stands.mul_f64(PART)))
+    stands.is_none_or(|stands| {
+        said.abs_diff(stands) > MIN_DIFFERENCE.max(stands.mul_f64(MIN_RELATIVE_DIFFERENCE))
+    })
 }
 
-impl Measuring {
+impl RttEstimator {
     /// Goes on from what was agreed.
-    pub fn new(before: &Measured, topology: &Topology) -> Self {
-        let table = before.of(topology).map(|(a, b, took)| ((a, b), took)).collect();
+    pub fn new(before: &RttTable, topology: &Topology) -> Self {
+        let table = before.resolve(topology).map(|(a, b, took)| ((a, b), took)).collect();
         Self { table, ..Self::default() }
     }
 
     /// What a balancer measured; what is no time is left out. Its word before is forgotten.
-    pub fn hear(&mut self, now: Duration, from: &str, ways: &[Way]) {
+    pub fn record(&mut self, now: Duration, from: &str, ways: &[PeerRtt]) {
         if self.heard.len() >= HEARD_MOST && !self.heard.contains_key(from) {
             return;
         }
-        let fine = |way: &&Way| {
-            way.ms.is_finite() && way.ms >= 0.0 && f64::from(way.ms) <= LONGEST.as_secs_f64() * 1e3
+        let fine = |way: &&PeerRtt| {
+            way.ms.is_finite() && way.ms >= 0.0 && f64::from(way.ms) <= MAX_RTT.as_secs_f64() * 1e3
         };
-        let ways = ways.iter().take(PEERS_MOST).filter(fine).copied().collect();
+        let ways = ways.iter().take(MAX_PEERS).filter(fine).copied().collect();
         self.heard.insert(from.to_owned(), (now, ways));
     }
 
@@ -187,7 +193,7 @@
                 }
                 None => Moving { since: now, longer, to },
             };
-            if now.saturating_sub(moving.since) >= KEPT {
+            if now.saturating_sub(moving.since) >= HOLD_TIME {
                 self.table.insert((*a, *b), moving.to);
                 moved = true;
             } else {
@@ -198,16 +204,16 @@
     }
 
     /// The table, as it is agreed on.
-    pub fn table(&self, topology: &Topology) -> Measured {
+    pub fn table(&self, topology: &Topology) -> RttTable {
         if self.table.is_empty() {
-            return Measured::default();
+            return RttTable::default();
         }
-        let trip = |((a, b), took): (&(Zone, Zone), &Duration)| Trip {
+        let trip = |((a, b), took): (&(Zone, Zone), &Duration)| ZoneRtt {
             a: a.0,
             b: b.0,
-            us: took.min(&LONGEST).as_micros() as u32,
+            us: took.min(&MAX_RTT).as_micros() as u32,
         };
         let zones = topology.zones().map(|zone| topology.zone_name(zone).to_owned());
-        Measured { zones: zones.collect(), trips: self.table.iter().map(trip).collect() }
+        RttTable { zones: zones.collect(), rtts: self.table.iter().map(trip).collect() }
     }
 }
--- a/crates/failover/src/service.rs
+++ b/crates/failover/src/service.rs
@@ -2,8 +2,8 @@
 
 use crate::bounds::Bounds;
 use crate::decider::Decider;
-use crate::document::WHOLE;
-use crate::ladders::each;
+use crate::document::FULL_SHARE;
+use crate::priorities::each;
 use maplehook_locality::{Region, Zone};
 
 impl Decider {
@@ -51,10 +51,11 @@
     /// Where a rule's requests of a zone go by the plan that stands, in parts of all.
     fn goes(&self, rule: u16, from: Zone) -> Vec<(usize, f64)> {
         if let Some(row) = self.agreed.plan.row(rule, from) {
-            let part = |part: u16| f64::from(part) / f64::from(WHOLE);
+            let part = |part: u16| f64::from(part) / f64::from(FULL_SHARE);
             return row.to.iter().map(|share| (usize::from(share.zone.0), part(share.part))).collect();
         }
-        let first = self.ladders.shape(rule, from).and_then(|n| self.ladders.shapes[n].steps.first());
+        let first =
+            self.priorities.list_index(rule, from).and_then(|n| self.priorities.lists[n].steps.first());
         let usable = |zone: usize| self.situation.rooms.get(zone).map_or(0.0, |room| room.usable);
         let step: Vec<usize> = each(first.copied().unwrap_or(0)).collect();
         let all: f64 = step.iter().map(|zone| usable(*zone)).sum();
--- a/crates/failover/src/written.rs
+++ b/crates/failover/src/written.rs
@@ -1,8 +1,8 @@
 //! What stands, written down, and when that is worth being agreed on.
 
 use crate::decider::Decider;
-use crate::document::{Document, Evacuation, Place, PlaceState, Plan};
-use crate::ladders::each;
+use crate::document::{Document, Evacuation, Plan, ZoneState, ZoneStatus};
+use crate::priorities::each;
 use crate::reach::listed;
 use maplehook_locality::Zone;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 /// The state shown of a zone, and since when.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Shown {
-    pub state: PlaceState,
+    pub state: ZoneState,
     pub since: Duration,
     pub older: Duration,
 }
@@ -21,16 +21,16 @@
 impl Decider {
     pub(crate) fn differs(&self, document: &Document) -> bool {
         let agreed = &self.agreed;
-        let place = |(a, b): (&Place, &Place)| {
+        let place = |(a, b): (&ZoneStatus, &ZoneStatus)| {
             a.state != b.state
                 || a.cut_from != b.cut_from
                 || (a.given - b.given).abs() >= GIVEN
                 || a.given != b.given && (a.given >= 1.0 || b.given >= 1.0)
         };
         let same = |a: &Evacuation, b: &Evacuation| (&a.zones, &a.by) == (&b.zones, &b.by);
-        agreed.places.len() != document.places.len()
-            || agreed.places.iter().zip(&document.places).any(place)
-            || agreed.held != document.held
+        agreed.zone_statuses.len() != document.zone_statuses.len()
+            || agreed.zone_statuses.iter().zip(&document.zone_statuses).any(place)
+            || agreed.hold != document.hold
             || agreed.shared_cause.is_some() != document.shared_cause.is_some()
             || agreed.evacuations.len() != document.evacuations.len()
             || !agreed.evacuations.iter().zip(&document.evacuations).all(|(a, b)| same(a, b))
@@ -46,28 +46,28 @@
             let out = (0..count).filter(|other| *other != zone && self.cut[*other] >> zone & 1 == 1).count();
             2 * out > count - 1
         });
-        let mut places = Vec::with_capacity(count);
+        let mut zone_statuses = Vec::with_capacity(count);
         for zone in 0..count {
             let standing = &self.standings[zone];
             let seen = self.seen_now.get(zone);
             let cut = self.cut[zone];
-            let is_cut = standing.state == PlaceState::Serving && (off >> zone & 1 == 1 || cut & !off != 0);
-            let state = if is_cut { PlaceState::Cut } else { standing.state };
+            let is_cut = standing.state == ZoneState::Serving && (off >> zone & 1 == 1 || cut & !off != 0);
+            let state = if is_cut { ZoneState::Partitioned } else { standing.state };
             let shown = &mut self.shown[zone];
             if shown.state != state {
                 *shown = Shown { state, since: now, older: Duration::ZERO };
             }
             let names: Vec<&str> = each(cut).map(|from| self.topology.zone_name(Zone(from as u16))).collect();
-            let why = match (is_cut, names.is_empty()) {
+            let reason = match (is_cut, names.is_empty()) {
                 (true, true) => "reaches most others no more".to_owned(),
                 (true, false) => format!("out of reach from {}", names.join(", ")),
-                _ => standing.why.clone(),
+                _ => standing.reason.clone(),
             };
             let room = self.situation.rooms.get(zone).copied().unwrap_or_default();
             let age = shown.older.saturating_add(now.saturating_sub(shown.since));
-            places.push(Place {
+            zone_statuses.push(ZoneStatus {
                 state,
-                why,
+                reason,
                 since_ms: age.as_millis().min(u128::from(u64::MAX)) as u64,
                 usable: room.usable as f32,
                 load: room.load as f32,
@@ -81,15 +81,15 @@
         let evacuations = self
             .evacuations
             .iter()
-            .map(|(e, until)| Evacuation { left_ms: until.as_ref().map(left), ..e.clone() });
+            .map(|(e, until)| Evacuation { remaining_ms: until.as_ref().map(left), ..e.clone() });
         Document {
             digest: self.agreed.digest,
             zones: self.agreed.zones.clone(),
             rules: self.agreed.rules.clone(),
-            places,
+            zone_statuses,
             plan,
             evacuations: evacuations.collect(),
-            held: self.held.clone(),
+            hold: self.hold.clone(),
             shared_cause: self.shared_cause.clone(),
         }
     }
--- a/crates/failover/tests/all/alone.rs
+++ b/crates/failover/tests/all/alone.rs
@@ -1,7 +1,7 @@
 //! A balancer's side: with the lease, without, and without any plan.
 
 use crate::world::{World, topology};
-use maplehook_failover::{Acting, Demand, Shares, Sight};
+use maplehook_failover::{BalancerRouting, Demand, Shares, ZoneObservation};
 use maplehook_locality::{Rule, Rules, Topology, Zone};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -13,31 +13,31 @@
     Rules::near_first(1, 1)
 }
 
-fn sight(zone: u16, usable: f32) -> Sight {
-    Sight { zone: Zone(zone), stated: true, listed: 1000.0, usable, ..Sight::default() }
+fn sight(zone: u16, usable: f32) -> ZoneObservation {
+    ZoneObservation { zone: Zone(zone), stated: true, listed: 1000.0, usable, ..ZoneObservation::default() }
 }
 
-fn sights(usable: [f32; 4]) -> Vec<Sight> {
+fn observations(usable: [f32; 4]) -> Vec<ZoneObservation> {
     usable.iter().enumerate().map(|(zone, usable)| sight(zone as u16, *usable)).collect()
 }
 
 fn asked(rate: f32) -> Vec<Demand> {
-    vec![Demand { rule: 0, asked: rate, refused: 0.0 }]
+    vec![Demand { rule: 0, asked: rate, rejected: 0.0 }]
 }
 
 /// Two seconds of the same.
 fn after(
-    acting: &mut Acting,
+    acting: &mut BalancerRouting,
     now: &mut Duration,
     lease: bool,
-    sights: &[Sight],
+    observations: &[ZoneObservation],
     demand: &[Demand],
 ) -> Shares {
     for _ in 0..8 {
         *now += STEP;
-        acting.tick(*now, lease, sights, demand);
+        acting.tick(*now, lease, observations, demand);
     }
-    acting.acts().rules[0].clone()
+    acting.routing().rules[0].clone()
 }
 
 fn part(shares: &Shares, zone: u16) -> f64 {
@@ -51,15 +51,15 @@
     world.zones[0].up = 0.0;
     world.run(6.0);
     let mut now = Duration::ZERO;
-    let mut acting = Acting::new(topology(), near(), Zone(0), now);
-    acting.agreed(&world.force);
-    let shares = after(&mut acting, &mut now, true, &sights([1000.0, 0.0, 0.0, 0.0]), &asked(150.0));
+    let mut acting = BalancerRouting::new(topology(), near(), Zone(0), now);
+    acting.set_document(&world.force);
+    let shares = after(&mut acting, &mut now, true, &observations([1000.0, 0.0, 0.0, 0.0]), &asked(150.0));
     assert!((part(&shares, 1) - world.part(0, 1)).abs() < 1e-9 && part(&shares, 0) == 0.0, "{shares:?}");
-    assert!(acting.acts().in_common && acting.acts().epoch == world.force.plan.epoch);
+    assert!(acting.routing().uses_shared_plan && acting.routing().epoch == world.force.plan.epoch);
     // By name, where zones are counted otherwise.
     let other = Topology::new([("south", vec!["d", "c"]), ("north", vec!["b", "a"])]).unwrap();
-    let mut acting = Acting::new(other, near(), Zone(3), now);
-    acting.agreed(&world.force);
+    let mut acting = BalancerRouting::new(other, near(), Zone(3), now);
+    acting.set_document(&world.force);
     let shares = after(&mut acting, &mut now, true, &[], &asked(150.0));
     assert!((part(&shares, 2) - world.part(0, 1)).abs() < 1e-9, "{shares:?}");
 }
@@ -72,23 +72,28 @@
     let (document, spare) = (world.force.clone(), world.force.plan.spare.clone());
     assert!(document.plan.rows.is_empty() && spare[1] > 100.0);
     // a's upstreams go after the last plan, and all of its three balancers are out of touch, as are c's and d's.
-    let (mut into, mut refused) = ([0.0; 4], 0.0);
+    let (mut into, mut rejected) = ([0.0; 4], 0.0);
     for zone in [0u16, 2, 3] {
         for _ in 0..3 {
             let mut now = Duration::ZERO;
-            let mut acting = Acting::new(topology(), near(), Zone(zone), now);
-            acting.agreed(&document);
-            acting.balancers(12);
+            let mut acting = BalancerRouting::new(topology(), near(), Zone(zone), now);
+            acting.set_document(&document);
+            acting.set_balancer_count(12);
             let rate = 470.0 / 3.0;
-            let shares =
-                after(&mut acting, &mut now, false, &sights([0.0, 1000.0, 1000.0, 1000.0]), &asked(rate));
-            assert!(!acting.acts().in_common);
+            let shares = after(
+                &mut acting,
+                &mut now,
+                false,
+                &observations([0.0, 1000.0, 1000.0, 1000.0]),
+                &asked(rate),
+            );
+            assert!(!acting.routing().uses_shared_plan);
             let sum: f64 = shares.to.iter().map(|(_, part)| part).sum();
-            assert!((sum + shares.refused - 1.0).abs() < 1e-9, "{shares:?}");
+            assert!((sum + shares.rejected - 1.0).abs() < 1e-9, "{shares:?}");
             for zone in 0..4 {
                 into[usize::from(zone)] += part(&shares, zone) * f64::from(rate);
             }
-            refused += shares.refused * f64::from(rate);
+            rejected += shares.rejected * f64::from(rate);
         }
     }
     assert_eq!(into[0], 0.0);
@@ -99,7 +104,7 @@
         let planned = if zone == 1 { 700.0 } else { 0.0 };
         assert!(into[zone] + planned <= 1000.0, "{into:?}");
     }
-    assert!(refused > 0.0, "what is not spare is not sent");
+    assert!(rejected > 0.0, "what is not spare is not sent");
 }
 
 #[test]
@@ -110,12 +115,12 @@
     let mut into = [0.0; 4];
     for _ in 0..3 {
         let mut now = Duration::ZERO;
-        let mut acting = Acting::new(topology(), near(), Zone(0), now);
-        acting.agreed(&world.force);
-        acting.balancers(12);
-        let (rate, seen) = (470.0 / 3.0, sights([0.0, 1000.0, 1000.0, 1000.0]));
+        let mut acting = BalancerRouting::new(topology(), near(), Zone(0), now);
+        acting.set_document(&world.force);
+        acting.set_balancer_count(12);
+        let (rate, seen) = (470.0 / 3.0, observations([0.0, 1000.0, 1000.0, 1000.0]));
         let shares = after(&mut acting, &mut now, false, &seen, &asked(rate));
-        served += (1.0 - shares.refused) * f64::from(rate);
+        served += (1.0 - shares.rejected) * f64::from(rate);
         for zone in 0..4 {
             into[usize::from(zone)] += part(&shares, zone) * f64::from(rate);
         }
@@ -158,7 +163,7 @@
         let all: Vec<(String, Zone)> = (0..4)
             .flat_map(|zone| (0..crews[zone]).map(move |n| (format!("{zone}-{n}"), Zone(zone as u16))))
             .collect();
-        world.decider.members(&all, 0);
+        world.decider.set_members(&all, 0);
         world.run(7.0);
         if let Some(lost) = lost {
             world.zones[lost].up = 0.0;
@@ -177,16 +182,16 @@
             let topology = if by_name { other } else { topology() };
             let at = |zone: u16| if by_name { 3 - zone } else { zone };
             let mut now = Duration::ZERO;
-            let mut acting = Acting::new(topology, near(), Zone(at(*zone)), now);
-            acting.agreed(&document);
-            acting.balancers(all.len());
+            let mut acting = BalancerRouting::new(topology, near(), Zone(at(*zone)), now);
+            acting.set_document(&document);
+            acting.set_balancer_count(all.len());
             let usable = |well: bool| if well { 1000.0 } else { 0.0 };
-            let mut sights: Vec<Sight> = (0..4).map(|zone| sight(at(zone), usable(seen[usize::from(zone)]))).collect();
-            sights.sort_by_key(|sight| sight.zone);
-            let planned = after(&mut acting, &mut now, true, &sights, &asked(rate));
-            let shares = after(&mut acting, &mut now, false, &sights, &asked(rate));
+            let mut observations: Vec<ZoneObservation> = (0..4).map(|zone| sight(at(zone), usable(seen[usize::from(zone)]))).collect();
+            observations.sort_by_key(|sight| sight.zone);
+            let planned = after(&mut acting, &mut now, true, &observations, &asked(rate));
+            let shares = after(&mut acting, &mut now, false, &observations, &asked(rate));
             let sum: f64 = shares.to.iter().map(|(_, part)| part).sum();
-            prop_assert!((sum + shares.refused - 1.0).abs() < 1e-9, "{:?}", shares);
+            prop_assert!((sum + shares.rejected - 1.0).abs() < 1e-9, "{:?}", shares);
             for zone in 0..4 {
                 let more = part(&shares, at(zone)) - part(&planned, at(zone));
                 beside[usize::from(zone)] += more.max(0.0) * f64::from(rate);
@@ -208,37 +213,38 @@
     let mut document = world.force.clone();
     document.plan.spare = vec![400.0; 4];
     let (mut now, demand) = (Duration::ZERO, asked(1.0));
-    let mut acting = Acting::new(topology(), near(), Zone(0), now);
-    acting.agreed(&document);
+    let mut acting = BalancerRouting::new(topology(), near(), Zone(0), now);
+    acting.set_document(&document);
     // It sees b well, and its own lost.
-    let shares = after(&mut acting, &mut now, false, &sights([0.0, 1000.0, 1000.0, 1000.0]), &demand);
+    let shares = after(&mut acting, &mut now, false, &observations([0.0, 1000.0, 1000.0, 1000.0]), &demand);
     assert!(part(&shares, 1) == 0.0 && part(&shares, 2) > 0.9, "{shares:?}");
-    let shares = after(&mut acting, &mut now, false, &sights([0.0, 1000.0, 0.0, 0.0]), &demand);
+    let shares = after(&mut acting, &mut now, false, &observations([0.0, 1000.0, 0.0, 0.0]), &demand);
     assert!(part(&shares, 1) > 0.9, "{shares:?}");
     // Who sees nothing at all keeps to what it has.
-    let mut acting = Acting::new(topology(), near(), Zone(0), now);
-    acting.agreed(&document);
-    let shares = after(&mut acting, &mut now, false, &sights([0.0; 4]), &demand);
+    let mut acting = BalancerRouting::new(topology(), near(), Zone(0), now);
+    acting.set_document(&document);
+    let shares = after(&mut acting, &mut now, false, &observations([0.0; 4]), &demand);
     assert_eq!(part(&shares, 0), 1.0);
 }
 
 #[test]
 fn without_any_plan_it_is_near_and_a_cautious_part_moves() {
     let mut now = Duration::ZERO;
-    let mut acting = Acting::new(topology(), near(), Zone(0), now);
-    acting.balancers(4);
-    let well = sights([1000.0; 4]);
+    let mut acting = BalancerRouting::new(topology(), near(), Zone(0), now);
+    acting.set_balancer_count(4);
+    let well = observations([1000.0; 4]);
     let shares = after(&mut acting, &mut now, true, &well, &asked(200.0));
-    assert_eq!((part(&shares, 0), acting.acts().in_common), (1.0, false));
-    let shares = after(&mut acting, &mut now, false, &sights([0.0, 1000.0, 1000.0, 1000.0]), &asked(200.0));
+    assert_eq!((part(&shares, 0), acting.routing().uses_shared_plan), (1.0, false));
+    let shares =
+        after(&mut acting, &mut now, false, &observations([0.0, 1000.0, 1000.0, 1000.0]), &asked(200.0));
     let each = 0.2 * 1000.0 / 4.0 / 200.0;
     assert!((1..4).all(|zone| (part(&shares, zone) - each).abs() < 1e-9), "{shares:?}");
     // One glitch of half a second moves nothing.
-    let mut acting = Acting::new(topology(), near(), Zone(0), now);
+    let mut acting = BalancerRouting::new(topology(), near(), Zone(0), now);
     for usable in [1000.0, 0.0, 0.0, 1000.0] {
         now += STEP;
-        acting.tick(now, false, &sights([usable, 1000.0, 1000.0, 1000.0]), &asked(200.0));
-        assert_eq!(part(&acting.acts().rules[0], 0), 1.0);
+        acting.tick(now, false, &observations([usable, 1000.0, 1000.0, 1000.0]), &asked(200.0));
+        assert_eq!(part(&acting.routing().rules[0], 0), 1.0);
     }
 }
 
@@ -249,9 +255,10 @@
     rule.never = vec![Zone(1)];
     rule.beyond_region_most = 0.1;
     let rules = Rules::new(vec![rule], 1, 1, |_, _| 0);
-    let mut acting = Acting::new(topology(), rules, Zone(0), now);
-    let shares = after(&mut acting, &mut now, false, &sights([0.0, 1000.0, 1000.0, 1000.0]), &asked(1.0));
+    let mut acting = BalancerRouting::new(topology(), rules, Zone(0), now);
+    let shares =
+        after(&mut acting, &mut now, false, &observations([0.0, 1000.0, 1000.0, 1000.0]), &asked(1.0));
     assert!(part(&shares, 1) == 0.0, "{shares:?}");
     assert!((part(&shares, 2) + part(&shares, 3) - 0.1).abs() < 1e-9, "{shares:?}");
-    assert!((shares.refused - 0.9).abs() < 1e-9);
+    assert!((shares.rejected - 0.9).abs() < 1e-9);
 }
--- a/crates/failover/tests/all/believed.rs
+++ b/crates/failover/tests/all/believed.rs
@@ -2,7 +2,7 @@
 
 use crate::world::{World, topology};
 use maplehook_failover::room::{credible, demand};
-use maplehook_failover::{Bounds, Decider, Document, PlaceState, Report};
+use maplehook_failover::{Bounds, Decider, Document, Report, ZoneState};
 use maplehook_locality::{Rules, Zone};
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     if zone == 3 && now > Duration::from_secs(10) {
         let mut rng = fastrand::Rng::with_seed(now.as_millis() as u64);
         let mut wild = || rng.f32() * 1e6;
-        for sight in &mut report.sights {
+        for sight in &mut report.observations {
             (sight.listed, sight.usable, sight.sent) = (wild(), wild(), wild());
             (sight.ok, sight.unreached, sight.load) = (wild(), wild(), wild());
         }
@@ -25,15 +25,15 @@
     for stated in [true, false] {
         let mut world = World::new();
         (world.per_zone, world.twist, world.stated) = (1, wild, stated);
-        world.members(0);
+        world.set_members(0);
         world.run(20.0);
         assert!(world.force.plan.rows.is_empty(), "{:?}", world.force.plan);
-        assert!(world.force.places.iter().all(|place| place.state == PlaceState::Serving));
+        assert!(world.force.zone_statuses.iter().all(|place| place.state == ZoneState::Serving));
         world.zones[0].up = 0.0;
         world.run(4.0);
         world.count_anew();
         world.run(20.0);
-        assert!(world.state(0) == PlaceState::Lost && world.state(3) == PlaceState::Serving);
+        assert!(world.state(0) == ZoneState::Unreachable && world.state(3) == ZoneState::Serving);
         // Its clients are still there, and are planned for.
         assert!(
             world.share_served() > 0.99 && world.worst <= 1.01,
@@ -59,7 +59,7 @@
 
 /// Rooms that are stated twenty times too small.
 fn small(_: Duration, _: usize, _: usize, mut report: Report) -> Option<Report> {
-    for sight in &mut report.sights {
+    for sight in &mut report.observations {
         (sight.listed, sight.usable) = (sight.listed / 20.0, sight.usable / 20.0);
     }
     Some(report)
@@ -69,12 +69,16 @@
 fn rooms_that_are_stated_far_too_small_blind_nobody() {
     let mut world = World::new();
     (world.per_zone, world.twist) = (1, small);
-    world.members(0);
+    world.set_members(0);
     world.run(10.0);
-    assert!(world.force.places.iter().all(|place| place.usable > 0.0), "{:?}", world.force.places);
+    assert!(
+        world.force.zone_statuses.iter().all(|place| place.usable > 0.0),
+        "{:?}",
+        world.force.zone_statuses
+    );
     world.zones[0].up = 0.0;
     world.run(4.0);
-    assert_eq!(world.state(0), PlaceState::Lost);
+    assert_eq!(world.state(0), ZoneState::Unreachable);
 }
 
 /// The looks that whoever begins to lead needs until a zone is lost that has been out of reach from some zones for a time.
@@ -92,14 +96,14 @@
             for n in 0..3 {
                 let mut report = world.report(zone);
                 report.number = 1000 + look as u64;
-                report.sights[0].probed = 3.0;
-                report.sights[0].unprobed = 3.0;
+                report.observations[0].probes = 3.0;
+                report.observations[0].failed_probes = 3.0;
                 report.out_ms = vec![(Zone(0), out_ms)];
                 let read = Report::decode(&report.encode()).unwrap();
-                assert!(next.hear(now, &format!("{zone}-{n}"), read));
+                assert!(next.record_report(now, &format!("{zone}-{n}"), read));
             }
         }
-        let lost = |document: &Document| document.places[0].state == PlaceState::Lost;
+        let lost = |document: &Document| document.zone_statuses[0].state == ZoneState::Unreachable;
         if next.tick(now).as_ref().is_some_and(lost) {
             return look;
         }
@@ -126,7 +130,7 @@
     let before = part(&world.force);
     assert!(before > 0.0);
     world.per_zone = 4;
-    world.members(0);
+    world.set_members(0);
     world.run(1.0);
     assert!((part(&world.force) / before - 0.75).abs() < 0.01, "{before} {}", part(&world.force));
     // One of each zone is heard of at first.
@@ -137,7 +141,7 @@
         now += Duration::from_millis(250);
         for zone in 0..4 {
             let report = Report { number: 1000 + look, ..world.report(zone) };
-            assert!(next.hear(now, &format!("{zone}-0"), report));
+            assert!(next.record_report(now, &format!("{zone}-0"), report));
         }
         if let Some(document) = next.tick(now) {
             next.accepted(&document);
--- a/crates/failover/tests/all/bounds.rs
+++ b/crates/failover/tests/all/bounds.rs
@@ -1,7 +1,7 @@
 //! What bounds and dwell times keep from moving.
 
 use crate::world::World;
-use maplehook_failover::{Bounds, PlaceState};
+use maplehook_failover::{Bounds, ZoneState};
 use maplehook_locality::Rules;
 
 #[test]
@@ -17,7 +17,7 @@
     assert_eq!(world.force.plan.rows, rows);
     let said = world.force.shared_cause.clone().unwrap();
     assert!(said.contains("4 of 4 zones"), "{said}");
-    assert!((0..4).all(|zone| world.force.places[zone].given == 1.0));
+    assert!((0..4).all(|zone| world.force.zone_statuses[zone].given == 1.0));
     world.zones.iter_mut().for_each(|zone| zone.failing = 0.0);
     world.run(10.0);
     assert_eq!((world.force.shared_cause.as_ref(), &world.force.plan.rows), (None, &rows));
@@ -42,8 +42,8 @@
         for_ms: None,
         anyway: true,
     };
-    let refused = world.decider.order(world.now, order).unwrap_err();
-    assert!(refused.to_string().contains("nothing moves"), "{refused}");
+    let rejected = world.decider.order(world.now, order).unwrap_err();
+    assert!(rejected.to_string().contains("nothing moves"), "{rejected}");
     world.zones.iter_mut().zip(rooms).for_each(|(zone, room)| zone.room = room);
     world.run(5.0);
     assert_eq!((world.force.shared_cause.as_ref(), &world.force.plan.rows), (None, &rows));
@@ -54,18 +54,18 @@
     let mut world = World::new();
     world.run(10.0);
     world.twist = |_, zone, _, mut report| {
-        for sight in report.sights.iter_mut().filter(|sight| zone == 1 && sight.zone.0 != 1) {
+        for sight in report.observations.iter_mut().filter(|sight| zone == 1 && sight.zone.0 != 1) {
             (sight.usable, sight.unreached) = (0.0, sight.sent);
         }
         Some(report)
     };
     world.count_anew();
     world.run(15.0);
-    assert_eq!(world.state(1), PlaceState::Cut, "it is what is off");
+    assert_eq!(world.state(1), ZoneState::Partitioned, "it is what is off");
     assert!(
-        [0, 2, 3].into_iter().all(|zone| world.state(zone) == PlaceState::Serving),
+        [0, 2, 3].into_iter().all(|zone| world.state(zone) == ZoneState::Serving),
         "{:?}",
-        world.force.places
+        world.force.zone_statuses
     );
     assert!((0..4).all(|zone| world.part(zone, zone) == 1.0) && world.share_served() > 0.999);
 }
@@ -77,13 +77,18 @@
     world.zones[0].up = 0.0;
     // The others send nothing there, and so know nothing of it.
     world.twist = |_, zone, _, mut report| {
-        for sight in report.sights.iter_mut().filter(|sight| zone != 0 && sight.zone.0 == 0) {
+        for sight in report.observations.iter_mut().filter(|sight| zone != 0 && sight.zone.0 == 0) {
             sight.usable = sight.listed;
         }
         Some(report)
     };
     world.run(5.0);
-    assert_eq!((world.state(0), world.part(0, 0)), (PlaceState::Ill, 0.0), "{:?}", world.force.places[0]);
+    assert_eq!(
+        (world.state(0), world.part(0, 0)),
+        (ZoneState::Unhealthy, 0.0),
+        "{:?}",
+        world.force.zone_statuses[0]
+    );
     world.count_anew();
     world.run(5.0);
     assert!(world.share_served() > 0.999);
@@ -91,7 +96,7 @@
 
 #[test]
 fn no_more_is_moved_in_a_second_than_is_allowed() {
-    let bounds = Bounds { most_moved_per_s: 0.05, ..Bounds::default() };
+    let bounds = Bounds { max_moved_per_s: 0.05, ..Bounds::default() };
     let mut world = World::with(crate::world::topology(), Rules::near_first(1, 1), bounds);
     world.run(10.0);
     world.zones[0].up = 0.0;
@@ -119,32 +124,46 @@
         world.zones[0].up = 1.0;
         world.run(9.0);
     }
-    assert!(world.documents.iter().all(|(_, d)| d.plan.rows.is_empty() && d.places[0].given == 1.0));
+    assert!(world.documents.iter().all(|(_, d)| d.plan.rows.is_empty() && d.zone_statuses[0].given == 1.0));
 }
 
 #[test]
 fn so_many_zones_stay_in_service_whatever_is_seen() {
-    let bounds = Bounds { most_away: 1.0, shared_cause: 1.0, least_in_service: 2, ..Bounds::default() };
+    let bounds = Bounds {
+        max_capacity_removed: 1.0,
+        shared_cause_share: 1.0,
+        min_zones_in_service: 2,
+        ..Bounds::default()
+    };
     let mut world = World::with(crate::world::topology(), Rules::near_first(1, 1), bounds);
     world.run(10.0);
     for zone in 0..3 {
         world.zones[zone].up = 0.0;
         world.run(5.0);
     }
-    let given: Vec<f32> = world.force.places.iter().map(|place| place.given).collect();
-    assert_eq!(given, [0.0, 0.0, 1.0, 1.0], "{:?}", world.force.places);
-    assert_eq!(world.state(2), PlaceState::Lost, "it is said");
-    assert!(world.force.places[2].why.contains("2 zones have to stay"), "{}", world.force.places[2].why);
+    let given: Vec<f32> = world.force.zone_statuses.iter().map(|place| place.given).collect();
+    assert_eq!(given, [0.0, 0.0, 1.0, 1.0], "{:?}", world.force.zone_statuses);
+    assert_eq!(world.state(2), ZoneState::Unreachable, "it is said");
+    assert!(
+        world.force.zone_statuses[2].reason.contains("2 zones have to stay"),
+        "{}",
+        world.force.zone_statuses[2].reason
+    );
     assert_eq!(world.part(2, 2), 1.0, "and not moved");
     // When another is back, it is let go.
     world.zones[0].up = 1.0;
     world.run(20.0);
-    assert_eq!((world.force.places[2].given, world.part(2, 2)), (0.0, 0.0), "{:?}", world.force.places);
+    assert_eq!(
+        (world.force.zone_statuses[2].given, world.part(2, 2)),
+        (0.0, 0.0),
+        "{:?}",
+        world.force.zone_statuses
+    );
 }
 
 #[test]
 fn what_is_relieved_counts_as_away() {
-    let bounds = Bounds { most_away: 0.7, shared_cause: 1.0, ..Bounds::default() };
+    let bounds = Bounds { max_capacity_removed: 0.7, shared_cause_share: 1.0, ..Bounds::default() };
     let mut world = World::with(crate::world::topology(), Rules::near_first(1, 1), bounds);
     world.run(10.0);
     world.zones[0].up = 0.0;
@@ -152,12 +171,12 @@
     // b falls ill under the spill and then c at once: b is not cured, and then as good as gone.
     world.zones[1].failing = 0.5;
     world.run(2.5);
-    assert_eq!(world.force.places[1].given, 0.5);
+    assert_eq!(world.force.zone_statuses[1].given, 0.5);
     world.zones[2].failing = 0.5;
     world.run(20.0);
     for (_, document) in &world.documents {
-        let away: f32 = document.places.iter().map(|place| 0.25 * (1.0 - place.given)).sum();
-        assert!(away <= 0.7, "{:?}", document.places);
+        let away: f32 = document.zone_statuses.iter().map(|place| 0.25 * (1.0 - place.given)).sum();
+        assert!(away <= 0.7, "{:?}", document.zone_statuses);
     }
-    assert_eq!((world.force.places[1].given, world.force.places[2].given), (0.0, 1.0));
+    assert_eq!((world.force.zone_statuses[1].given, world.force.zone_statuses[2].given), (0.0, 1.0));
 }
--- a/crates/failover/tests/all/decisions.rs
+++ b/crates/failover/tests/all/decisions.rs
@@ -3,7 +3,7 @@
 use crate::world::{World, topology};
 use maplehook_failover::evidence::Views;
 use maplehook_failover::heard::Heard;
-use maplehook_failover::{Bounds, Decider, Order, PlaceState, Refusal, Report, Sight, digest};
+use maplehook_failover::{Bounds, Decider, Order, OrderError, Report, ZoneObservation, ZoneState, digest};
 use maplehook_locality::{Rule, Rules, Topology, Zone};
 use std::time::Duration;
 
@@ -21,45 +21,41 @@
     let mut world = World::new();
     world.run(10.0);
     let document = world.decider.order(world.now, evacuate(&[0], Some(30_000), false)).unwrap();
-    assert_eq!(document.evacuations[0].left_ms, Some(30_000));
+    assert_eq!(document.evacuations[0].remaining_ms, Some(30_000));
     world.take(document);
     world.count_anew();
     world.run(3.0);
-    assert_eq!((world.state(0), world.part(0, 0)), (PlaceState::Evacuated, 0.0));
+    assert_eq!((world.state(0), world.part(0, 0)), (ZoneState::Evacuated, 0.0));
     assert!(world.share_served() > 0.999 && world.worst <= 1.001);
     world.run(28.0);
     assert!(world.force.evacuations.is_empty());
-    assert_eq!(world.state(0), PlaceState::Returning);
+    assert_eq!(world.state(0), ZoneState::Returning);
     world.run(40.0);
-    assert_eq!((world.state(0), world.part(0, 0)), (PlaceState::Serving, 1.0));
+    assert_eq!((world.state(0), world.part(0, 0)), (ZoneState::Serving, 1.0));
 }
 
 #[test]
 fn an_evacuation_that_the_rest_can_not_bear_is_refused_with_numbers() {
     let mut world = World::new();
     world.zones.iter_mut().for_each(|zone| zone.demand = 800.0);
-    assert_eq!(world.decider.order(world.now, evacuate(&[0], None, false)), Err(Refusal::NothingKnown));
+    assert_eq!(world.decider.order(world.now, evacuate(&[0], None, false)), Err(OrderError::NoReportsYet));
     world.run(10.0);
     let epoch = world.force.plan.epoch;
-    let refused = world.decider.order(world.now, evacuate(&[0], None, false)).unwrap_err();
-    let said = refused.to_string();
+    let rejected = world.decider.order(world.now, evacuate(&[0], None, false)).unwrap_err();
+    let said = rejected.to_string();
     assert!(
         said.contains("of 3200 requests a second 200 would be refused") && said.contains("3000"),
         "{said}"
     );
     world.run(5.0);
-    assert_eq!(
-        (world.state(0), world.force.plan.epoch),
-        (PlaceState::Serving, epoch),
-        "nothing of it stands"
-    );
-    assert_eq!(world.decider.order(world.now, evacuate(&[9], None, true)), Err(Refusal::NoSuchPlace));
+    assert_eq!((world.state(0), world.force.plan.epoch), (ZoneState::Serving, epoch), "nothing of it stands");
+    assert_eq!(world.decider.order(world.now, evacuate(&[9], None, true)), Err(OrderError::UnknownZone));
     let all = world.decider.order(world.now, evacuate(&[0, 1, 2, 3], None, true));
-    assert_eq!(all, Err(Refusal::TooFew { left: 0, least: 1 }), "not even anyway");
+    assert_eq!(all, Err(OrderError::TooFewZones { left: 0, least: 1 }), "not even anyway");
     let document = world.decider.order(world.now, evacuate(&[0], None, true)).unwrap();
     world.take(document);
     world.run(5.0);
-    assert_eq!((world.state(0), world.part(0, 0)), (PlaceState::Evacuated, 0.0));
+    assert_eq!((world.state(0), world.part(0, 0)), (ZoneState::Evacuated, 0.0));
     assert!(world.worst <= 1.001);
 }
 
@@ -74,25 +70,25 @@
     let second = world.decider.order(world.now, evacuate(&[1], None, false)).unwrap();
     world.take(second);
     world.run(5.0);
-    assert_eq!((world.state(0), world.state(1)), (PlaceState::Evacuated, PlaceState::Evacuated));
+    assert_eq!((world.state(0), world.state(1)), (ZoneState::Evacuated, ZoneState::Evacuated));
     assert!(world.part(0, 2) + world.part(0, 3) > 0.99);
     let third = world.decider.order(world.now, evacuate(&[2], None, false)).unwrap_err();
-    assert!(matches!(third, Refusal::TooMuchAway { away, .. } if away > 0.7), "{third}");
+    assert!(matches!(third, OrderError::TooMuchCapacityRemoved { away, .. } if away > 0.7), "{third}");
     // The first one's time ends; the other's stays.
     world.run(60.0);
-    assert_eq!((world.force.evacuations.len(), world.state(1)), (1, PlaceState::Evacuated));
+    assert_eq!((world.force.evacuations.len(), world.state(1)), (1, ZoneState::Evacuated));
     let release = |zones: &[u16]| Order::Release {
         by: "ann".into(),
         zones: zones.iter().map(|zone| Zone(*zone)).collect(),
     };
     let other = world.decider.order(world.now, release(&[0]));
-    assert_eq!(other, Err(Refusal::NothingToRelease), "that one stands no more");
+    assert_eq!(other, Err(OrderError::NothingToRelease), "that one stands no more");
     let released = world.decider.order(world.now, release(&[1])).unwrap();
     world.take(released);
     world.run(5.0);
-    assert_eq!(world.state(1), PlaceState::Returning);
+    assert_eq!(world.state(1), ZoneState::Returning);
     let again = world.decider.order(world.now, Order::Release { by: "ann".into(), zones: Vec::new() });
-    assert_eq!(again, Err(Refusal::NothingToRelease));
+    assert_eq!(again, Err(OrderError::NothingToRelease));
 }
 
 #[test]
@@ -108,7 +104,7 @@
     world.run(10.0);
     assert_eq!(
         (world.state(0), world.force.plan.epoch),
-        (PlaceState::Lost, epoch),
+        (ZoneState::Unreachable, epoch),
         "it is said and not moved"
     );
     let released =
@@ -133,16 +129,19 @@
     world.decider =
         Decider::new(topology(), Rules::near_first(1, 1), Bounds::default(), Some(&before), offset);
     world.now = offset;
-    world.members(0);
+    world.set_members(0);
     world.count_anew();
     world.run(5.0);
     assert_eq!(world.force.plan.rows, before.plan.rows);
     assert!(world.force.plan.epoch >= before.plan.epoch);
-    assert_eq!((world.state(0), world.state(3)), (PlaceState::Lost, PlaceState::Evacuated));
-    let place = &world.force.places[0];
-    assert!(place.since_ms > before.places[0].since_ms, "ages go on: {place:?}");
-    assert!(place.penalty > before.places[0].penalty * 0.8 && place.penalty <= before.places[0].penalty);
-    let left = world.force.evacuations[0].left_ms.unwrap();
+    assert_eq!((world.state(0), world.state(3)), (ZoneState::Unreachable, ZoneState::Evacuated));
+    let place = &world.force.zone_statuses[0];
+    assert!(place.since_ms > before.zone_statuses[0].since_ms, "ages go on: {place:?}");
+    assert!(
+        place.penalty > before.zone_statuses[0].penalty * 0.8
+            && place.penalty <= before.zone_statuses[0].penalty
+    );
+    let left = world.force.evacuations[0].remaining_ms.unwrap();
     assert!((45_000..54_000).contains(&left), "{left}");
     assert!(world.worst <= 1.001 && world.share_served() > 0.99, "{} {}", world.worst, world.share_served());
 }
@@ -166,7 +165,7 @@
     world.run(1.0);
     assert_eq!(world.force.plan, plan);
     world.run(5.0);
-    assert!(world.force.plan.rows.is_empty() && world.state(0) == PlaceState::Serving);
+    assert!(world.force.plan.rows.is_empty() && world.state(0) == ZoneState::Serving);
 }
 
 #[test]
@@ -207,7 +206,7 @@
     rule.never = vec![Zone(2)];
     let rules = Rules::new(vec![rule], 1, 1, |_, _| 0);
     let epoch = world.force.plan.epoch;
-    world.decider.retune(topology(), rules.clone(), world.now);
+    world.decider.reconfigure(topology(), rules.clone(), world.now);
     // Already what stands for it forbids it.
     let stands = world.decider.document();
     assert!(
@@ -216,10 +215,10 @@
         stands.plan
     );
     assert_eq!((stands.digest, stands.plan.epoch), (digest(&topology(), &rules), epoch));
-    assert!(stands.places[0].state == PlaceState::Lost && stands.places[0].penalty > 0.0);
-    world.members(0);
+    assert!(stands.zone_statuses[0].state == ZoneState::Unreachable && stands.zone_statuses[0].penalty > 0.0);
+    world.set_members(0);
     world.run(10.0);
-    assert_eq!((world.state(0), world.part(0, 2), world.part(0, 0)), (PlaceState::Lost, 0.0, 0.0));
+    assert_eq!((world.state(0), world.part(0, 2), world.part(0, 0)), (ZoneState::Unreachable, 0.0, 0.0));
     assert!(world.part(0, 3) > 0.1 && world.worst <= 1.001);
 }
 
@@ -234,26 +233,29 @@
     // A zone comes in before all others, and d is called otherwise.
     let topology =
         Topology::new([("east", vec!["new"]), ("north", vec!["a", "b"]), ("south", vec!["c", "e"])]).unwrap();
-    let (place, epoch) = (world.force.places[0].clone(), world.force.plan.epoch);
-    world.decider.retune(topology.clone(), Rules::near_first(1, 1), world.now);
+    let (place, epoch) = (world.force.zone_statuses[0].clone(), world.force.plan.epoch);
+    world.decider.reconfigure(topology.clone(), Rules::near_first(1, 1), world.now);
     let stands = world.decider.document().clone();
     assert_eq!(stands.zones, ["new", "a", "b", "c", "e"]);
-    assert_eq!((stands.places[1].state, stands.plan.epoch), (PlaceState::Lost, epoch));
-    assert!(stands.places[1].since_ms >= place.since_ms && stands.places[1].why.contains("out of reach"));
+    assert_eq!((stands.zone_statuses[1].state, stands.plan.epoch), (ZoneState::Unreachable, epoch));
+    assert!(
+        stands.zone_statuses[1].since_ms >= place.since_ms
+            && stands.zone_statuses[1].reason.contains("out of reach")
+    );
     let row = stands.plan.row(0, Zone(1)).unwrap();
     assert!(row.part(Zone(2)) >= 5000 && row.is_sound(), "{row:?}");
     // What counts by the old places is not heard.
-    assert!(!world.decider.hear(world.now, "1-0", world.report_as(1, 77)));
+    assert!(!world.decider.record_report(world.now, "1-0", world.report_as(1, 77)));
     world.topology = topology;
     world.zones.insert(0, crate::world::calm());
     world.sent = vec![vec![0.0; 5]; 5];
-    world.refused = vec![0.0; 5];
+    world.rejected = vec![0.0; 5];
     world.force = stands;
     world.on_the_way.clear();
-    world.members(0);
+    world.set_members(0);
     world.count_anew();
     world.run(10.0);
-    assert_eq!((world.state(1), world.part(1, 1)), (PlaceState::Lost, 0.0));
+    assert_eq!((world.state(1), world.part(1, 1)), (ZoneState::Unreachable, 0.0));
     assert!(world.worst <= 1.001 && world.share_served() > 0.99, "{} {}", world.worst, world.share_served());
 }
 
@@ -279,10 +281,10 @@
     world.per_zone = 2;
     world.zones.iter_mut().for_each(|zone| zone.demand = 250.0);
     // As many without places, which send as much: a zone has 750 left of 1000.
-    world.members(8);
+    world.set_members(8);
     world.run(10.0);
     assert!(world.force.plan.rows.is_empty());
-    let (usable, spare) = (world.force.places[0].usable, world.force.plan.spare[0]);
+    let (usable, spare) = (world.force.zone_statuses[0].usable, world.force.plan.spare[0]);
     assert!((usable - 750.0).abs() < 1.0 && (spare - 450.0).abs() < 1.0, "{usable} {spare}");
     world.zones[0].up = 0.0;
     world.run(5.0);
@@ -296,7 +298,7 @@
     world.stated = false;
     world.run(40.0);
     for zone in 0..4 {
-        let usable = world.force.places[zone].usable;
+        let usable = world.force.zone_statuses[zone].usable;
         assert!((usable - 1000.0).abs() < 50.0, "{usable}");
     }
     world.zones[0].up = 0.0;
@@ -331,13 +333,13 @@
     let sees = |from: u16, reaches: bool| Report {
         zone: Zone(from),
         number: 1,
-        sights: vec![Sight {
+        observations: vec![ZoneObservation {
             zone: Zone(2),
             listed: 100.0,
             usable: 100.0,
-            probed: 3.0,
-            unprobed: if reaches { 0.0 } else { 3.0 },
-            ..Sight::default()
+            probes: 3.0,
+            failed_probes: if reaches { 0.0 } else { 3.0 },
+            ..ZoneObservation::default()
         }],
         ..Report::default()
     };
@@ -347,15 +349,20 @@
         let (views, _) = Views::of(4, &reports);
         views.seen(&Heard::default(), &reports)[2].state
     };
-    assert_eq!((state(true), state(false)), (PlaceState::Cut, PlaceState::Lost));
+    assert_eq!((state(true), state(false)), (ZoneState::Partitioned, ZoneState::Unreachable));
     // Its last report is from before its clients came: that it sends nothing says nothing either.
     let quiet = Report { zone: Zone(2), number: 1, ..sees(2, true) };
     let quiet = Report {
-        sights: vec![Sight { zone: Zone(2), listed: 100.0, usable: 100.0, ..Sight::default() }],
+        observations: vec![ZoneObservation {
+            zone: Zone(2),
+            listed: 100.0,
+            usable: 100.0,
+            ..ZoneObservation::default()
+        }],
         ..quiet
     };
     let reports = [sees(0, false), sees(1, false), sees(3, true), quiet];
     let reports: Vec<&Report> = reports.iter().collect();
     let (views, _) = Views::of(4, &reports);
-    assert_eq!(views.seen(&Heard::default(), &reports)[2].state, PlaceState::Cut);
+    assert_eq!(views.seen(&Heard::default(), &reports)[2].state, ZoneState::Partitioned);
 }
--- a/crates/failover/tests/all/dwell.rs
+++ b/crates/failover/tests/all/dwell.rs
@@ -1,7 +1,7 @@
 //! Times, thresholds and small changes: what waits, and what is not worth a plan.
 
 use crate::world::World;
-use maplehook_failover::{Bounds, Document, PlaceState, Report};
+use maplehook_failover::{Bounds, Document, Report, ZoneState};
 use maplehook_locality::{Rule, Rules, Zone};
 use std::time::Duration;
 
@@ -92,7 +92,7 @@
     world.zones[2].cut_from = vec![];
     world.count_anew();
     world.run(5.0);
-    assert!(world.documents.iter().all(|(_, d)| d.places[2].cut_from.is_empty()));
+    assert!(world.documents.iter().all(|(_, d)| d.zone_statuses[2].cut_from.is_empty()));
     assert!(world.part(0, 2) > 0.1);
 }
 
@@ -108,7 +108,7 @@
     world.now += Duration::from_secs(4);
     world.step();
     world.run(5.0);
-    assert!(world.documents.iter().all(|(_, d)| d.places[0].given == 1.0 && d.plan.rows.is_empty()));
+    assert!(world.documents.iter().all(|(_, d)| d.zone_statuses[0].given == 1.0 && d.plan.rows.is_empty()));
 }
 
 #[test]
@@ -128,19 +128,19 @@
     let zone_of_another = Report { zone: Zone(2), ..of(3, 1) };
     let wild = {
         let mut report = of(3, 1);
-        report.sights[0].sent = f32::NAN;
+        report.observations[0].sent = f32::NAN;
         report
     };
     for (n, (report, taken)) in reports.into_iter().enumerate() {
-        assert_eq!(world.decider.hear(now, "1-0", report), taken, "{n}");
+        assert_eq!(world.decider.record_report(now, "1-0", report), taken, "{n}");
     }
-    assert!(!world.decider.hear(now, "1-0", zone_of_another), "it is of zone 1");
-    assert!(!world.decider.hear(now, "1-0", wild));
-    assert!(!world.decider.hear(now, "nobody", world.report(1)));
+    assert!(!world.decider.record_report(now, "1-0", zone_of_another), "it is of zone 1");
+    assert!(!world.decider.record_report(now, "1-0", wild));
+    assert!(!world.decider.record_report(now, "nobody", world.report(1)));
     // Its clock was set back by a restart: after a minute it is heard again.
     let late = Report { start: 1, number: 1, ..world.report(1) };
-    assert!(!world.decider.hear(now + Duration::from_secs(30), "1-0", late.clone()));
-    assert!(world.decider.hear(now + Duration::from_secs(61), "1-0", late));
+    assert!(!world.decider.record_report(now + Duration::from_secs(30), "1-0", late.clone()));
+    assert!(world.decider.record_report(now + Duration::from_secs(61), "1-0", late));
 }
 
 #[test]
@@ -156,5 +156,5 @@
     assert!(world.force.plan.spare[1] <= 181.0, "{:?}", world.force.plan.spare);
     world.zones[1].up = 0.0;
     world.run(4.0);
-    assert_eq!((world.force.plan.spare[1], world.state(1)), (0.0, PlaceState::Lost));
+    assert_eq!((world.force.plan.spare[1], world.state(1)), (0.0, ZoneState::Unreachable));
 }
--- a/crates/failover/tests/all/large.rs
+++ b/crates/failover/tests/all/large.rs
@@ -1,6 +1,6 @@
 //! The limits: 300 balancers, 64 zones, 256 rules.
 
-use maplehook_failover::{Bounds, Decider, Demand, Report, Sight};
+use maplehook_failover::{Bounds, Decider, Demand, Report, ZoneObservation};
 use maplehook_locality::{Rule, Rules, Topology, Zone};
 use std::time::{Duration, Instant};
 
@@ -8,10 +8,10 @@
 fn three_hundred_balancers_are_heard_and_planned_for_in_time() {
     let names: Vec<String> = (0..64).map(|n| format!("z{n}")).collect();
     let regions: Vec<String> = (0..8).map(|n| format!("r{n}")).collect();
-    let places = regions.iter().enumerate().map(|(n, region)| {
+    let zone_statuses = regions.iter().enumerate().map(|(n, region)| {
         (region.as_str(), names[n * 8..n * 8 + 8].iter().map(String::as_str).collect::<Vec<_>>())
     });
-    let topology = Topology::new(places).unwrap();
+    let topology = Topology::new(zone_statuses).unwrap();
     let rule = |n: usize| {
         let mut rule = Rule::near_first();
         rule.name = format!("r{n}");
@@ -19,17 +19,17 @@
         rule
     };
     let rules = Rules::new((0..256).map(rule).collect(), 1, 1, |_, _| 0);
-    let bounds = Bounds { most_moved_per_s: 1.0, ..Bounds::default() };
+    let bounds = Bounds { max_moved_per_s: 1.0, ..Bounds::default() };
     let mut decider = Decider::new(topology, rules, bounds, None, Duration::ZERO);
     let members: Vec<(String, Zone)> = (0..300u16).map(|n| (format!("b{n}"), Zone(n % 64))).collect();
-    decider.members(&members, 0);
+    decider.set_members(&members, 0);
     let digest = decider.digest();
     let report = |number: u64, n: u16, lost: u16| {
         let own = n % 64;
         // Its own region, and what else fits into a report.
         let sight = |zone: u16| {
             let gone = zone < lost;
-            Sight {
+            ZoneObservation {
                 zone: Zone(zone),
                 stated: true,
                 listed: 1000.0,
@@ -37,17 +37,17 @@
                 sent: if zone == own { 130.0 } else { 0.0 },
                 ok: if zone == own && !gone { 130.0 } else { 0.0 },
                 unreached: if zone == own && gone { 130.0 } else { 0.0 },
-                ..Sight::default()
+                ..ZoneObservation::default()
             }
         };
-        let demand = |k: u16| Demand { rule: (n / 64 * 50 + k) % 256, asked: 2.6, refused: 0.0 };
+        let demand = |k: u16| Demand { rule: (n / 64 * 50 + k) % 256, asked: 2.6, rejected: 0.0 };
         Report {
             number,
             start: 1,
             zone: Zone(own),
             digest,
             ready: true,
-            sights: (0..64).map(sight).collect(),
+            observations: (0..64).map(sight).collect(),
             demand: (0..50).map(demand).collect(),
             ..Report::default()
         }
@@ -57,7 +57,7 @@
         now += Duration::from_millis(250);
         let lost = if number < 12 { 0 } else { 4 };
         for n in 0..300 {
-            assert!(decider.hear(now, &format!("b{n}"), report(number, n, lost)));
+            assert!(decider.record_report(now, &format!("b{n}"), report(number, n, lost)));
         }
         let began = Instant::now();
         if let Some(document) = decider.tick(now) {
--- a/crates/failover/tests/all/planner.rs
+++ b/crates/failover/tests/all/planner.rs
@@ -1,10 +1,10 @@
 //! The planner against brute force, and what it promises of any case.
 
+use maplehook_failover::assignment;
 use maplehook_failover::flow::{Flows, Ground, waterfall};
-use maplehook_failover::ladders::{Ladders, each};
 use maplehook_failover::plan::{Planner, Setting, by_rule};
-use maplehook_failover::pouring;
-use maplehook_failover::{Bounds, Plan, Row, WHOLE};
+use maplehook_failover::priorities::{PriorityLists, each};
+use maplehook_failover::{Bounds, FULL_SHARE, Plan, Row};
 use maplehook_locality::{Place, Region, Rule, Rules, Step, Topology, WhenLost, Zone};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -24,7 +24,7 @@
 /// One case: rooms, who reaches whom, and what is asked for by shape.
 #[derive(Debug)]
 struct Case {
-    ladders: Ladders,
+    priorities: PriorityLists,
     room: Vec<f64>,
     last: Vec<f64>,
     reach: Vec<u64>,
@@ -34,15 +34,15 @@
 
 impl Case {
     fn new(rules: &Rules, room: Vec<f64>, asked: &[f64]) -> Self {
-        let ladders = Ladders::new(&topology(), rules);
-        let by_shape = ladders.shapes.iter().enumerate().map(|(n, _)| asked[n % asked.len()]).collect();
-        let open = vec![true; ladders.shapes.len()];
-        Self { ladders, room, last: vec![0.0; ZONES], reach: vec![0b1111; ZONES], open, asked: by_shape }
+        let priorities = PriorityLists::new(&topology(), rules);
+        let by_shape = priorities.lists.iter().enumerate().map(|(n, _)| asked[n % asked.len()]).collect();
+        let open = vec![true; priorities.lists.len()];
+        Self { priorities, room, last: vec![0.0; ZONES], reach: vec![0b1111; ZONES], open, asked: by_shape }
     }
 
     fn ground(&self) -> Ground<'_> {
         Ground {
-            ladders: &self.ladders,
+            priorities: &self.priorities,
             room: &self.room,
             last: &self.last,
             reach: &self.reach,
@@ -57,12 +57,12 @@
 
     /// The most that any split serves, by the least of all cuts: each set of shapes and zones is tried.
     fn most(&self) -> f64 {
-        let (shapes, ground) = (&self.ladders.shapes, self.ground());
+        let (lists, ground) = (&self.priorities.lists, self.ground());
         let mut least = f64::INFINITY;
         for zones in 0u64..1 << ZONES {
             let rooms: f64 = each(zones).map(|zone| ground.cap(zone)).sum();
             // What flows of each shape past these zones: the least of what it asks and what its ways bear.
-            let past = |(n, shape): (usize, &maplehook_failover::ladders::Shape)| {
+            let past = |(n, shape): (usize, &maplehook_failover::priorities::PriorityList)| {
                 let open = ground.usable(shape) & !zones;
                 if open & !shape.beyond != 0 {
                     self.asked[n]
@@ -72,7 +72,7 @@
                     0.0
                 }
             };
-            least = least.min(rooms + shapes.iter().enumerate().map(past).sum::<f64>());
+            least = least.min(rooms + lists.iter().enumerate().map(past).sum::<f64>());
         }
         least
     }
@@ -84,7 +84,7 @@
             let sum: f64 = (0..flows.to.len()).map(|n| flows.sent(n, zone)).sum();
             assert!((sum - flows.load[zone]).abs() < 1e-6);
         }
-        for (n, shape) in self.ladders.shapes.iter().enumerate() {
+        for (n, shape) in self.priorities.lists.iter().enumerate() {
             let sent: f64 = flows.to[n].iter().map(|(_, sent)| sent).sum();
             assert!(
                 (sent + flows.left[n] - self.asked[n]).abs() < 1e-6,
@@ -108,7 +108,7 @@
     /// What two groups of zones send each other beside what rules name first.
     fn pours(&self, flows: &Flows, group: &[usize]) -> bool {
         let mut ways = BTreeMap::new();
-        for (n, shape) in self.ladders.shapes.iter().enumerate() {
+        for (n, shape) in self.priorities.lists.iter().enumerate() {
             for (zone, sent) in flows.to[n].iter() {
                 let here = group[usize::from(shape.from.0)];
                 if shape.level(zone) > 0 && here != group[zone] {
@@ -144,7 +144,7 @@
                 case.sound(&flows);
                 let (served, most) = (Case::served(&flows), case.most());
                 assert!((served - most).abs() < 1e-6, "{rule:?}: {room:?} {asked:?}: {served} of {most}");
-                pouring::undo(&case.ground(), &mut flows);
+                assignment::undo(&case.ground(), &mut flows);
                 case.sound(&flows);
                 assert!((Case::served(&flows) - most).abs() < 1e-6, "swapped at no loss: {room:?} {asked:?}");
                 assert!(
@@ -204,11 +204,11 @@
         let most = case.most();
         prop_assert!(Case::served(&flows) <= most + 1e-6);
         // With `at most` under the whole, ways through one rule's two flows are not sought.
-        if case.ladders.shapes.iter().all(|shape| shape.beyond_most >= 1.0) {
+        if case.priorities.lists.iter().all(|shape| shape.beyond_most >= 1.0) {
             prop_assert!((Case::served(&flows) - most).abs() < 1e-6, "{} of {}", Case::served(&flows), most);
         }
         let before = Case::served(&flows);
-        pouring::undo(&case.ground(), &mut flows);
+        assignment::undo(&case.ground(), &mut flows);
         case.sound(&flows);
         prop_assert!(Case::served(&flows) <= before + 1e-6);
         prop_assert!(!case.pours(&flows, &[0, 0, 1, 1]), "{:?}", flows);
@@ -218,7 +218,7 @@
     #[test]
     fn more_capacity_never_serves_less(case in a_case(), zone in 0..ZONES, more in 1u32..5) {
         let mut case = case;
-        case.ladders.shapes.iter_mut().for_each(|shape| shape.beyond_most = 1.0);
+        case.priorities.lists.iter_mut().for_each(|shape| shape.beyond_most = 1.0);
         let before = Case::served(&waterfall(&case.ground()));
         let mut larger = case;
         larger.room[zone] += f64::from(more);
@@ -239,7 +239,7 @@
             demand.iter().enumerate().map(|(n, rate)| (of_rule(n), f64::from(*rate))).collect();
         let table = by_rule(&demand, room.len());
         let setting = Setting {
-            ladders: &case.ladders, room: &room, last: &last, listed: &room, reach: &case.reach,
+            priorities: &case.priorities, room: &room, last: &last, listed: &room, reach: &case.reach,
             troubled: 0, crews: &[1; ZONES], demand: &table,
         };
         let rows = |n: usize| Row {
@@ -249,7 +249,7 @@
         };
         let before = Plan { epoch: 7, rows: (0..ZONES).map(rows).collect(), spare: vec![0.0; ZONES] };
         let bounds = Bounds::default();
-        let mut planner = Planner::new(Duration::ZERO, bounds.most_moved_per_s);
+        let mut planner = Planner::new(Duration::ZERO, bounds.max_moved_per_s);
         let (mut plan, mut now) = (before, Duration::ZERO);
         for _ in 0..8 {
             let next = planner.plan(now, &setting, &plan, true, &bounds);
@@ -266,7 +266,7 @@
         let mut load = [0.0; ZONES];
         for ((rule, from), rate) in &demand {
             if let Some(row) = plan.row(*rule, *from) {
-                row.to.iter().for_each(|s| load[usize::from(s.zone.0)] += rate * f64::from(s.part) / f64::from(WHOLE));
+                row.to.iter().for_each(|s| load[usize::from(s.zone.0)] += rate * f64::from(s.part) / f64::from(FULL_SHARE));
             }
         }
         for zone in 0..ZONES {
@@ -283,14 +283,14 @@
     let topology = Topology::new([("all", names.iter().map(String::as_str).collect::<Vec<_>>())]).unwrap();
     let rule = |n: usize| Rule { name: format!("r{n}"), ..Rule::near_first() };
     let rules = Rules::new((0..200).map(rule).collect(), 1, 1, |_, _| 0);
-    let ladders = Ladders::new(&topology, &rules);
+    let priorities = PriorityLists::new(&topology, &rules);
     let rate = |rule: u16, zone: u16| f64::from((u32::from(rule) * 64 + u32::from(zone)) * 7919 % 12_800 + 1);
     let all = || (0..200u16).flat_map(|rule| (0..64u16).map(move |zone| (rule, zone)));
     let demand: BTreeMap<(u16, Zone), f64> = all().map(|(r, z)| ((r, Zone(z)), rate(r, z))).collect();
     let (room, last, reach) = (vec![1e9; 64], vec![0.0; 64], vec![u64::MAX; 64]);
     let table = by_rule(&demand, 64);
     let setting = Setting {
-        ladders: &ladders,
+        priorities: &priorities,
         room: &room,
         last: &last,
         listed: &room,
@@ -300,7 +300,7 @@
         demand: &table,
     };
     let before = Plan { rows: vec![Row { rule: 0, from: Zone(0), to: vec![] }], ..Plan::default() };
-    let bounds = Bounds { most_moved_per_s: 1e9, gain: 0.0, ..Bounds::default() };
+    let bounds = Bounds { max_moved_per_s: 1e9, gain: 0.0, ..Bounds::default() };
     let mut planner = Planner::new(Duration::ZERO, 1e9);
     let plan = planner.plan(Duration::ZERO, &setting, &before, true, &bounds).unwrap();
     assert_eq!(plan.rows.len(), maplehook_failover::document::ROWS_MOST);
@@ -313,10 +313,10 @@
 fn three_hundred_balancers_64_zones_and_256_rules_are_planned_in_time() {
     let names: Vec<String> = (0..64).map(|n| format!("z{n}")).collect();
     let regions: Vec<String> = (0..8).map(|n| format!("r{n}")).collect();
-    let places = regions.iter().enumerate().map(|(n, region)| {
+    let zone_statuses = regions.iter().enumerate().map(|(n, region)| {
         (region.as_str(), names[n * 8..n * 8 + 8].iter().map(String::as_str).collect::<Vec<_>>())
     });
-    let topology = Topology::new(places).unwrap();
+    let topology = Topology::new(zone_statuses).unwrap();
     for kinds in [1, 16, 256] {
         let rule = |n: usize| {
             let mut rule = Rule::near_first();
@@ -325,7 +325,7 @@
             rule
         };
         let rules = Rules::new((0..256).map(rule).collect(), 1, 1, |_, _| 0);
-        let ladders = Ladders::new(&topology, &rules);
+        let priorities = PriorityLists::new(&topology, &rules);
         // One region is gone, what is left is nearly full.
         let room: Vec<f64> = (0..64).map(|zone| if zone < 8 { 0.0 } else { 1000.0 + zone as f64 }).collect();
         let listed = vec![1000.0; 64];
@@ -338,7 +338,7 @@
         let last = vec![0.0; 64];
         let table = by_rule(&demand, room.len());
         let setting = Setting {
-            ladders: &ladders,
+            priorities: &priorities,
             room: &room,
             last: &last,
             listed: &listed,
@@ -347,7 +347,7 @@
             crews: &[5; 64],
             demand: &table,
         };
-        let bounds = Bounds { most_moved_per_s: 1e9, ..Bounds::default() };
+        let bounds = Bounds { max_moved_per_s: 1e9, ..Bounds::default() };
         // The best of five: others may run beside it.
         let mut runs = (0..5).map(|_| {
             let mut planner = Planner::new(Duration::ZERO, 1e9);
@@ -362,7 +362,7 @@
         }
         println!(
             "{kinds} kinds of rules, {} shapes: {took:?}, {} rows",
-            ladders.shapes.len(),
+            priorities.lists.len(),
             plan.rows.len()
         );
         assert!(!plan.rows.is_empty());
--- a/crates/failover/tests/all/storms.rs
+++ b/crates/failover/tests/all/storms.rs
@@ -1,7 +1,7 @@
 //! Zones that are lost, ill, cut, cold, flap, and all at once.
 
 use crate::world::{World, topology};
-use maplehook_failover::{Bounds, PlaceState};
+use maplehook_failover::{Bounds, ZoneState};
 use maplehook_locality::{Rules, Topology};
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     world.run(20.0);
     assert!(world.force.plan.rows.is_empty());
     assert_eq!(world.share_served(), 1.0);
-    assert!(world.force.places.iter().all(|place| place.state == PlaceState::Serving));
+    assert!(world.force.zone_statuses.iter().all(|place| place.state == ZoneState::Serving));
     let spare = world.force.plan.spare_part(0, 4);
     assert!(spare.len() == 4 && spare.iter().all(|spare| (476.0..478.0).contains(spare)), "{spare:?}");
     assert!(world.documents.len() <= 6, "figures alone: {}", world.documents.len());
@@ -24,7 +24,7 @@
     // Its upstreams go, its balancers stay.
     world.zones[0].up = 0.0;
     world.run(3.0);
-    assert_eq!((world.state(0), world.part(0, 0)), (PlaceState::Lost, 0.0));
+    assert_eq!((world.state(0), world.part(0, 0)), (ZoneState::Unreachable, 0.0));
     assert!(world.part(0, 1) > 0.7, "{:?}", world.force.plan);
     world.count_anew();
     world.run(10.0);
@@ -37,13 +37,17 @@
     world.run(10.0);
     world.lose(0);
     world.run(8.0);
-    assert_eq!(world.state(0), PlaceState::Lost);
-    assert!(world.force.places[0].why.contains("silent"), "{}", world.force.places[0].why);
+    assert_eq!(world.state(0), ZoneState::Unreachable);
+    assert!(
+        world.force.zone_statuses[0].reason.contains("silent"),
+        "{}",
+        world.force.zone_statuses[0].reason
+    );
     let mut world = World::new();
     world.run(10.0);
     (world.zones[0].balancers, world.zones[0].demand) = (false, 0.0);
     world.run(10.0);
-    assert_eq!(world.state(0), PlaceState::Serving, "only its balancers are gone");
+    assert_eq!(world.state(0), ZoneState::Serving, "only its balancers are gone");
 }
 
 #[test]
@@ -96,7 +100,7 @@
     world.run(10.0);
     assert!(world.worst <= 1.001, "{}", world.worst);
     assert!((world.share_served() - 2000.0 / 3600.0).abs() < 0.01, "{}", world.share_served());
-    assert!((world.refused[0] - world.refused[1]).abs() < 1.0, "{:?}", world.refused);
+    assert!((world.rejected[0] - world.rejected[1]).abs() < 1.0, "{:?}", world.rejected);
     assert_eq!((world.part(2, 2), world.part(3, 3)), (1.0, 1.0));
     assert!(world.force.shared_cause.is_none());
 }
@@ -110,13 +114,13 @@
     let before = world.part(0, 1);
     world.zones[1].failing = 0.5;
     world.run(3.5);
-    let place = &world.force.places[1];
-    assert_eq!((place.state, place.given), (PlaceState::Ill, 0.5), "{place:?}");
+    let place = &world.force.zone_statuses[1];
+    assert_eq!((place.state, place.given), (ZoneState::Unhealthy, 0.5), "{place:?}");
     assert!(world.part(0, 1) < before * 0.3, "{} of {before}", world.part(0, 1));
     assert!(world.part(1, 1) > 0.5);
     world.zones[1].failing = 0.0;
     world.run(50.0);
-    assert_eq!(world.state(1), PlaceState::Serving);
+    assert_eq!(world.state(1), ZoneState::Serving);
     // Where relief does not cure it, it is left.
     world.zones[1].failing = 0.5;
     world.run(12.0);
@@ -132,14 +136,15 @@
     world.run(20.0);
     world.back(0);
     world.count_anew();
-    for cold in (0..=90).rev() {
-        world.zones[0].cold = f64::from(cold) / 100.0;
+    for warming in (0..=90).rev() {
+        world.zones[0].warming = f64::from(warming) / 100.0;
         world.run(1.0);
     }
     assert!(world.worst <= 1.03, "{}", world.worst);
     assert!(world.share_served() > 0.999, "{}", world.share_served());
-    assert_eq!((world.part(0, 0), world.state(0)), (1.0, PlaceState::Serving));
-    let returns: Vec<f64> = world.documents.iter().map(|(_, d)| f64::from(d.places[0].given)).collect();
+    assert_eq!((world.part(0, 0), world.state(0)), (1.0, ZoneState::Serving));
+    let returns: Vec<f64> =
+        world.documents.iter().map(|(_, d)| f64::from(d.zone_statuses[0].given)).collect();
     assert!(
         returns.iter().filter(|given| **given > 0.0 && **given < 1.0).count() >= 5,
         "slowly: {returns:?}"
@@ -157,14 +162,14 @@
     world.zones[2].cut_from = vec![0];
     world.run(3.0);
     assert_eq!(world.part(0, 2), 0.0, "{:?}", world.force.plan);
-    assert_eq!((world.state(2), world.force.places[2].cut_from.len()), (PlaceState::Cut, 1));
+    assert_eq!((world.state(2), world.force.zone_statuses[2].cut_from.len()), (ZoneState::Partitioned, 1));
     assert!(world.part(0, 3) > 0.1 && world.part(2, 2) == 1.0);
     world.count_anew();
     world.run(10.0);
     assert!(world.share_served() > 0.99 && world.worst <= 1.001, "{} {}", world.share_served(), world.worst);
     world.zones[2].cut_from = vec![];
     world.run(20.0);
-    assert_eq!(world.state(2), PlaceState::Serving);
+    assert_eq!(world.state(2), ZoneState::Serving);
     // It moves back when there is something to gain by it.
     world.zones[3].demand = 990.0;
     world.run(5.0);
@@ -179,7 +184,11 @@
         world.zones[zone].cut_from = if zone < 2 { vec![2, 3] } else { vec![0, 1] };
     }
     world.run(5.0);
-    assert!((0..4).all(|zone| world.state(zone) == PlaceState::Cut), "{:?}", world.force.places);
+    assert!(
+        (0..4).all(|zone| world.state(zone) == ZoneState::Partitioned),
+        "{:?}",
+        world.force.zone_statuses
+    );
     // One of them loses its upstreams: its region bears it, and nobody tries the other.
     world.zones[0].up = 0.0;
     world.run(3.0);
@@ -192,12 +201,12 @@
     for per_zone in [1, 3] {
         let mut world = World::new();
         world.per_zone = per_zone;
-        world.members(0);
+        world.set_members(0);
         world.run(10.0);
         world.count_anew();
         world.twist = |_, zone, n, mut report| {
             if (zone, n) == (1, 0) {
-                for sight in &mut report.sights {
+                for sight in &mut report.observations {
                     (sight.usable, sight.ok, sight.unreached) = (0.0, 0.0, sight.sent);
                 }
             }
@@ -205,7 +214,7 @@
         };
         world.run(15.0);
         assert!(world.force.plan.rows.is_empty(), "{per_zone}: {:?}", world.force.plan);
-        assert!((0..4).all(|zone| world.state(zone) == PlaceState::Serving));
+        assert!((0..4).all(|zone| world.state(zone) == ZoneState::Serving));
     }
 }
 
@@ -235,7 +244,7 @@
         world.twist = if wild > 0.0 {
             |_, zone, n, mut report| {
                 if (zone, n) == (1, 0) {
-                    for s in &mut report.sights {
+                    for s in &mut report.observations {
                         (s.listed, s.usable, s.sent, s.load) = (1e9, 1e9, 1e9, 1e9);
                     }
                     report.demand[0].asked = 1e9;
@@ -245,7 +254,7 @@
         } else {
             |_, zone, n, mut report| {
                 if (zone, n) == (1, 0) {
-                    report.sights.iter_mut().for_each(|s| (s.usable, s.failed, s.ok) = (0.0, 1e9, 0.0));
+                    report.observations.iter_mut().for_each(|s| (s.usable, s.failed, s.ok) = (0.0, 1e9, 0.0));
                     report.demand[0].asked = 0.0;
                 }
                 Some(report)
@@ -254,7 +263,7 @@
         world.run(20.0);
         assert!(world.share_served() > 0.98, "{wild}: {} {:?}", world.share_served(), world.force.plan);
         assert!(world.worst <= 1.001, "{wild}: {}", world.worst);
-        assert!((1..4).all(|zone| world.state(zone) == PlaceState::Serving));
+        assert!((1..4).all(|zone| world.state(zone) == ZoneState::Serving));
         // Nor does it open a room that is not there, when there is more to place.
         world.zones[1].demand = 900.0;
         world.run(4.0);
@@ -263,7 +272,11 @@
         // What one of three does not say of its demand is not planned for: a third of what is let into b beside.
         let most = if wild > 0.0 { 1.001 } else { 1.11 };
         assert!(world.worst <= most, "{wild}: {}", world.worst);
-        assert!(world.force.places.iter().all(|place| place.usable <= 1000.0), "{:?}", world.force.places);
+        assert!(
+            world.force.zone_statuses.iter().all(|place| place.usable <= 1000.0),
+            "{:?}",
+            world.force.zone_statuses
+        );
     }
 }
 
@@ -281,7 +294,7 @@
         let fell: Vec<Duration> = world
             .documents
             .windows(2)
-            .filter(|pair| pair[1].1.places[0].given < pair[0].1.places[0].given)
+            .filter(|pair| pair[1].1.zone_statuses[0].given < pair[0].1.zone_statuses[0].given)
             .map(|pair| pair[1].0)
             .collect();
         assert!(!fell.is_empty(), "{period}: it is bad half of the time");
@@ -304,9 +317,9 @@
     assert_eq!(world.part(0, 0), 0.0);
     world.zones[0].up = 1.0;
     for _ in 0..80 {
-        world.run(if world.state(0) == PlaceState::Returning { 0.0 } else { 0.25 });
+        world.run(if world.state(0) == ZoneState::Returning { 0.0 } else { 0.25 });
     }
-    assert_eq!(world.state(0), PlaceState::Returning);
+    assert_eq!(world.state(0), ZoneState::Returning);
     let out = [world.part(0, 2), world.part(0, 3)];
     (2..4).for_each(|zone| world.zones[zone].up = 0.0);
     for step in 0..60 {
@@ -331,7 +344,7 @@
 
 #[test]
 fn nobody_is_sent_into_the_last_zones_that_a_bound_holds_in() {
-    let bounds = Bounds { shared_cause: 1.0, ..Bounds::default() };
+    let bounds = Bounds { shared_cause_share: 1.0, ..Bounds::default() };
     let mut world = World::with(topology(), Rules::near_first(1, 1), bounds);
     world.run(10.0);
     (2..4).for_each(|zone| world.zones[zone].up = 0.0);
@@ -339,12 +352,12 @@
     world.zones[1].up = 0.0;
     for _ in 0..40 {
         world.run(0.25);
-        if world.state(1) != PlaceState::Serving {
+        if world.state(1) != ZoneState::Serving {
             assert_eq!([0, 2, 3].map(|from| world.part(from, 1)), [0.0; 3]);
         }
     }
     assert!(
-        world.state(1) != PlaceState::Serving && world.part(1, 1) > 0.0,
+        world.state(1) != ZoneState::Serving && world.part(1, 1) > 0.0,
         "its own are left where they are"
     );
 }
