--- a/crates/failover/src/assignment.rs
+++ b/crates/failover/src/assignment.rs
@@ -1,114 +1,122 @@
-//! Two places never pour into each other: what would cross is swapped back, and where a rule forbids that, the lesser way is closed.
+//! Assignments without opposite flows between two zones or regions. Opposite flows are exchanged; where a
+//! rule forbids the exchange, the smaller flow is removed.
 
-use crate::flow::{Flows, Ground, waterfall};
-use crate::priorities::{PriorityLists, Zones};
+use crate::flow::{FlowProblem, Flows, waterfall};
+use crate::priorities::{PriorityLists, ZoneSet};
 use maplehook_locality::Zone;
 
-/// A flow that crosses: shape and zone.
+/// A flow that crosses between groups: list index and destination zone.
 type Crossing = (usize, usize);
 
-/// Rooms as a question takes them: what each zone can be given, what at last, and who reaches whom.
+/// Capacities and reachability of all zones.
 #[derive(Clone, Copy, Debug)]
 pub struct AvailableCapacity<'a> {
-    /// See [`Ground::room`].
-    pub room: &'a [f64],
-    /// See [`Ground::last`].
-    pub last: &'a [f64],
-    /// See [`Ground::reach`].
-    pub reach: &'a [Zones],
+    /// See [`FlowProblem::capacity`].
+    pub capacity: &'a [f64],
+    /// See [`FlowProblem::fallback`].
+    pub fallback: &'a [f64],
+    /// See [`FlowProblem::reach`].
+    pub reach: &'a [ZoneSet],
 }
 
-/// The best split of what is asked for by rule and source, and what that comes to by shape: no plan before it binds it. `open`:
-/// whether full first steps spill at their thresholds.
+/// Assigns the demand by rule and source zone, independent of any earlier plan. Returns the assignment and
+/// the demand of each list. With `spill_open`, first steps spill over at their thresholds, else when they are
+/// full.
 pub fn assign(
     priorities: &PriorityLists,
-    rooms: AvailableCapacity<'_>,
-    open: bool,
+    available: AvailableCapacity<'_>,
+    spill_open: bool,
     demand: impl IntoIterator<Item = ((u16, Zone), f64)>,
 ) -> (Flows, Vec<f64>) {
-    let mut asked = vec![0.0; priorities.lists.len()];
+    let mut list_demand = vec![0.0; priorities.lists.len()];
     for ((rule, from), rate) in demand {
         if let Some(n) = priorities.list_index(rule, from) {
-            asked[n] += rate;
+            list_demand[n] += rate;
         }
     }
-    let open = vec![open; asked.len()];
-    let AvailableCapacity { room, last, reach } = rooms;
-    let ground = Ground { priorities, room, last, reach, open: &open, asked: &asked };
-    (best(&ground), asked)
+    let spill_open = vec![spill_open; list_demand.len()];
+    let AvailableCapacity { capacity, fallback, reach } = available;
+    let problem =
+        FlowProblem { priorities, capacity, fallback, reach, spill_open: &spill_open, demand: &list_demand };
+    (assign_waterfall(&problem), list_demand)
 }
 
-/// The waterfall, without what would pour both ways.
-pub fn best(ground: &Ground<'_>) -> Flows {
-    let mut flows = waterfall(ground);
-    undo(ground, &mut flows);
+/// Computes the waterfall assignment and removes opposite flows.
+pub fn assign_waterfall(problem: &FlowProblem<'_>) -> Flows {
+    let mut flows = waterfall(problem);
+    remove_opposite_flows(problem, &mut flows);
     flows
 }
 
-/// Takes out what regions, and then zones, would send each other both ways. What a rule names first is its wish and no spill.
-pub fn undo(ground: &Ground<'_>, flows: &mut Flows) {
-    let regions = &ground.priorities.region_of;
-    undo_between(ground, flows, regions, ground.priorities.regions.len());
-    let zones: Vec<usize> = (0..ground.room.len()).collect();
-    undo_between(ground, flows, &zones, zones.len());
+/// Removes opposite flows, first between regions and then between zones. Flows to first steps stay, since the
+/// rule prefers them.
+pub fn remove_opposite_flows(problem: &FlowProblem<'_>, flows: &mut Flows) {
+    let regions = &problem.priorities.region_of;
+    remove_between_groups(problem, flows, regions, problem.priorities.regions.len());
+    let zones: Vec<usize> = (0..problem.capacity.len()).collect();
+    remove_between_groups(problem, flows, &zones, zones.len());
 }
 
-fn undo_between(ground: &Ground<'_>, flows: &mut Flows, group_of: &[usize], groups: usize) {
-    let nothing = ground.nothing();
-    let mut crossing: Vec<Vec<Crossing>> = vec![Vec::new(); groups * groups];
+fn remove_between_groups(problem: &FlowProblem<'_>, flows: &mut Flows, group_of: &[usize], groups: usize) {
+    let epsilon = problem.epsilon();
+    let mut crossings_by_pair: Vec<Vec<Crossing>> = vec![Vec::new(); groups * groups];
     for (n, to) in flows.to.iter().enumerate() {
-        let shape = &ground.priorities.lists[n];
-        let here = group_of[usize::from(shape.from.0)];
-        let first = shape.steps.first().copied().unwrap_or(0);
+        let list = &problem.priorities.lists[n];
+        let source_group = group_of[usize::from(list.from.0)];
+        let first = list.steps.first().copied().unwrap_or(0);
         if to.zones() & !first == 0 {
             continue;
         }
         for (zone, sent) in to.iter() {
-            let wished = first >> zone & 1 == 1;
-            if sent > nothing && !wished && group_of[zone] != here {
-                crossing[here * groups + group_of[zone]].push((n, zone));
+            let is_preferred = first >> zone & 1 == 1;
+            if sent > epsilon && !is_preferred && group_of[zone] != source_group {
+                crossings_by_pair[source_group * groups + group_of[zone]].push((n, zone));
             }
         }
     }
     for a in 0..groups {
         for b in a + 1..groups {
-            let (there, back) = (&crossing[a * groups + b], &crossing[b * groups + a]);
-            if there.is_empty() || back.is_empty() {
+            let (forward, backward) =
+                (&crossings_by_pair[a * groups + b], &crossings_by_pair[b * groups + a]);
+            if forward.is_empty() || backward.is_empty() {
                 continue;
             }
-            swap(ground, flows, there, back);
-            let rate =
-                |flows: &Flows, way: &[Crossing]| way.iter().map(|(n, z)| flows.sent(*n, *z)).sum::<f64>();
-            let (out, home) = (rate(flows, there), rate(flows, back));
-            if out > nothing && home > nothing {
-                for (n, zone) in if out < home { there } else { back } {
+            exchange_flows(problem, flows, forward, backward);
+            let rate = |flows: &Flows, crossings: &[Crossing]| {
+                crossings.iter().map(|(n, z)| flows.sent(*n, *z)).sum::<f64>()
+            };
+            let (forward_rate, backward_rate) = (rate(flows, forward), rate(flows, backward));
+            if forward_rate > epsilon && backward_rate > epsilon {
+                for (n, zone) in if forward_rate < backward_rate { forward } else { backward } {
                     let sent = flows.sent(*n, *zone);
                     flows.add(*n, *zone, -sent);
-                    flows.left[*n] += sent;
+                    flows.unserved[*n] += sent;
                 }
             }
         }
     }
 }
 
-/// Who crosses one way takes the place of who crosses the other: loads stay as they are. First each in proportion, so that none
-/// is put before another, then what is left of those that can.
-fn swap(ground: &Ground<'_>, flows: &mut Flows, there: &[Crossing], back: &[Crossing]) {
-    let usable = |n: usize, zone: usize| ground.usable(&ground.priorities.lists[n]) >> zone & 1 == 1;
-    let rates =
-        |flows: &Flows, way: &[Crossing]| way.iter().map(|(n, z)| flows.sent(*n, *z)).collect::<Vec<_>>();
-    let (out, home) = (rates(flows, there), rates(flows, back));
-    let most = out.iter().sum::<f64>().max(home.iter().sum());
-    for in_proportion in [true, false] {
-        for ((n, far), out) in there.iter().zip(&out) {
-            for ((m, near), home) in back.iter().zip(&home) {
-                let most = if in_proportion { out * home / most } else { f64::INFINITY };
-                let rate = flows.sent(*n, *far).min(flows.sent(*m, *near)).min(most);
-                if rate > 0.0 && usable(*n, *near) && usable(*m, *far) {
-                    flows.add(*n, *far, -rate);
-                    flows.add(*n, *near, rate);
-                    flows.add(*m, *near, -rate);
-                    flows.add(*m, *far, rate);
+/// Exchanges opposite flows so that the load of the zones does not change. The first pass exchanges in
+/// proportion to the rates, to treat all lists alike; the second pass exchanges the rest.
+fn exchange_flows(problem: &FlowProblem<'_>, flows: &mut Flows, forward: &[Crossing], backward: &[Crossing]) {
+    let usable = |n: usize, zone: usize| problem.usable(&problem.priorities.lists[n]) >> zone & 1 == 1;
+    let rates = |flows: &Flows, crossings: &[Crossing]| {
+        crossings.iter().map(|(n, z)| flows.sent(*n, *z)).collect::<Vec<_>>()
+    };
+    let (forward_rates, backward_rates) = (rates(flows, forward), rates(flows, backward));
+    let max_rate = forward_rates.iter().sum::<f64>().max(backward_rates.iter().sum());
+    for proportional in [true, false] {
+        for ((n, forward_zone), forward_rate) in forward.iter().zip(&forward_rates) {
+            for ((m, backward_zone), backward_rate) in backward.iter().zip(&backward_rates) {
+                let max_rate =
+                    if proportional { forward_rate * backward_rate / max_rate } else { f64::INFINITY };
+                let rate = flows.sent(*n, *forward_zone).min(flows.sent(*m, *backward_zone)).min(max_rate);
+                if rate > 0.0 && usable(*n, *backward_zone) && usable(*m, *forward_zone) {
+                    flows.add(*n, *forward_zone, -rate);
+                    flows.add(*n, *backward_zone, rate);
+                    flows.add(*m, *backward_zone, -rate);
+                    flows.add(*m, *forward_zone, rate);
                 }
             }
         }
--- a/crates/failover/src/bounds.rs
+++ b/crates/failover/src/bounds.rs
@@ -1,62 +1,64 @@
-//! What an operator sets, and what holds whatever the evidence says.
+//! Limits set by operators that hold whatever the reports say.
 
 use std::time::Duration;
 
-/// Penalties of a zone that flaps, as RFC 2439 (section 4.2) has them for routes.
+/// Parameters of flap damping for zones, as RFC 2439 (section 4.2) defines it for routes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Damping {
-    /// Added whenever the zone falls out.
-    pub each: f64,
-    /// Over it a zone that is well again is kept out.
-    pub suppress: f64,
-    /// Under it a suppressed zone is let in again.
-    pub reuse: f64,
-    /// The penalty never passes this, and so no zone is kept out for ever.
-    pub most: f64,
-    /// The time in which the penalty halves.
+    /// Penalty added for each failure of the zone.
+    pub penalty_per_failure: f64,
+    /// Penalty from which a recovered zone is kept out of service.
+    pub suppress_from: f64,
+    /// Penalty below which a suppressed zone returns to service.
+    pub reuse_below: f64,
+    /// Upper limit of the penalty. It bounds the time for which a zone can be suppressed.
+    pub max_penalty: f64,
+    /// Time in which the penalty halves.
     pub half_life: Duration,
 }
 
 impl Default for Damping {
     fn default() -> Self {
         Self {
-            each: 1000.0,
-            suppress: 1500.0,
-            reuse: 600.0,
-            most: 4000.0,
+            penalty_per_failure: 1000.0,
+            suppress_from: 1500.0,
+            reuse_below: 600.0,
+            max_penalty: 4000.0,
             half_life: Duration::from_secs(60),
         }
     }
 }
 
-/// Bounds and times of the decision.
+/// Limits and delays of the failover decisions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// The most of all capacity that evidence may take away at once, as a share.
+    /// Largest share of the total capacity that reports may take out of service at once, 0 to 1.
     pub max_capacity_removed: f64,
-    /// Zones that stay in service whatever is seen or ordered.
+    /// Number of zones that stay in service regardless of reports and operators' orders.
     pub min_zones_in_service: usize,
-    /// The most of all traffic that plans move in a second, as a share.
+    /// Largest share of the total traffic that plans may move per second, 0 to 1.
     pub max_moved_per_s: f64,
-    /// More than this share of the capacity ill within [`Bounds::moment`] is one shared cause: nothing moves.
+    /// If more than this share of the capacity fails within [`Bounds::shared_cause_window`], a single shared
+    /// cause is assumed and no traffic is moved.
     pub shared_cause_share: f64,
-    /// See [`Bounds::shared_cause_share`].
-    pub moment: Duration,
-    /// Share of all requests that a plan has to serve, or to serve nearer, beyond the one before to take its place.
-    pub gain: f64,
-    /// Share of the room beside the plan that is lent to balancers that have lost touch, all together.
-    pub spare: f64,
-    /// Reports older than this are not counted.
-    pub stale: Duration,
-    /// For how long a zone has to seem lost or out of reach until it is called so.
-    pub lost_after: Duration,
-    /// For how long a zone has to seem ill until it is called so.
-    pub ill_after: Duration,
-    /// For how long, without a break, a zone has to seem well until it returns.
-    pub well_after: Duration,
-    /// The time over which a returning zone is given its share back.
-    pub return_over: Duration,
-    /// What flapping costs.
+    /// Time window of [`Bounds::shared_cause_share`].
+    pub shared_cause_window: Duration,
+    /// Share of all requests that a new plan must additionally serve, or serve nearer, to replace the current
+    /// plan.
+    pub min_gain: f64,
+    /// Share of the capacity left over by the plan that all disconnected balancers together may use.
+    pub spare_share: f64,
+    /// Age from which reports are ignored.
+    pub max_report_age: Duration,
+    /// Time for which a zone has to look unreachable before it is declared unreachable.
+    pub unreachable_after: Duration,
+    /// Time for which a zone has to look unhealthy before it is declared unhealthy.
+    pub unhealthy_after: Duration,
+    /// Time for which a zone has to look healthy without interruption before it returns to service.
+    pub healthy_after: Duration,
+    /// Time over which the share of a returning zone grows back to 1.
+    pub return_time: Duration,
+    /// Penalties for zones that flap.
     pub damping: Damping,
 }
 
@@ -67,14 +69,14 @@
             min_zones_in_service: 1,
             max_moved_per_s: 0.5,
             shared_cause_share: 0.6,
-            moment: Duration::from_secs(10),
-            gain: 0.02,
-            spare: 0.9,
-            stale: Duration::from_secs(5),
-            lost_after: Duration::from_millis(1250),
-            ill_after: Duration::from_millis(1500),
-            well_after: Duration::from_secs(12),
-            return_over: Duration::from_secs(12),
+            shared_cause_window: Duration::from_secs(10),
+            min_gain: 0.02,
+            spare_share: 0.9,
+            max_report_age: Duration::from_secs(5),
+            unreachable_after: Duration::from_millis(1250),
+            unhealthy_after: Duration::from_millis(1500),
+            healthy_after: Duration::from_secs(12),
+            return_time: Duration::from_secs(12),
             damping: Damping::default(),
         }
     }
--- a/crates/failover/src/document.rs
+++ b/crates/failover/src/document.rs
@@ -1,40 +1,41 @@
-//! What all balancers agree on of places: how each zone stands, the plan, and operators' orders.
+//! The document that all balancers agree on: zone states, the plan and operators' orders.
 //!
-//! It goes through the log of the agreement as one text of bytes, the whole at each change, and so survives whoever leads. Times
-//! in it are ages at the moment of writing: clocks of two leaders can't be compared.
+//! Each change writes the complete document to the log as one byte string, so that it survives a change of
+//! leader. Times are stored as ages at the time of writing, because the clocks of two leaders can't be
+//! compared.
 
 use maplehook_locality::Zone;
 use serde::{Deserialize, Serialize};
 
-/// All of a row: shares are counted in ten thousandths.
+/// Sum of the shares of a complete row: shares are in units of 1/10000.
 pub const FULL_SHARE: u16 = 10_000;
-/// The most rows of a plan.
-pub const ROWS_MOST: usize = 4096;
+/// Maximum number of rows in a plan.
+pub const MAX_ROWS: usize = 4096;
 
-/// How a zone stands.
+/// State of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ZoneState {
-    /// It serves.
+    /// The zone is in service.
     #[default]
     Serving,
-    /// Slow or failing for all who see it.
+    /// Requests to the zone are slow or fail for its observers.
     #[serde(rename = "ill")]
     Unhealthy,
-    /// Nothing of it can be used by anybody.
+    /// The zone is unreachable, or nothing in it is usable.
     #[serde(rename = "lost")]
     Unreachable,
-    /// Fine in itself, out of reach from some.
+    /// The zone is healthy but unreachable from some zones.
     #[serde(rename = "cut")]
     Partitioned,
-    /// Taken out by an operator.
+    /// An operator took the zone out of service.
     Evacuated,
-    /// Well again, and given back slowly.
+    /// The zone has recovered and its share grows back.
     Returning,
 }
 
 impl ZoneState {
-    /// The word for it.
+    /// Returns the name of the state for operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Serving => "serving",
@@ -47,164 +48,170 @@
     }
 }
 
-/// A zone in the document.
+/// Status of a zone in the document.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZoneStatus {
-    /// How it stands.
+    /// Current state of the zone.
     pub state: ZoneState,
-    /// Why, in words.
+    /// Reason for the state, for operators.
     #[serde(rename = "why")]
     pub reason: String,
-    /// For how long.
+    /// Age of the state, in milliseconds.
     pub since_ms: u64,
-    /// What can be used of it, in requests a second.
+    /// Usable capacity, in requests per second.
     pub usable: f32,
-    /// Its load over what can be used.
+    /// Load relative to the usable capacity; 1 is full.
     pub load: f32,
-    /// Share of what it may be given, while it returns. 0 to 1.
-    pub given: f32,
-    /// What its flapping has cost it so far (RFC 2439's figure of merit).
+    /// Share of its capacity that a returning or failed zone may serve, 0 to 1.
+    #[serde(rename = "given")]
+    pub admitted_share: f32,
+    /// Flap-damping penalty (the figure of merit of RFC 2439).
     pub penalty: f32,
-    /// Zones from which it is out of reach, where it is cut.
-    pub cut_from: Vec<Zone>,
-    /// How many zones' observers stand behind the state.
+    /// Zones from which this zone is unreachable.
+    #[serde(rename = "cut_from")]
+    pub unreachable_from: Vec<Zone>,
+    /// Number of zones whose reports support the state.
     pub observers: u16,
 }
 
-/// A part of a row.
+/// The part of a row that goes to one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Share {
-    /// To which zone.
+    /// Destination zone.
     pub zone: Zone,
-    /// How much, of [`WHOLE`].
+    /// Part of the requests, in units of 1/[`FULL_SHARE`].
     pub part: u16,
 }
 
-/// Where the requests of one rule go that come into one zone.
+/// Destinations of the requests of one rule that arrive in one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Row {
-    /// Position of the rule.
+    /// Index of the rule.
     pub rule: u16,
-    /// The zone that they come into.
+    /// Zone in which the requests arrive.
     pub from: Zone,
-    /// Where they go, by zone. What is missing to [`WHOLE`] is refused where it comes in.
+    /// Shares, sorted by zone. If they add up to less than [`FULL_SHARE`], the rest is rejected on arrival.
     pub to: Vec<Share>,
 }
 
 impl Row {
-    /// Whether it is one: no zone twice, no more than the whole.
+    /// Returns true if no zone occurs twice and the shares do not exceed [`FULL_SHARE`].
     pub fn is_sound(&self) -> bool {
         let total: u32 = self.to.iter().map(|share| u32::from(share.part)).sum();
         total <= u32::from(FULL_SHARE) && self.to.is_sorted_by(|a, b| a.zone < b.zone)
     }
 
-    /// What goes to a zone.
+    /// Returns the share of a zone, or 0 if it has none.
     pub fn part(&self, zone: Zone) -> u16 {
         self.to.iter().find(|share| share.zone == zone).map_or(0, |share| share.part)
     }
 }
 
-/// Where requests go. A rule and zone without a row keep to the first step of the rule's ladder.
+/// Destinations of all requests. A rule and zone without a row use the first step of the rule's priority
+/// list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Rises by one with each plan.
+    /// Version of the plan, incremented with each new plan.
     pub epoch: u64,
-    /// Sorted by rule and zone.
+    /// Rows, sorted by rule and zone.
     pub rows: Vec<Row>,
-    /// What each zone may be given beside the plan by balancers that have lost touch, all together, in requests a second; then,
-    /// again by zone, the weight of its balancers in that; and then how many they are. A program that knows the first part alone
-    /// takes an even part of it. Read it by [`Plan::lent`].
+    /// Three sections, each by zone: the rate that all disconnected balancers together may send to the zone
+    /// in addition to the plan, in requests per second; the weight of the zone's balancers in sharing it; and
+    /// the number of these balancers. Older versions read only the first section and divide it evenly. Use
+    /// [`Plan::spare_rate`] to read it.
     pub spare: Vec<f32>,
 }
 
 impl Plan {
-    /// The row of a rule and zone, where there is one.
+    /// Returns the row of a rule and zone, if there is one.
     pub fn row(&self, rule: u16, from: Zone) -> Option<&Row> {
         let found = self.rows.binary_search_by_key(&(rule, from), |row| (row.rule, row.from));
         found.ok().map(|n| &self.rows[n])
     }
 
-    /// A part of [`Plan::spare`]: 0 what zones may be given, 1 weights, 2 how many balancers; nothing where it is not known.
-    pub fn spare_part(&self, part: usize, zones: usize) -> &[f32] {
-        self.spare.get(part * zones..(part + 1) * zones).unwrap_or_default()
+    /// Returns a section of [`Plan::spare`]: 0 rates, 1 weights, 2 numbers of balancers. The slice is empty
+    /// if the section is missing.
+    pub fn spare_section(&self, section: usize, zones: usize) -> &[f32] {
+        self.spare.get(section * zones..(section + 1) * zones).unwrap_or_default()
     }
 
-    /// What one balancer of a zone may send to another beside the plan once it has lost touch, in requests a second. A zone's own
-    /// balancers have its room by the plan, and no part in what it lends. `balancers`: how many there are, for a plan that does
-    /// not say how many each zone has.
-    pub fn lent(&self, zones: usize, from: Zone, to: usize, balancers: usize) -> f64 {
-        let part = |part: usize| self.spare_part(part, zones);
-        let (weights, crews) = (part(1), part(2));
-        let spare = part(0).get(to).map_or(0.0, |spare| f64::from(*spare));
-        let (Some(crew), Some(own)) = (crews.get(usize::from(from.0)), weights.get(usize::from(from.0)))
+    /// Returns the rate that one disconnected balancer of zone `from` may send to zone `to` in addition to
+    /// the plan, in requests per second. It is 0 for the balancer's own zone, whose capacity the plan already
+    /// assigns. `balancers` is the total number of balancers, for plans without numbers per zone.
+    pub fn spare_rate(&self, zones: usize, from: Zone, to: usize, balancers: usize) -> f64 {
+        let section = |section: usize| self.spare_section(section, zones);
+        let (weights, balancer_counts) = (section(1), section(2));
+        let spare = section(0).get(to).map_or(0.0, |spare| f64::from(*spare));
+        let (Some(count), Some(weight)) =
+            (balancer_counts.get(usize::from(from.0)), weights.get(usize::from(from.0)))
         else {
             return spare / balancers.max(1) as f64;
         };
         let others = weights.iter().enumerate().filter(|(zone, _)| *zone != to);
-        let all: f64 = others.map(|(_, weight)| f64::from(*weight)).sum();
-        if usize::from(from.0) == to || all <= 0.0 || *crew < 1.0 {
+        let total_weight: f64 = others.map(|(_, weight)| f64::from(*weight)).sum();
+        if usize::from(from.0) == to || total_weight <= 0.0 || *count < 1.0 {
             return 0.0;
         }
-        spare * f64::from(*own) / all / f64::from(*crew)
+        spare * f64::from(*weight) / total_weight / f64::from(*count)
     }
 }
 
-/// A zone or region that an operator has taken out.
+/// An evacuation of a zone or region ordered by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
-    /// Its zones.
+    /// Evacuated zones.
     pub zones: Vec<Zone>,
-    /// By whom.
+    /// Name of the operator who ordered the evacuation.
     pub by: String,
-    /// For how long still; `None`: until it is released.
+    /// Remaining time in milliseconds; `None` lasts until the operator releases it.
     #[serde(rename = "left_ms")]
     pub remaining_ms: Option<u64>,
 }
 
-/// By what an operator keeps the plan as it is.
+/// An operator's order that freezes the plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanHold {
-    /// By whom.
+    /// Name of the operator who ordered the hold.
     pub by: String,
 }
 
-/// What is agreed on.
+/// The shared document.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// A digest of the topology and rules by which zones and rules are counted.
+    /// Digest of the topology and rules that the indexes of zones and rules refer to.
     pub digest: u64,
-    /// Names of the zones, in the order of the topology: whoever counts otherwise goes by them.
+    /// Zone names in topology order. Readers with another topology map the indexes by these names.
     pub zones: Vec<String>,
-    /// Names of the rules.
+    /// Rule names, in the order of the rules' indexes.
     pub rules: Vec<String>,
-    /// How each zone stands.
+    /// Status of each zone, by zone index.
     #[serde(rename = "places")]
     pub zone_statuses: Vec<ZoneStatus>,
-    /// Where requests go.
+    /// The traffic plan.
     pub plan: Plan,
-    /// What operators have taken out.
+    /// Active evacuations.
     pub evacuations: Vec<Evacuation>,
-    /// Whether the plan is held, and by whom.
+    /// Hold on the plan, if an operator ordered one.
     #[serde(rename = "held")]
     pub hold: Option<PlanHold>,
-    /// Why nothing moves although much seems ill, if that is so.
+    /// Reason why no traffic is moved, while a shared cause is assumed.
     pub shared_cause: Option<String>,
 }
 
 impl Document {
-    /// For the log.
+    /// Encodes the document for the log.
     pub fn encode(&self) -> Vec<u8> {
-        // Nothing in it is of a kind that can't be encoded.
+        // The types of the document have no values that postcard fails to encode.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// From the log; `None` for what is no document.
+    /// Decodes a document from the log. Returns `None` if it is malformed or its plan is invalid.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let document: Self = postcard::from_bytes(bytes).ok()?;
         document.is_sound().then_some(document)
     }
 
-    /// Whether its plan is one: rows in order, and each of them sound.
+    /// Returns true if the rows of the plan are sorted and each row is valid.
     pub fn is_sound(&self) -> bool {
         let rows = &self.plan.rows;
         rows.is_sorted_by_key(|row| (row.rule, row.from)) && rows.iter().all(Row::is_sound)
--- a/crates/failover/src/flow.rs
+++ b/crates/failover/src/flow.rs
@@ -1,78 +1,79 @@
-//! The waterfall: who is sent where, the near first, and no zone over its room.
+//! The waterfall: assigns demand to zones, nearest steps first, without exceeding any zone's capacity.
 //!
-//! What is promised: as much is served as can be by any split that keeps to the rooms and to what each rule may use (a maximum
-//! flow, found by augmenting paths: Edmonds and Karp 1972), but where [`crate::pouring`] takes away what two regions would pour
-//! into each other; with `beyond region` under the whole, at least no single change serves more. Of such splits the near one is
-//! taken: each step is filled for all before the next begins. Where a zone is short, all that ask for it at the same step get the
-//! same part, rules and sources alike: guarantees among classes and tenants are kept at the door, by admission, for what the plan
-//! leaves in.
+//! The assignment serves as much as any assignment within the capacities and the rules can. It is a maximum
+//! flow, found with augmenting paths (Edmonds and Karp 1972). There are two exceptions: [`crate::assignment`]
+//! removes flows that two regions would send each other, and with a `beyond region` limit below 1 the only
+//! guarantee is that no single move serves more. Among such assignments it prefers near ones: each step is
+//! filled for all lists before the next step starts. If a zone is short of capacity, all lists that request
+//! it in the same step get the same fraction of their claims, whatever the rule or source zone. Guarantees
+//! among classes and tenants are enforced later, by admission, on the traffic that the plan admits.
 
-use crate::priorities::{PriorityList, PriorityLists, Zones, each, zone_bit};
+use crate::priorities::{PriorityList, PriorityLists, ZoneSet, zone_bit, zones_in};
 use smallvec::SmallVec;
 
-/// Rounds in which a step's zones are shared out.
-const ROUNDS: usize = 4;
-/// Zones that most shapes are sent to at the most.
-const FEW: usize = 4;
-/// Paths sought at the most; what is left is refused.
-const PATHS: usize = 64;
+/// Number of rounds in which the capacity of one step is shared out.
+const FILL_ROUNDS: usize = 4;
+/// Number of destinations stored without an allocation; most lists have no more.
+const INLINE_ZONES: usize = 4;
+/// Maximum number of augmenting paths; demand left after them is rejected.
+const MAX_AUGMENTING_PATHS: usize = 64;
 
-/// What a plan is made for.
+/// Input of an assignment.
 #[derive(Clone, Debug)]
-pub struct Ground<'a> {
-    /// Rules and places.
+pub struct FlowProblem<'a> {
+    /// Priority lists of all rules and source zones.
     pub priorities: &'a PriorityLists,
-    /// What each zone can be given, in requests a second.
-    pub room: &'a [f64],
-    /// What each can be given when nothing else is left: zones that are ill.
-    pub last: &'a [f64],
-    /// Zones that are reached, by the zone that reaches them.
-    pub reach: &'a [Zones],
-    /// Whether a shape spills already under a full step.
-    pub open: &'a [bool],
-    /// What is asked for, by shape.
-    pub asked: &'a [f64],
+    /// Capacity of each zone, in requests per second.
+    pub capacity: &'a [f64],
+    /// Additional capacity of unhealthy zones, used when nothing else is left, in requests per second.
+    pub fallback: &'a [f64],
+    /// Set of reachable zones, by source zone.
+    pub reach: &'a [ZoneSet],
+    /// Tells for each list if its first step spills over at its threshold, before it is full.
+    pub spill_open: &'a [bool],
+    /// Demand of each list, in requests per second.
+    pub demand: &'a [f64],
 }
 
-impl Ground<'_> {
-    /// Room of a zone, whichever.
-    pub fn cap(&self, zone: usize) -> f64 {
-        self.room[zone] + self.last[zone]
+impl FlowProblem<'_> {
+    /// Returns the capacity of a zone including its fallback capacity.
+    pub fn total_capacity(&self, zone: usize) -> f64 {
+        self.capacity[zone] + self.fallback[zone]
     }
 
-    /// Zones that a shape may be sent to as things are.
-    pub fn usable(&self, shape: &PriorityList) -> Zones {
-        shape.allowed() & self.reach[usize::from(shape.from.0)]
+    /// Returns the zones that a list allows and its source zone can reach.
+    pub fn usable(&self, list: &PriorityList) -> ZoneSet {
+        list.allowed_zones() & self.reach[usize::from(list.from.0)]
     }
 
-    /// Rates under this are nothing.
-    pub fn nothing(&self) -> f64 {
-        1e-9 * (1.0 + self.asked.iter().sum::<f64>())
+    /// Returns the rate below which flows are treated as zero.
+    pub fn epsilon(&self) -> f64 {
+        1e-9 * (1.0 + self.demand.iter().sum::<f64>())
     }
 }
 
-/// What one shape sends, by zone.
+/// Rates of one list by destination zone, in requests per second.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Split {
-    zones: Zones,
-    /// In the order of the zones.
-    rates: SmallVec<[f64; FEW]>,
+pub struct ZoneRates {
+    zones: ZoneSet,
+    /// Rates in zone order, one for each member of `zones`.
+    rates: SmallVec<[f64; INLINE_ZONES]>,
 }
 
-impl Split {
-    /// Zones that something was sent to.
-    pub fn zones(&self) -> Zones {
+impl ZoneRates {
+    /// Returns the set of destinations, including those whose rate fell back to 0.
+    pub fn zones(&self) -> ZoneSet {
         self.zones
     }
 
-    /// What is sent to a zone.
+    /// Returns the rate to a zone.
     pub fn get(&self, zone: usize) -> f64 {
-        if self.zones >> zone & 1 == 0 { 0.0 } else { self.rates[self.before(zone)] }
+        if self.zones >> zone & 1 == 0 { 0.0 } else { self.rates[self.rank(zone)] }
     }
 
-    /// Sends more, or less.
+    /// Adds to the rate to a zone; `rate` may be negative.
     pub fn add(&mut self, zone: usize, rate: f64) {
-        let n = self.before(zone);
+        let n = self.rank(zone);
         if self.zones >> zone & 1 == 1 {
             self.rates[n] += rate;
         } else {
@@ -81,117 +82,142 @@
         }
     }
 
-    /// Zones and what is sent there, in order.
+    /// Iterates over the destinations and their rates in zone order.
     pub fn iter(&self) -> impl Iterator<Item = (usize, f64)> + '_ {
-        each(self.zones).zip(self.rates.iter().copied())
+        zones_in(self.zones).zip(self.rates.iter().copied())
     }
 
-    /// What is sent to zones of a set.
-    pub fn sum(&self, zones: Zones) -> f64 {
-        each(self.zones & zones).map(|zone| self.get(zone)).sum()
+    /// Returns the total rate to a set of zones.
+    pub fn sum(&self, zones: ZoneSet) -> f64 {
+        zones_in(self.zones & zones).map(|zone| self.get(zone)).sum()
     }
 
-    fn before(&self, zone: usize) -> usize {
+    fn rank(&self, zone: usize) -> usize {
         (self.zones & ((1 << zone) - 1)).count_ones() as usize
     }
 }
 
-/// Who is sent where, in requests a second, by shape.
+/// An assignment of all lists to zones, in requests per second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Flows {
-    /// By shape.
-    pub to: Vec<Split>,
-    /// What is refused, by shape.
-    pub left: Vec<f64>,
-    /// What each zone is sent.
+    /// Rates by destination, for each list.
+    pub to: Vec<ZoneRates>,
+    /// Demand of each list that is not assigned and will be rejected.
+    pub unserved: Vec<f64>,
+    /// Total rate assigned to each zone.
     pub load: Vec<f64>,
 }
 
 impl Flows {
-    /// Nothing is sent anywhere.
-    pub fn none(asked: &[f64], zones: usize) -> Self {
-        Self { to: vec![Split::default(); asked.len()], left: asked.to_vec(), load: vec![0.0; zones] }
+    /// Creates an assignment in which all demand is unserved.
+    pub fn unassigned(demand: &[f64], zones: usize) -> Self {
+        Self {
+            to: vec![ZoneRates::default(); demand.len()],
+            unserved: demand.to_vec(),
+            load: vec![0.0; zones],
+        }
     }
 
-    /// Sends more (or, with less than nothing, less) of a shape to a zone.
-    pub fn add(&mut self, shape: usize, zone: usize, rate: f64) {
+    /// Adds to the rate of a list to a zone; `rate` may be negative. The unserved demand is not updated.
+    pub fn add(&mut self, list: usize, zone: usize, rate: f64) {
         self.load[zone] += rate;
-        self.to[shape].add(zone, rate);
+        self.to[list].add(zone, rate);
     }
 
-    /// What of a shape is sent to a zone.
-    pub fn sent(&self, shape: usize, zone: usize) -> f64 {
-        self.to[shape].get(zone)
+    /// Returns the rate of a list to a zone.
+    pub fn sent(&self, list: usize, zone: usize) -> f64 {
+        self.to[list].get(zone)
     }
 
-    /// What of a shape leaves its region.
-    fn beyond(&self, n: usize, shape: &PriorityList) -> f64 {
-        self.to[n].sum(shape.beyond)
+    /// Returns the rate of a list that leaves its region.
+    fn remote_rate(&self, n: usize, list: &PriorityList) -> f64 {
+        self.to[n].sum(list.remote_zones)
     }
 }
 
-/// The best split there is.
-pub fn waterfall(ground: &Ground<'_>) -> Flows {
-    let zones = ground.room.len();
-    let mut flows = Flows::none(ground.asked, zones);
-    let (over, full): (Vec<f64>, Vec<f64>) =
-        ground.priorities.lists.iter().map(|shape| (shape.over, 1.0)).unzip();
-    let deepest = ground.priorities.lists.iter().map(|shape| shape.steps.len()).max().unwrap_or(0);
-    let none = vec![0.0; zones];
-    for level in 0..deepest {
-        let first: Vec<f64> = if level == 0 {
-            over.iter().zip(ground.open).map(|(over, open)| if *open { *over } else { 1.0 }).collect()
+/// Computes the assignment that serves the most demand, near zones first.
+pub fn waterfall(problem: &FlowProblem<'_>) -> Flows {
+    let zones = problem.capacity.len();
+    let mut flows = Flows::unassigned(problem.demand, zones);
+    let (spill_load, full_load): (Vec<f64>, Vec<f64>) =
+        problem.priorities.lists.iter().map(|list| (list.spill_load, 1.0)).unzip();
+    let max_steps = problem.priorities.lists.iter().map(|list| list.steps.len()).max().unwrap_or(0);
+    let no_fallback = vec![0.0; zones];
+    for step in 0..max_steps {
+        let first_load: Vec<f64> = if step == 0 {
+            spill_load
+                .iter()
+                .zip(problem.spill_open)
+                .map(|(spill_load, spill_open)| if *spill_open { *spill_load } else { 1.0 })
+                .collect()
         } else {
-            over.clone()
+            spill_load.clone()
         };
-        fill(ground, &mut flows, level, &first, &none, true);
+        fill(problem, &mut flows, step, &first_load, &no_fallback, true);
     }
-    for level in 0..deepest {
-        fill(ground, &mut flows, level, &full, &none, false);
+    for step in 0..max_steps {
+        fill(problem, &mut flows, step, &full_load, &no_fallback, false);
     }
-    for level in 0..deepest {
-        fill(ground, &mut flows, level, &full, ground.last, false);
+    for step in 0..max_steps {
+        fill(problem, &mut flows, step, &full_load, problem.fallback, false);
     }
-    augment(ground, &mut flows);
+    augment(problem, &mut flows);
     flows
 }
 
-/// Shares one step's zones out among all who ask for it, up to a part of the room.
-fn fill(ground: &Ground<'_>, flows: &mut Flows, level: usize, up_to: &[f64], last: &[f64], own: bool) {
-    let (nothing, zones) = (ground.nothing(), ground.room.len());
-    let cap: Vec<f64> = ground.room.iter().zip(last).map(|(room, last)| room + last).collect();
+/// Shares the zones of one step among all lists that need them, up to `max_load` of their capacity.
+fn fill(
+    problem: &FlowProblem<'_>,
+    flows: &mut Flows,
+    step: usize,
+    max_load: &[f64],
+    fallback: &[f64],
+    explicit_only: bool,
+) {
+    let (epsilon, zones) = (problem.epsilon(), problem.capacity.len());
+    let capacities: Vec<f64> =
+        problem.capacity.iter().zip(fallback).map(|(capacity, fallback)| capacity + fallback).collect();
     let (mut claims, mut free): (Vec<(usize, usize, f64)>, Vec<f64>) = (Vec::new(), Vec::new());
-    for _ in 0..ROUNDS {
+    for _ in 0..FILL_ROUNDS {
         claims.clear();
-        let (mut claimed, mut highest) = (vec![0.0; zones], vec![0.0f64; zones]);
-        for (n, shape) in ground.priorities.lists.iter().enumerate() {
-            if flows.left[n] <= nothing || level >= shape.steps.len() || own && level >= shape.own {
+        let (mut claimed_rate, mut highest_load) = (vec![0.0; zones], vec![0.0f64; zones]);
+        for (n, list) in problem.priorities.lists.iter().enumerate() {
+            if flows.unserved[n] <= epsilon
+                || step >= list.steps.len()
+                || explicit_only && step >= list.explicit_steps
+            {
                 continue;
             }
-            let step = shape.steps[level] & ground.reach[usize::from(shape.from.0)];
-            let mut beyond = shape.beyond_most * ground.asked[n];
-            if shape.beyond_most < 1.0 && step & shape.beyond != 0 {
-                beyond -= flows.beyond(n, shape);
+            let zones_of_step = list.steps[step] & problem.reach[usize::from(list.from.0)];
+            let mut remote_budget = list.max_remote_share * problem.demand[n];
+            if list.max_remote_share < 1.0 && zones_of_step & list.remote_zones != 0 {
+                remote_budget -= flows.remote_rate(n, list);
             }
-            let step = if beyond <= nothing { step & !shape.beyond } else { step };
+            let zones_of_step =
+                if remote_budget <= epsilon { zones_of_step & !list.remote_zones } else { zones_of_step };
             free.clear();
-            free.extend(each(step).map(|zone| (up_to[n] * cap[zone] - flows.load[zone]).max(0.0)));
+            free.extend(
+                zones_in(zones_of_step)
+                    .map(|zone| (max_load[n] * capacities[zone] - flows.load[zone]).max(0.0)),
+            );
             let total: f64 = free.iter().sum();
-            if total <= nothing {
+            if total <= epsilon {
                 continue;
             }
-            let mut part = flows.left[n].min(total) / total;
-            if shape.beyond_most < 1.0 {
-                let far = each(step).zip(&free).filter(|(zone, _)| shape.beyond >> zone & 1 == 1);
-                let outside: f64 = far.map(|(_, free)| free).sum();
-                part = if outside > 0.0 { part.min(beyond / outside) } else { part };
+            let mut fraction = flows.unserved[n].min(total) / total;
+            if list.max_remote_share < 1.0 {
+                let remote =
+                    zones_in(zones_of_step).zip(&free).filter(|(zone, _)| list.remote_zones >> zone & 1 == 1);
+                let remote_free: f64 = remote.map(|(_, free)| free).sum();
+                fraction =
+                    if remote_free > 0.0 { fraction.min(remote_budget / remote_free) } else { fraction };
             }
-            for (zone, free) in each(step).zip(&free) {
-                let claim = free * part;
+            for (zone, free) in zones_in(zones_of_step).zip(&free) {
+                let claim = free * fraction;
                 if claim > 0.0 {
                     claims.push((n, zone, claim));
-                    claimed[zone] += claim;
-                    highest[zone] = highest[zone].max(up_to[n]);
+                    claimed_rate[zone] += claim;
+                    highest_load[zone] = highest_load[zone].max(max_load[n]);
                 }
             }
         }
@@ -200,116 +226,119 @@
         }
         let scale: Vec<f64> = (0..zones)
             .map(|zone| {
-                let free = (highest[zone] * cap[zone] - flows.load[zone]).max(0.0);
-                if claimed[zone] > free { free / claimed[zone] } else { 1.0 }
+                let free = (highest_load[zone] * capacities[zone] - flows.load[zone]).max(0.0);
+                if claimed_rate[zone] > free { free / claimed_rate[zone] } else { 1.0 }
             })
             .collect();
-        let mut given = 0.0;
+        let mut assigned = 0.0;
         for (n, zone, claim) in claims.drain(..) {
             let rate = claim * scale[zone];
             flows.add(n, zone, rate);
-            flows.left[n] = (flows.left[n] - rate).max(0.0);
-            given += rate;
+            flows.unserved[n] = (flows.unserved[n] - rate).max(0.0);
+            assigned += rate;
         }
-        if given <= nothing {
+        if assigned <= epsilon {
             return;
         }
     }
 }
 
-/// Serves what is left by sending others on, as long as there is a way.
-fn augment(ground: &Ground<'_>, flows: &mut Flows) {
-    let (nothing, zones) = (ground.nothing(), ground.room.len());
-    let lists = &ground.priorities.lists;
-    let usable: Vec<Zones> = lists.iter().map(|shape| ground.usable(shape)).collect();
-    // How much of a shape can go to a zone, from another or (`None`) from what is left.
+/// Serves remaining demand by moving other flows, as long as augmenting paths exist.
+fn augment(problem: &FlowProblem<'_>, flows: &mut Flows) {
+    let (epsilon, zones) = (problem.epsilon(), problem.capacity.len());
+    let lists = &problem.priorities.lists;
+    let usable: Vec<ZoneSet> = lists.iter().map(|list| problem.usable(list)).collect();
+    // Rate of a list that can move to zone `to`, from another zone or (`None`) from the unserved demand.
     let movable = |flows: &Flows, n: usize, from: Option<usize>, to: usize| {
-        let shape = &lists[n];
-        let rate = from.map_or(flows.left[n], |zone| flows.sent(n, zone));
-        let within = shape.beyond >> to & 1 == 0 || from.is_some_and(|zone| shape.beyond >> zone & 1 == 1);
+        let list = &lists[n];
+        let rate = from.map_or(flows.unserved[n], |zone| flows.sent(n, zone));
+        let stays_within_limit =
+            list.remote_zones >> to & 1 == 0 || from.is_some_and(|zone| list.remote_zones >> zone & 1 == 1);
         if usable[n] >> to & 1 == 0 {
             0.0
-        } else if within || shape.beyond_most >= 1.0 {
+        } else if stays_within_limit || list.max_remote_share >= 1.0 {
             rate
         } else {
-            rate.min((shape.beyond_most * ground.asked[n] - flows.beyond(n, shape)).max(0.0))
+            rate.min((list.max_remote_share * problem.demand[n] - flows.remote_rate(n, list)).max(0.0))
         }
     };
-    for _ in 0..PATHS {
-        let waiting: Vec<usize> = (0..lists.len()).filter(|n| flows.left[*n] > nothing).collect();
-        if waiting.is_empty() {
+    for _ in 0..MAX_AUGMENTING_PATHS {
+        let unserved_lists: Vec<usize> = (0..lists.len()).filter(|n| flows.unserved[*n] > epsilon).collect();
+        if unserved_lists.is_empty() {
             return;
         }
-        let mut at: Vec<Vec<usize>> = vec![Vec::new(); zones];
+        let mut lists_at: Vec<Vec<usize>> = vec![Vec::new(); zones];
         for (n, to) in flows.to.iter().enumerate() {
-            to.iter().filter(|(_, sent)| *sent > nothing).for_each(|(zone, _)| at[zone].push(n));
+            to.iter().filter(|(_, sent)| *sent > epsilon).for_each(|(zone, _)| lists_at[zone].push(n));
         }
-        let free = |flows: &Flows, zone: usize| ground.cap(zone) - flows.load[zone];
-        // Breadth first over zones; `None` is what is left.
+        let free = |flows: &Flows, zone: usize| problem.total_capacity(zone) - flows.load[zone];
+        // Breadth-first search over zones; `None` is the unserved demand.
         let mut from: Vec<Option<Option<usize>>> = vec![None; zones];
         let mut queue = std::collections::VecDeque::from([None]);
-        let mut end = None;
+        let mut target = None;
         while let Some(zone) = queue.pop_front() {
             if let Some(zone) = zone
-                && free(flows, zone) > nothing
+                && free(flows, zone) > epsilon
             {
-                end = Some(zone);
+                target = Some(zone);
                 break;
             }
-            let who = zone.map_or(&waiting, |zone| &at[zone]);
-            let wanted = (0..zones).fold(0, |all, z| if from[z].is_none() { all | 1 << z } else { all });
-            let mut found: Zones = 0;
-            for n in who {
-                for to in each(usable[*n] & wanted & !found) {
-                    if movable(flows, *n, zone, to) > nothing {
-                        found |= 1 << to;
+            let movable_lists = zone.map_or(&unserved_lists, |zone| &lists_at[zone]);
+            let unvisited = (0..zones).fold(0, |all, z| if from[z].is_none() { all | 1 << z } else { all });
+            let mut reached: ZoneSet = 0;
+            for n in movable_lists {
+                for to in zones_in(usable[*n] & unvisited & !reached) {
+                    if movable(flows, *n, zone, to) > epsilon {
+                        reached |= 1 << to;
                     }
                 }
             }
-            for to in each(found) {
+            for to in zones_in(reached) {
                 from[to] = Some(zone);
                 queue.push_back(Some(to));
             }
         }
-        let Some(mut to) = end else { return };
-        // From the end of the way, so that each zone gives away before it takes.
+        let Some(mut to) = target else { return };
+        // Shifts flows from the end of the path backwards, so that each zone frees capacity before it
+        // receives more.
         let mut rate = free(flows, to);
         while let Some(Some(zone)) = from.get(to).copied() {
-            rate = shift(flows, zone, to, rate, zone.map_or(&waiting, |zone| &at[zone]), &movable);
+            rate =
+                shift(flows, zone, to, rate, zone.map_or(&unserved_lists, |zone| &lists_at[zone]), &movable);
             let Some(next) = zone else { break };
             to = next;
         }
     }
 }
 
-/// Sends up to this rate from one zone to another, and says how much it was.
+/// Moves up to `rate` from one zone to another and returns the moved rate.
 fn shift(
     flows: &mut Flows,
     from: Option<usize>,
     to: usize,
     rate: f64,
-    who: &[usize],
+    movable_lists: &[usize],
     movable: &impl Fn(&Flows, usize, Option<usize>, usize) -> f64,
 ) -> f64 {
     let mut moved = 0.0;
-    for n in who {
-        let part = movable(flows, *n, from, to).min(rate - moved);
-        if part <= 0.0 {
+    for n in movable_lists {
+        let amount = movable(flows, *n, from, to).min(rate - moved);
+        if amount <= 0.0 {
             continue;
         }
         match from {
-            Some(zone) => flows.add(*n, zone, -part),
-            None => flows.left[*n] -= part,
+            Some(zone) => flows.add(*n, zone, -amount),
+            None => flows.unserved[*n] -= amount,
         }
-        flows.add(*n, to, part);
-        moved += part;
+        flows.add(*n, to, amount);
+        moved += amount;
     }
     moved
 }
 
-/// Zones as a set, where a test holds for them.
-pub fn zones_where(zones: usize, holds: impl Fn(usize) -> bool) -> Zones {
+/// Returns the set of zones that satisfy the predicate.
+pub fn zone_set(zones: usize, predicate: impl Fn(usize) -> bool) -> ZoneSet {
     (0..zones)
-        .filter(|zone| holds(*zone))
+        .filter(|zone| predicate(*zone))
         .fold(0, |all, zone| all | zone_bit(maplehook_locality::Zone(zone as u16)))
 }
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,35 +1,38 @@
-//! What balancers see of zones, and the plan they make of it in common: no I/O, no clock, no chance.
+//! Failover planning across zones: balancers report on zones, and a leader computes a shared plan. The crate
+//! does no I/O and uses no clock and no random numbers.
 //!
-//! [`report`] is what each balancer says, [`document`] what all agree on. `docs/design/places.md` has the reasons.
+//! [`report`] is the report of each balancer, [`document`] the shared document. `docs/design/places.md`
+//! explains the design.
 //!
-//! [`decider`] is the leader's machine: [`heard`], [`evidence`], [`reach`] and [`damp`] say how zones stand, [`room`] what they can
-//! take, [`plan`] (with [`ladders`], [`flow`] and [`pouring`]) where requests go, `judge` what the [`bounds`] allow.
+//! [`decider`] is the leader's state machine. [`report_store`], [`verdict`], [`reachability`] and
+//! [`zone_health`] determine the zone states, [`capacity`] the capacities, [`plan`] (with [`priorities`],
+//! [`flow`] and [`assignment`]) the traffic shares, and `zone_decision` applies the [`bounds`].
 
 pub mod assignment;
 pub mod balancer_routing;
 pub mod bounds;
-pub mod damp;
+pub mod capacity;
+mod compose;
 pub mod decider;
 pub mod document;
-pub mod evidence;
 pub mod flow;
-pub mod heard;
-mod judge;
-pub mod names;
 pub mod orders;
 pub mod plan;
 pub mod priorities;
-pub mod reach;
+pub mod reachability;
+mod region_service;
+pub mod remap;
 pub mod report;
-pub mod room;
+pub mod report_store;
 pub mod rtt;
-mod service;
-mod written;
+pub mod verdict;
+mod zone_decision;
+pub mod zone_health;
 
 pub use balancer_routing::{BalancerRouting, EffectiveRouting, Shares};
 pub use bounds::{Bounds, Damping};
 pub use decider::Decider;
 pub use document::{Document, Evacuation, FULL_SHARE, Plan, PlanHold, Row, Share, ZoneState, ZoneStatus};
-pub use heard::digest;
 pub use orders::{Order, OrderError};
 pub use report::{Demand, Report, ZoneObservation};
+pub use report_store::digest;
--- a/crates/failover/src/orders.rs
+++ b/crates/failover/src/orders.rs
@@ -1,4 +1,4 @@
-//! What operators order, and why an order is refused.
+//! Operators' orders and the reasons for rejecting them.
 
 use maplehook_locality::Zone;
 use std::fmt;
@@ -6,99 +6,99 @@
 /// An operator's order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Takes zones out.
+    /// Takes zones out of service.
     Evacuate {
-        /// Which.
+        /// Zones to evacuate.
         zones: Vec<Zone>,
-        /// By whom.
+        /// Name of the operator.
         by: String,
-        /// For how long; `None`: until it is released.
+        /// Duration in milliseconds; `None` lasts until the operator releases it.
         for_ms: Option<u64>,
-        /// Although the rest can't bear it.
+        /// Skips the capacity checks.
         anyway: bool,
     },
-    /// Keeps the plan as it is.
+    /// Freezes the plan.
     Hold {
-        /// By whom.
+        /// Name of the operator.
         by: String,
     },
     /// Ends evacuations.
     Release {
-        /// By whom.
+        /// Name of the operator.
         by: String,
-        /// Of these zones; if there are none, all of them, and the hold.
+        /// Zones to release; if empty, all evacuations and the hold end.
         zones: Vec<Zone>,
     },
 }
 
-/// Why an order is refused.
+/// Reason for the rejection of an order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OrderError {
-    /// It names no zone, or one that there is not.
+    /// The order names no zone or an unknown zone.
     UnknownZone,
-    /// Nothing is known yet of rooms and of what is asked for.
+    /// No reports on capacities and demand have arrived yet.
     NoReportsYet,
-    /// The plan is held: what is ordered would not be done.
+    /// The plan is on hold, so that the order would have no effect.
     PlanHeld {
-        /// By whom.
+        /// Name of the operator who ordered the hold.
         by: String,
     },
-    /// Nothing moves, for so much seems ill at once.
+    /// No traffic is moved because a shared cause is assumed; the text gives the reason.
     SharedCause(String),
-    /// The rest can't bear it.
+    /// The remaining zones lack capacity.
     InsufficientCapacity {
-        /// What is asked for, in requests a second.
-        asked: f64,
-        /// What of it would be refused.
+        /// Total demand, in requests per second.
+        demand: f64,
+        /// Demand that would be rejected, in requests per second.
         rejected: f64,
-        /// What is refused as it is.
+        /// Demand that is rejected before the order, in requests per second.
         rejected_now: f64,
-        /// What all the rest can take.
-        room: f64,
+        /// Capacity of the remaining zones, in requests per second.
+        capacity: f64,
     },
-    /// It would leave fewer zones in service than have to stay.
+    /// Fewer zones than required would remain in service.
     TooFewZones {
-        /// Zones that would be left.
-        left: usize,
-        /// Zones that have to stay.
-        least: usize,
+        /// Number of zones that would remain in service.
+        remaining: usize,
+        /// Number of zones that have to remain in service.
+        required: usize,
     },
-    /// More capacity would be away than may be.
+    /// More capacity than allowed would be out of service.
     TooMuchCapacityRemoved {
-        /// The share that would be.
-        away: f64,
-        /// The share that may be.
-        most: f64,
+        /// Share of the capacity that would be out of service, 0 to 1.
+        removed: f64,
+        /// Largest share that may be out of service, 0 to 1.
+        limit: f64,
     },
-    /// More orders stand than are kept.
+    /// The maximum number of evacuations is active.
     TooManyEvacuations,
-    /// There is nothing to release.
+    /// No evacuation or hold matches the order.
     NothingToRelease,
 }
 
 impl fmt::Display for OrderError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::UnknownZone => f.write_str("there is no such place"),
-            Self::NoReportsYet => f.write_str("nothing is known yet of rooms and demand"),
-            Self::PlanHeld { by } => write!(f, "the plan is held by {by}: release it first"),
+            Self::UnknownZone => f.write_str("the order names no zone or an unknown zone"),
+            Self::NoReportsYet => f.write_str("no reports on capacity and demand have arrived yet"),
+            Self::PlanHeld { by } => write!(f, "the plan is held by {by}: release the hold first"),
             Self::SharedCause(reason) => f.write_str(reason),
-            Self::InsufficientCapacity { asked, rejected, rejected_now, room } => write!(
+            Self::InsufficientCapacity { demand, rejected, rejected_now, capacity } => write!(
                 f,
-                "the rest can't bear it: of {asked:.0} requests a second {rejected:.0} would be refused \
-                 ({rejected_now:.0} are now); the rest has room for {room:.0}"
+                "the remaining zones lack capacity: of {demand:.0} requests per second {rejected:.0} would \
+                 be rejected ({rejected_now:.0} are now); their capacity is {capacity:.0} per second"
             ),
-            Self::TooFewZones { left, least } => {
-                write!(f, "{left} zones would be left in service, and {least} have to stay")
+            Self::TooFewZones { remaining, required } => {
+                write!(f, "{remaining} zones would remain in service, but at least {required} are required")
             }
-            Self::TooMuchCapacityRemoved { away, most } => write!(
+            Self::TooMuchCapacityRemoved { removed, limit } => write!(
                 f,
-                "{:.0} % of the capacity would be away, and no more than {:.0} % may be",
-                away * 100.0,
-                most * 100.0
+                "{:.0} % of the capacity would be out of service, but at most {:.0} % may be",
+                removed * 100.0,
+                limit * 100.0
             ),
-            Self::TooManyEvacuations => f.write_str("more evacuations stand than are kept"),
-            Self::NothingToRelease => f.write_str("there is nothing to release"),
+            Self::TooManyEvacuations => f.write_str("the maximum number of evacuations is active already"),
+            Self::NothingToRelease => f.write_str("there is no evacuation or hold to release"),
         }
     }
 }
--- a/crates/failover/src/plan.rs
+++ b/crates/failover/src/plan.rs
@@ -1,52 +1,51 @@
-//! The plan: shares by rule and source, and when a new one takes the place of the one before.
+//! The planner: computes shares by rule and source zone, and decides when a new plan takes effect.
 
 use crate::assignment;
 use crate::bounds::Bounds;
-use crate::document::{FULL_SHARE, Plan, ROWS_MOST, Row, Share};
-use crate::flow::{Flows, Ground, Split};
-use crate::priorities::{PriorityLists, Zones, each};
+use crate::document::{FULL_SHARE, MAX_ROWS, Plan, Row, Share};
+use crate::flow::{FlowProblem, Flows, ZoneRates};
+use crate::priorities::{PriorityLists, ZoneSet, zones_in};
 use maplehook_locality::Zone;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The time over which the gain that is asked of a new plan falls.
-const SETTLES: Duration = Duration::from_secs(30);
-/// Part of the stated gain that it never falls under.
-const LEAST_GAIN: f64 = 0.1;
+/// Time over which the gain required of a new plan decreases.
+const GAIN_DECAY_TIME: Duration = Duration::from_secs(30);
+/// Factor on the configured gain at which the decrease ends.
+const MIN_GAIN_FACTOR: f64 = 0.1;
+/// Weight of the number of balancers, relative to their demand, in sharing spare capacity.
+const COUNT_WEIGHT: f64 = 0.1;
 
-/// Weight of the number of balancers beside that of what is asked of them, in what is lent.
-const BY_HEADS: f64 = 0.1;
-
-/// What the planner is told.
+/// Input of the planner.
 #[derive(Clone, Debug)]
-pub struct Setting<'a> {
-    /// Rules and places.
+pub struct PlannerInput<'a> {
+    /// Priority lists of all rules and source zones.
     pub priorities: &'a PriorityLists,
-    /// What each zone can be given.
-    pub room: &'a [f64],
-    /// What each zone that is ill can be given when nothing else is left.
-    pub last: &'a [f64],
-    /// What each zone lists.
+    /// Capacity of each zone, in requests per second.
+    pub capacity: &'a [f64],
+    /// Additional capacity of unhealthy zones, used when nothing else is left, in requests per second.
+    pub fallback: &'a [f64],
+    /// Listed capacity of each zone, in requests per second.
     pub listed: &'a [f64],
-    /// Zones that are reached, by the zone that reaches them.
-    pub reach: &'a [Zones],
-    /// Zones that are not simply serving.
-    pub troubled: Zones,
-    /// How many balancers each zone has.
-    pub crews: &'a [usize],
-    /// What is asked for: all zones of the first rule, of the second, and so on, as [`by_rule`] has it.
+    /// Set of reachable zones, by source zone.
+    pub reach: &'a [ZoneSet],
+    /// Zones that are not fully in service.
+    pub impaired: ZoneSet,
+    /// Number of balancers in each zone.
+    pub balancer_counts: &'a [usize],
+    /// Demand in requests per second as a table of rules and source zones, built by [`demand_table`].
     pub demand: &'a [f64],
 }
 
-impl Setting<'_> {
+impl PlannerInput<'_> {
     fn rate(&self, rule: u16, from: Zone) -> f64 {
-        let at = usize::from(rule) * self.room.len() + usize::from(from.0);
-        self.demand.get(at).copied().unwrap_or(0.0)
+        let index = usize::from(rule) * self.capacity.len() + usize::from(from.0);
+        self.demand.get(index).copied().unwrap_or(0.0)
     }
 }
 
-/// What is asked for by rule and source, as a table.
-pub fn by_rule(demand: &BTreeMap<(u16, Zone), f64>, zones: usize) -> Vec<f64> {
+/// Builds a table of demand with one row per rule and one column per source zone.
+pub fn demand_table(demand: &BTreeMap<(u16, Zone), f64>, zones: usize) -> Vec<f64> {
     let rules = demand.keys().map(|(rule, _)| usize::from(*rule) + 1).max().unwrap_or(0);
     let mut table = vec![0.0; rules * zones];
     for ((rule, from), rate) in demand.iter().filter(|((_, from), _)| usize::from(from.0) < zones) {
@@ -55,334 +54,342 @@
     table
 }
 
-/// Whether the next step is open for want of room.
+/// Spillover state of one priority list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Gate {
-    open: bool,
+struct SpilloverState {
+    spill_open: bool,
     since: Option<Duration>,
 }
 
-/// What the planner keeps between two plans.
+/// State that the planner carries from one plan to the next.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Planner {
-    gates: Vec<Gate>,
-    /// Share of all traffic that may be moved now.
-    may_move: f64,
-    at: Duration,
-    /// When rows changed last.
-    changed: Duration,
+    spillover: Vec<SpilloverState>,
+    /// Share of all traffic that may be moved now, 0 to 1.
+    move_budget: f64,
+    updated_at: Duration,
+    rows_changed_at: Duration,
 }
 
 impl Planner {
-    /// Begins; whoever goes on from another's plan has to wait until it may move anything.
-    pub fn new(now: Duration, may_move: f64) -> Self {
-        Self { gates: Vec::new(), may_move, at: now, changed: now }
+    /// Creates the planner. With a `move_budget` of 0, it waits before it moves traffic of an earlier plan.
+    pub fn new(now: Duration, move_budget: f64) -> Self {
+        Self { spillover: Vec::new(), move_budget, updated_at: now, rows_changed_at: now }
     }
 
-    /// The plan that takes the place of this one, if one does. `fresh_spare`: also for no more than a larger spare.
+    /// Returns a plan to replace `current`, if needed; with `refresh_spare`, also for more spare capacity.
     pub fn plan(
         &mut self,
         now: Duration,
-        setting: &Setting<'_>,
-        before: &Plan,
-        fresh_spare: bool,
+        input: &PlannerInput<'_>,
+        current: &Plan,
+        refresh_spare: bool,
         bounds: &Bounds,
     ) -> Option<Plan> {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.may_move = (self.may_move + bounds.max_moved_per_s * passed).min(bounds.max_moved_per_s);
-        self.at = self.at.max(now);
-        let asked = asked(setting);
-        self.turn_gates(now, setting, &asked);
-        let open: Vec<bool> = self.gates.iter().map(|gate| gate.open).collect();
-        let Setting { priorities, room, last, reach, .. } = *setting;
-        let ground = Ground { priorities, room, last, reach, open: &open, asked: &asked };
-        let mut flows = assignment::best(&ground);
-        let old_flows = flows_of(before, setting, &asked);
-        let mut plan = before.clone();
-        // A gain that is small is waited for, and taken in the end.
-        let waited = now.saturating_sub(self.changed).as_secs_f64() / SETTLES.as_secs_f64();
-        let gain = bounds.gain * (1.0 - waited).max(LEAST_GAIN);
-        if is_better(&ground, &flows, &old_flows, gain) {
-            let total: f64 = asked.iter().sum();
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.move_budget = (self.move_budget + bounds.max_moved_per_s * elapsed).min(bounds.max_moved_per_s);
+        self.updated_at = self.updated_at.max(now);
+        let demand = demand_by_list(input);
+        self.update_spillover(now, input, &demand);
+        let open: Vec<bool> = self.spillover.iter().map(|state| state.spill_open).collect();
+        let PlannerInput { priorities, capacity, fallback, reach, .. } = *input;
+        let problem =
+            FlowProblem { priorities, capacity, fallback, reach, spill_open: &open, demand: &demand };
+        let mut flows = assignment::assign_waterfall(&problem);
+        let old_flows = flows_from_plan(current, input, &demand);
+        let mut plan = current.clone();
+        // A small gain is accepted after a while.
+        let decay = now.saturating_sub(self.rows_changed_at).as_secs_f64() / GAIN_DECAY_TIME.as_secs_f64();
+        let gain = bounds.min_gain * (1.0 - decay).max(MIN_GAIN_FACTOR);
+        if is_better(&problem, &flows, &old_flows, gain) {
+            let total: f64 = demand.iter().sum();
             let moved = moved(&flows, &old_flows) / total.max(1e-12);
-            let part = if moved > self.may_move { self.may_move / moved } else { 1.0 };
-            self.may_move = (self.may_move - moved * part).max(0.0);
-            if part < 1.0 {
-                flows = between(&old_flows, &flows, part);
-                assignment::undo(&ground, &mut flows);
+            let fraction = if moved > self.move_budget { self.move_budget / moved } else { 1.0 };
+            self.move_budget = (self.move_budget - moved * fraction).max(0.0);
+            if fraction < 1.0 {
+                flows = interpolate(&old_flows, &flows, fraction);
+                assignment::remove_opposite_flows(&problem, &mut flows);
             }
-            plan.rows = rows(setting, &flows, &asked);
+            plan.rows = build_rows(input, &flows, &demand);
         } else {
             flows = old_flows;
         }
-        let changed = plan.rows != before.rows;
-        let zones = room.len();
-        let lends = Plan { spare: spare(&ground, &flows, setting, bounds), ..Plan::default() };
-        // Part 0: more may be lent than there is by now; part 2: more balancers share in it.
-        let free = |zone: usize| (room[zone] - flows.load[zone]).max(0.0) as f32;
-        let over = |(zone, lent): (usize, &f32)| *lent > free(zone) * 1.001 + 0.001;
-        let pairs = |part: usize| before.spare_part(part, zones).iter().zip(lends.spare_part(part, zones));
-        let over = before.spare_part(0, zones).iter().enumerate().any(over)
-            || pairs(2).any(|(before, crew)| crew > before);
-        let less = pairs(0).chain(pairs(1)).any(|(before, lent)| *before < lent * 0.7);
+        let changed = plan.rows != current.rows;
+        let zones = capacity.len();
+        let lending = Plan { spare: spare(&problem, &flows, input, bounds), ..Plan::default() };
+        // Outdated: the plan lends more than is free (section 0), or more balancers share it (section 2).
+        let free_capacity = |zone: usize| (capacity[zone] - flows.load[zone]).max(0.0) as f32;
+        let is_over = |(zone, lendable): (usize, &f32)| *lendable > free_capacity(zone) * 1.001 + 0.001;
+        let pairs = |n: usize| current.spare_section(n, zones).iter().zip(lending.spare_section(n, zones));
+        let is_over = current.spare_section(0, zones).iter().enumerate().any(is_over)
+            || pairs(2).any(|(current, balancers)| balancers > current);
+        let grown = pairs(0).chain(pairs(1)).any(|(current, lendable)| *current < lendable * 0.7);
         if changed {
-            self.changed = self.changed.max(now);
+            self.rows_changed_at = self.rows_changed_at.max(now);
         }
-        if changed || over || before.spare.len() != lends.spare.len() || fresh_spare && less {
-            plan.spare = lends.spare;
-            plan.epoch = before.epoch.saturating_add(1);
+        if changed || is_over || current.spare.len() != lending.spare.len() || refresh_spare && grown {
+            plan.spare = lending.spare;
+            plan.epoch = current.epoch.saturating_add(1);
             return Some(plan);
         }
         None
     }
 
-    /// Opens and closes the step after the first, with the times that the rules state.
-    fn turn_gates(&mut self, now: Duration, setting: &Setting<'_>, asked: &[f64]) {
-        let lists = &setting.priorities.lists;
-        self.gates.resize(lists.len(), Gate::default());
-        let zones = setting.room.len();
-        let first = |n: usize| {
-            lists[n].steps.first().map_or(0, |step| step & setting.reach[usize::from(lists[n].from.0)])
+    /// Opens and closes spillover from the first step, with the delays that the rules state.
+    fn update_spillover(&mut self, now: Duration, input: &PlannerInput<'_>, demand: &[f64]) {
+        let lists = &input.priorities.lists;
+        self.spillover.resize(lists.len(), SpilloverState::default());
+        let zones = input.capacity.len();
+        let first_step = |n: usize| {
+            lists[n].steps.first().map_or(0, |step| step & input.reach[usize::from(lists[n].from.0)])
         };
-        let mut pressure = vec![0.0; zones];
-        for (n, asked) in asked.iter().enumerate() {
-            let step = first(n);
-            let room: f64 = each(step).map(|zone| setting.room[zone]).sum();
-            each(step).filter(|_| room > 0.0).for_each(|z| pressure[z] += asked * setting.room[z] / room);
+        let mut loads = vec![0.0; zones];
+        for (n, rate) in demand.iter().enumerate() {
+            let step = first_step(n);
+            let total: f64 = zones_in(step).map(|zone| input.capacity[zone]).sum();
+            zones_in(step).filter(|_| total > 0.0).for_each(|z| loads[z] += rate * input.capacity[z] / total);
         }
-        for (n, gate) in self.gates.iter_mut().enumerate() {
-            let (shape, step) = (&lists[n], first(n));
-            let sum = |of: &[f64], zones: Zones| each(zones).map(|zone| of[zone]).sum::<f64>();
-            let room = sum(setting.room, step);
-            let load = if room > 0.0 { sum(&pressure, step) / room } else { f64::INFINITY };
-            let listed = sum(setting.listed, shape.steps.first().copied().unwrap_or(0));
-            if room < shape.usable_least * listed {
-                *gate = Gate { open: true, since: None };
+        for (n, state) in self.spillover.iter_mut().enumerate() {
+            let (list, step) = (&lists[n], first_step(n));
+            let sum = |of: &[f64], zones: ZoneSet| zones_in(zones).map(|zone| of[zone]).sum::<f64>();
+            let capacity = sum(input.capacity, step);
+            let load = if capacity > 0.0 { sum(&loads, step) / capacity } else { f64::INFINITY };
+            let listed = sum(input.listed, list.steps.first().copied().unwrap_or(0));
+            if capacity < list.min_usable_share * listed {
+                *state = SpilloverState { spill_open: true, since: None };
                 continue;
             }
-            let (over, time) = if gate.open {
-                (load < shape.back.min(shape.over), shape.back_for)
+            let (toggles, delay) = if state.spill_open {
+                (load < list.return_load.min(list.spill_load), list.return_after_s)
             } else {
-                (load > shape.over, shape.over_for)
+                (load > list.spill_load, list.spill_after_s)
             };
-            if !over {
-                gate.since = None;
-            } else if now.saturating_sub(*gate.since.get_or_insert(now)).as_secs_f64() >= time {
-                *gate = Gate { open: !gate.open, since: None };
+            if !toggles {
+                state.since = None;
+            } else if now.saturating_sub(*state.since.get_or_insert(now)).as_secs_f64() >= delay {
+                *state = SpilloverState { spill_open: !state.spill_open, since: None };
             }
         }
     }
 }
 
-/// What is asked for by shape. Who asks for nothing and would be sent into trouble is planned for with next to nothing.
-fn asked(setting: &Setting<'_>) -> Vec<f64> {
-    let lists = &setting.priorities.lists;
-    let mut asked = vec![0.0; lists.len()];
-    for (rule, from, n) in setting.priorities.all() {
-        asked[n] += setting.rate(rule, from);
+/// Returns the demand by list; at least a little if the first step is impaired, so that the list is planned.
+fn demand_by_list(input: &PlannerInput<'_>) -> Vec<f64> {
+    let lists = &input.priorities.lists;
+    let mut demand = vec![0.0; lists.len()];
+    for (rule, from, n) in input.priorities.entries() {
+        demand[n] += input.rate(rule, from);
     }
-    let little = 1e-6 * (1.0 + asked.iter().sum::<f64>());
-    for (asked, shape) in asked.iter_mut().zip(lists) {
-        if is_troubled(setting, shape.from, shape.steps.first()) {
-            *asked = asked.max(little);
+    let negligible = 1e-6 * (1.0 + demand.iter().sum::<f64>());
+    for (demand, list) in demand.iter_mut().zip(lists) {
+        if is_impaired(input, list.from, list.steps.first()) {
+            *demand = demand.max(negligible);
         }
     }
-    asked
+    demand
 }
 
-fn is_troubled(setting: &Setting<'_>, from: Zone, first: Option<&Zones>) -> bool {
-    let reach = setting.reach[usize::from(from.0)];
-    first.is_none_or(|step| step & (setting.troubled | !reach) != 0)
+fn is_impaired(input: &PlannerInput<'_>, from: Zone, first_step: Option<&ZoneSet>) -> bool {
+    let reach = input.reach[usize::from(from.0)];
+    first_step.is_none_or(|step| step & (input.impaired | !reach) != 0)
 }
 
-/// What a plan comes to. Who has no row is in the first step, by its rooms; rules of one shape count as their mean.
-fn flows_of(plan: &Plan, setting: &Setting<'_>, asked: &[f64]) -> Flows {
-    let zones = setting.room.len();
-    let lists = &setting.priorities.lists;
-    let rate = |rule: u16, from: Zone| setting.rate(rule, from) + 1e-9;
-    let mut plain = vec![0.0; lists.len()];
-    let mut all = vec![0.0; lists.len()];
-    for (n, weight) in setting.priorities.all().map(|(rule, from, n)| (n, rate(rule, from))) {
-        plain[n] += weight;
-        all[n] += weight;
+/// Returns the flows of a plan. A rule and zone without a row use their first step by capacity; rules with
+/// the same list are averaged.
+fn flows_from_plan(plan: &Plan, input: &PlannerInput<'_>, demand: &[f64]) -> Flows {
+    let zones = input.capacity.len();
+    let lists = &input.priorities.lists;
+    let rate = |rule: u16, from: Zone| input.rate(rule, from) + 1e-9;
+    let mut default_weight = vec![0.0; lists.len()];
+    let mut total_weight = vec![0.0; lists.len()];
+    for (n, weight) in input.priorities.entries().map(|(rule, from, n)| (n, rate(rule, from))) {
+        default_weight[n] += weight;
+        total_weight[n] += weight;
     }
-    let mut flows = Flows::none(asked, zones);
-    let mut send = |n: usize, zone: usize, part: f64| {
-        if part > 0.0 {
-            flows.add(n, zone, part * asked[n]);
-            flows.left[n] = (flows.left[n] - part * asked[n]).max(0.0);
+    let mut flows = Flows::unassigned(demand, zones);
+    let mut send = |n: usize, zone: usize, fraction: f64| {
+        if fraction > 0.0 {
+            flows.add(n, zone, fraction * demand[n]);
+            flows.unserved[n] = (flows.unserved[n] - fraction * demand[n]).max(0.0);
         }
     };
     for row in &plan.rows {
-        let Some(n) = setting.priorities.list_index(row.rule, row.from) else { continue };
+        let Some(n) = input.priorities.list_index(row.rule, row.from) else { continue };
         let weight = rate(row.rule, row.from);
-        plain[n] -= weight;
+        default_weight[n] -= weight;
         for share in row.to.iter().filter(|share| usize::from(share.zone.0) < zones) {
-            let part = f64::from(share.part) / f64::from(FULL_SHARE);
-            send(n, usize::from(share.zone.0), part * weight / all[n]);
+            let fraction = f64::from(share.part) / f64::from(FULL_SHARE);
+            send(n, usize::from(share.zone.0), fraction * weight / total_weight[n]);
         }
     }
-    for (n, shape) in lists.iter().enumerate().filter(|(n, _)| plain[*n] > 1e-12) {
-        let step = shape.steps.first().copied().unwrap_or(0);
-        let room: f64 = each(step).map(|zone| setting.room[zone]).sum();
+    for (n, list) in lists.iter().enumerate().filter(|(n, _)| default_weight[*n] > 1e-12) {
+        let step = list.steps.first().copied().unwrap_or(0);
+        let capacity: f64 = zones_in(step).map(|zone| input.capacity[zone]).sum();
         let even = 1.0 / f64::from(step.count_ones().max(1));
-        for zone in each(step) {
-            let part = if room > 0.0 { setting.room[zone] / room } else { even };
-            send(n, zone, part * plain[n] / all[n]);
+        for zone in zones_in(step) {
+            let fraction = if capacity > 0.0 { input.capacity[zone] / capacity } else { even };
+            send(n, zone, fraction * default_weight[n] / total_weight[n]);
         }
     }
     flows
 }
 
-/// What is sent elsewhere than before.
+/// Returns the total rate that goes to another zone than before.
 fn moved(new: &Flows, old: &Flows) -> f64 {
-    let more = |(n, to): (usize, &Split)| {
+    let increase = |(n, to): (usize, &ZoneRates)| {
         to.iter().map(|(zone, sent)| (sent - old.sent(n, zone)).max(0.0)).sum::<f64>()
     };
-    new.to.iter().enumerate().map(more).sum()
+    new.to.iter().enumerate().map(increase).sum()
 }
 
-/// A part of the way from one to the other.
-fn between(old: &Flows, new: &Flows, part: f64) -> Flows {
-    let mut flows =
-        Flows { to: vec![Split::default(); old.to.len()], left: Vec::new(), load: vec![0.0; old.load.len()] };
-    for (of, part) in [(old, 1.0 - part), (new, part)] {
+/// Interpolates linearly between two assignments; `t` is the weight of the new one, 0 to 1.
+fn interpolate(old: &Flows, new: &Flows, t: f64) -> Flows {
+    let mut flows = Flows {
+        to: vec![ZoneRates::default(); old.to.len()],
+        unserved: Vec::new(),
+        load: vec![0.0; old.load.len()],
+    };
+    for (of, t) in [(old, 1.0 - t), (new, t)] {
         for (n, to) in of.to.iter().enumerate() {
-            to.iter().for_each(|(zone, sent)| flows.add(n, zone, sent * part));
+            to.iter().for_each(|(zone, sent)| flows.add(n, zone, sent * t));
         }
     }
-    flows.left = old.left.iter().zip(&new.left).map(|(old, new)| old * (1.0 - part) + new * part).collect();
+    flows.unserved = old.unserved.iter().zip(&new.unserved).map(|(a, b)| a * (1.0 - t) + b * t).collect();
     flows
 }
 
-/// Whether a plan gains enough over the one before, or that one sends where nothing can be or more than there is room for.
-fn is_better(ground: &Ground<'_>, new: &Flows, old: &Flows, gain: f64) -> bool {
-    let total: f64 = ground.asked.iter().sum();
-    let (served, near) = worth(ground, new);
-    let (served_old, near_old) = worth(ground, old);
-    // Who is refused without need counts for more than who is sent far.
+/// Returns true if the new assignment gains enough, or the old one uses unavailable or overloaded zones.
+fn is_better(problem: &FlowProblem<'_>, new: &Flows, old: &Flows, gain: f64) -> bool {
+    let total: f64 = problem.demand.iter().sum();
+    let (served, near) = served_rates(problem, new);
+    let (served_old, near_old) = served_rates(problem, old);
+    // Requests rejected without need count more than requests sent far.
     if served - served_old > gain * 0.25 * total || near - near_old > gain * total {
         return true;
     }
-    let nothing = ground.nothing();
-    let over = |zone: usize, flows: &Flows| flows.load[zone] > ground.cap(zone) * (1.0 + gain) + nothing;
-    if (0..new.load.len()).any(|zone| over(zone, old) && old.load[zone] > new.load[zone] + nothing) {
+    let epsilon = problem.epsilon();
+    let is_over =
+        |z: usize, flows: &Flows| flows.load[z] > problem.total_capacity(z) * (1.0 + gain) + epsilon;
+    if (0..new.load.len()).any(|zone| is_over(zone, old) && old.load[zone] > new.load[zone] + epsilon) {
         return true;
     }
-    // Over what a rule would have no more of in a zone, while its next step is open.
-    let mut limits: Vec<f64> = ground.room.to_vec();
-    for (n, to) in old.to.iter().enumerate().filter(|(n, _)| ground.open[*n]) {
-        for (zone, _) in to.iter().filter(|(_, sent)| *sent > nothing) {
-            limits[zone] = limits[zone].min(ground.priorities.lists[n].over * ground.room[zone]);
+    // Load above the thresholds at which the rules spill over, while spillover is open.
+    let mut limits: Vec<f64> = problem.capacity.to_vec();
+    for (n, to) in old.to.iter().enumerate().filter(|(n, _)| problem.spill_open[*n]) {
+        for (zone, _) in to.iter().filter(|(_, sent)| *sent > epsilon) {
+            limits[zone] = limits[zone].min(problem.priorities.lists[n].spill_load * problem.capacity[zone]);
         }
     }
-    let relieved =
-        |zone: usize| old.load[zone] - new.load[zone].max(limits[zone]) > gain * ground.room[zone] + nothing;
-    if (0..new.load.len()).any(relieved) {
+    let is_relieved =
+        |z: usize| old.load[z] - new.load[z].max(limits[z]) > gain * problem.capacity[z] + epsilon;
+    if (0..new.load.len()).any(is_relieved) {
         return true;
     }
-    // Into what is closed, and would not be any more.
-    let closed = |n: usize, zone: usize| {
-        let shape = &ground.priorities.lists[n];
-        ground.cap(zone) <= 0.0 || ground.usable(shape) >> zone & 1 == 0
+    // Traffic to unavailable zones that the new assignment avoids.
+    let is_closed = |n: usize, zone: usize| {
+        let list = &problem.priorities.lists[n];
+        problem.total_capacity(zone) <= 0.0 || problem.usable(list) >> zone & 1 == 0
     };
     old.to.iter().enumerate().any(|(n, to)| {
-        to.iter().any(|(zone, sent)| sent > nothing && closed(n, zone) && new.sent(n, zone) < sent * 0.5)
+        to.iter().any(|(zone, sent)| sent > epsilon && is_closed(n, zone) && new.sent(n, zone) < sent * 0.5)
     })
 }
 
-/// What is served of a split as rooms are, and what of it in the first step.
-fn worth(ground: &Ground<'_>, flows: &Flows) -> (f64, f64) {
-    let part: Vec<f64> = (0..flows.load.len())
+/// Returns the rate that an assignment serves within the capacities, and the part of it in first steps.
+fn served_rates(problem: &FlowProblem<'_>, flows: &Flows) -> (f64, f64) {
+    let fraction: Vec<f64> = (0..flows.load.len())
         .map(|zone| {
-            let (load, cap) = (flows.load[zone], ground.cap(zone));
-            if load > cap { cap / load } else { 1.0 }
+            let (load, capacity) = (flows.load[zone], problem.total_capacity(zone));
+            if load > capacity { capacity / load } else { 1.0 }
         })
         .collect();
     let (mut served, mut near) = (0.0, 0.0);
     for (n, to) in flows.to.iter().enumerate() {
-        let shape = &ground.priorities.lists[n];
-        let usable = ground.usable(shape);
+        let list = &problem.priorities.lists[n];
+        let usable = problem.usable(list);
         for (zone, sent) in to.iter().filter(|(zone, _)| usable >> zone & 1 == 1) {
-            served += sent * part[zone];
-            if shape.steps[0] >> zone & 1 == 1 {
-                near += sent * part[zone];
+            served += sent * fraction[zone];
+            if list.steps[0] >> zone & 1 == 1 {
+                near += sent * fraction[zone];
             }
         }
     }
     (served, near)
 }
 
-/// What may be lent beside the plan: a part of what is free, of zones that are given all of their room; weights, by what comes into
-/// a zone and a little by how many balancers it has, so that whoever was asked for nothing is not left with nothing; and these.
-fn spare(ground: &Ground<'_>, flows: &Flows, setting: &Setting<'_>, bounds: &Bounds) -> Vec<f32> {
-    let zones = ground.room.len();
-    let lent =
-        |zone: usize| ((ground.room[zone] - flows.load[zone]) * bounds.spare.clamp(0.0, 1.0)).max(0.0) as f32;
-    let crew = |zone: usize| setting.crews.get(zone).copied().unwrap_or(0) as f64;
-    let mut comes = vec![0.0; zones];
-    for (shape, asked) in ground.priorities.lists.iter().zip(ground.asked) {
-        comes[usize::from(shape.from.0)] += asked;
+/// Computes [`Plan::spare`]: a share of each zone's free capacity; weights by arriving demand and slightly by
+/// number of balancers, so that balancers without demand get some; and these numbers.
+fn spare(problem: &FlowProblem<'_>, flows: &Flows, input: &PlannerInput<'_>, bounds: &Bounds) -> Vec<f32> {
+    let zones = problem.capacity.len();
+    let free = |z: usize| {
+        ((problem.capacity[z] - flows.load[z]) * bounds.spare_share.clamp(0.0, 1.0)).max(0.0) as f32
+    };
+    let count = |zone: usize| input.balancer_counts.get(zone).copied().unwrap_or(0) as f64;
+    let mut arriving = vec![0.0; zones];
+    for (list, demand) in problem.priorities.lists.iter().zip(problem.demand) {
+        arriving[usize::from(list.from.0)] += demand;
     }
-    let (asked, crews): (f64, f64) = (comes.iter().sum(), (0..zones).map(crew).sum());
-    let part = |of: f64, all: f64| if all > 0.0 { of / all } else { 0.0 };
+    let (demand, all): (f64, f64) = (arriving.iter().sum(), (0..zones).map(count).sum());
+    let fraction = |of: f64, total: f64| if total > 0.0 { of / total } else { 0.0 };
     let weight = |zone: usize| {
-        let heads = part(crew(zone), crews);
-        if heads > 0.0 { (part(comes[zone], asked) + BY_HEADS * heads) as f32 } else { 0.0 }
+        let share = fraction(count(zone), all);
+        if share > 0.0 { (fraction(arriving[zone], demand) + COUNT_WEIGHT * share) as f32 } else { 0.0 }
     };
-    (0..zones).map(lent).chain((0..zones).map(weight)).chain((0..zones).map(|z| crew(z) as f32)).collect()
+    (0..zones).map(free).chain((0..zones).map(weight)).chain((0..zones).map(|z| count(z) as f32)).collect()
 }
 
-/// Rows of what does not simply keep to its first step.
-fn rows(setting: &Setting<'_>, flows: &Flows, asked: &[f64]) -> Vec<Row> {
-    let lists = &setting.priorities.lists;
-    let differs = |n: usize| {
-        let (shape, little) = (&lists[n], asked[n] * 1e-6);
-        let first = shape.steps.first().copied().unwrap_or(0);
-        let near = |(zone, sent): (usize, f64)| sent <= little || first >> zone & 1 == 1;
-        let plain = flows.left[n] <= little && flows.to[n].iter().all(near);
-        asked[n] > 0.0 && (!plain || is_troubled(setting, shape.from, shape.steps.first()))
+/// Builds the rows of lists whose flows differ from their first step.
+fn build_rows(input: &PlannerInput<'_>, flows: &Flows, demand: &[f64]) -> Vec<Row> {
+    let lists = &input.priorities.lists;
+    let needs_row = |n: usize| {
+        let (list, negligible) = (&lists[n], demand[n] * 1e-6);
+        let first_step = list.steps.first().copied().unwrap_or(0);
+        let is_near = |(zone, sent): (usize, f64)| sent <= negligible || first_step >> zone & 1 == 1;
+        let uses_first_step = flows.unserved[n] <= negligible && flows.to[n].iter().all(is_near);
+        demand[n] > 0.0 && (!uses_first_step || is_impaired(input, list.from, list.steps.first()))
     };
-    let differs: Vec<bool> = (0..lists.len()).map(differs).collect();
-    // Those with most of the requests, where there are too many.
-    let mut chosen: Vec<(f64, u16, Zone, usize)> = Vec::new();
-    for (rule, from, n) in setting.priorities.all().filter(|(.., n)| differs[*n]) {
-        let rate = setting.rate(rule, from);
-        if rate > 0.0 || is_troubled(setting, from, lists[n].steps.first()) {
-            chosen.push((rate, rule, from, n));
+    let needs_row: Vec<bool> = (0..lists.len()).map(needs_row).collect();
+    // If there are too many rows, those with the most requests are kept.
+    let mut candidates: Vec<(f64, u16, Zone, usize)> = Vec::new();
+    for (rule, from, n) in input.priorities.entries().filter(|(.., n)| needs_row[*n]) {
+        let rate = input.rate(rule, from);
+        if rate > 0.0 || is_impaired(input, from, lists[n].steps.first()) {
+            candidates.push((rate, rule, from, n));
         }
     }
-    if chosen.len() > ROWS_MOST {
-        chosen.select_nth_unstable_by(ROWS_MOST, |a, b| {
+    if candidates.len() > MAX_ROWS {
+        candidates.select_nth_unstable_by(MAX_ROWS, |a, b| {
             b.0.total_cmp(&a.0).then_with(|| (a.1, a.2).cmp(&(b.1, b.2)))
         });
-        chosen.truncate(ROWS_MOST);
-        chosen.sort_unstable_by_key(|(_, rule, from, _)| (*rule, *from));
+        candidates.truncate(MAX_ROWS);
+        candidates.sort_unstable_by_key(|(_, rule, from, _)| (*rule, *from));
     }
-    let mut known: Vec<Option<Vec<Share>>> = vec![None; lists.len()];
-    let mut row = |(_, rule, from, n): (f64, u16, Zone, usize)| {
-        let to = known[n].get_or_insert_with(|| parts(&flows.to[n], flows.left[n], asked[n])).clone();
+    let mut shares: Vec<Option<Vec<Share>>> = vec![None; lists.len()];
+    let mut build_row = |(_, rule, from, n): (f64, u16, Zone, usize)| {
+        let to =
+            shares[n].get_or_insert_with(|| to_shares(&flows.to[n], flows.unserved[n], demand[n])).clone();
         Row { rule, from, to }
     };
-    chosen.into_iter().map(&mut row).collect()
+    candidates.into_iter().map(&mut build_row).collect()
 }
 
-/// A split in parts of [`WHOLE`]: rounded down, and if nothing is refused, what that leaves to those that lost most by it.
-fn parts(to: &Split, left: f64, asked: f64) -> Vec<Share> {
-    if asked <= 0.0 {
+/// Converts rates to shares of [`FULL_SHARE`], rounded down. If nothing is rejected, the remainder goes to
+/// the shares that rounding reduced most.
+fn to_shares(to: &ZoneRates, unserved: f64, demand: f64) -> Vec<Share> {
+    if demand <= 0.0 {
         return Vec::new();
     }
-    let whole = f64::from(FULL_SHARE);
-    let exact = |sent: f64| (sent / asked * whole + 1e-6).clamp(0.0, whole);
+    let full_share = f64::from(FULL_SHARE);
+    let exact = |sent: f64| (sent / demand * full_share + 1e-6).clamp(0.0, full_share);
     let mut shares: Vec<(f64, Share)> = to
         .iter()
         .map(|(zone, sent)| {
-            let part = exact(sent).floor();
-            (exact(sent) - part, Share { zone: Zone(zone as u16), part: part as u16 })
+            let fraction = exact(sent).floor();
+            (exact(sent) - fraction, Share { zone: Zone(zone as u16), part: fraction as u16 })
         })
         .collect();
     let sum: u16 = shares.iter().map(|(_, share)| share.part).fold(0, u16::saturating_add);
-    if left <= asked * 1e-6 && !shares.is_empty() {
+    if unserved <= demand * 1e-6 && !shares.is_empty() {
         shares.sort_by(|a, b| b.0.total_cmp(&a.0));
         let count = shares.len();
         (0..usize::from(FULL_SHARE.saturating_sub(sum))).for_each(|n| shares[n % count].1.part += 1);
--- a/crates/failover/src/priorities.rs
+++ b/crates/failover/src/priorities.rs
@@ -1,18 +1,19 @@
-//! Rules as the planner counts: which zones each step leads to, once for all rules and sources that agree in it.
+//! Failover priority lists: the zones of each step of the rules. Rules and source zones with equal lists
+//! share one.
 
 use maplehook_locality::{Rules, Topology, WhenLost, Zone};
 use std::collections::BTreeMap;
 
-/// Zones as bits.
-pub type Zones = u64;
+/// Set of zones, one bit per zone index.
+pub type ZoneSet = u64;
 
-/// A zone as a bit; none for one that can't be.
-pub fn zone_bit(zone: Zone) -> Zones {
+/// Returns the set with one zone; empty for indexes of 64 or more.
+pub fn zone_bit(zone: Zone) -> ZoneSet {
     1u64.checked_shl(u32::from(zone.0)).unwrap_or(0)
 }
 
-/// The zones of a set, in order.
-pub fn each(mut zones: Zones) -> impl Iterator<Item = usize> {
+/// Iterates over the zones of a set in ascending order.
+pub fn zones_in(mut zones: ZoneSet) -> impl Iterator<Item = usize> {
     std::iter::from_fn(move || {
         let next = zones.trailing_zeros() as usize;
         zones &= zones.wrapping_sub(1);
@@ -20,78 +21,79 @@
     })
 }
 
-/// What rules and sources have in common that are planned for as one.
+/// Failover priority list for the requests of one or more rules that arrive in one zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PriorityList {
-    /// Where the requests come in.
+    /// Source zone: the zone in which the requests arrive.
     pub from: Zone,
-    /// Zones of each step, the nearest first; with [`WhenLost::Anywhere`] the last is what no step names.
-    pub steps: Vec<Zones>,
-    /// Steps that are the rule's own; the rest is for when these are lost or full.
-    pub own: usize,
-    /// Load of a step's zones up to which it is filled.
-    pub over: f64,
-    /// Seconds for which it has to be over until the next step opens.
-    pub over_for: f64,
-    /// Load under which the next step closes.
-    pub back: f64,
-    /// Seconds for which it has to be under.
-    pub back_for: f64,
-    /// Part of a step's listed room that has to be usable.
-    pub usable_least: f64,
-    /// Part of the requests that may leave the region.
-    pub beyond_most: f64,
-    /// Zones out of the region.
-    pub beyond: Zones,
+    /// Zones of each step, nearest first. With [`WhenLost::Anywhere`], the last step holds all zones that no
+    /// other step names.
+    pub steps: Vec<ZoneSet>,
+    /// Number of steps that the rule states; any further step is only used if these are lost or full.
+    pub explicit_steps: usize,
+    /// Load of a step above which requests spill over to the next step, 0 to 1.
+    pub spill_load: f64,
+    /// Time in seconds for which the load has to stay above `spill_load`.
+    pub spill_after_s: f64,
+    /// Load below which spillover ends, 0 to 1.
+    pub return_load: f64,
+    /// Time in seconds for which the load has to stay below `return_load`.
+    pub return_after_s: f64,
+    /// Share of a step's listed capacity that has to be usable to prevent spillover, 0 to 1.
+    pub min_usable_share: f64,
+    /// Largest share of the requests that may leave the region, 0 to 1.
+    pub max_remote_share: f64,
+    /// Zones outside the region of the source zone.
+    pub remote_zones: ZoneSet,
 }
 
 impl PriorityList {
-    /// All zones that it may ever be sent to.
-    pub fn allowed(&self) -> Zones {
+    /// Returns all zones of all steps.
+    pub fn allowed_zones(&self) -> ZoneSet {
         self.steps.iter().fold(0, |all, step| all | step)
     }
 
-    /// The step that a zone stands in.
-    pub fn level(&self, zone: usize) -> usize {
+    /// Returns the step of a zone, or the number of steps if no step has it.
+    pub fn step_of(&self, zone: usize) -> usize {
         self.steps.iter().position(|step| step >> zone & 1 == 1).unwrap_or(self.steps.len())
     }
 }
 
-/// All rules and sources, by shape.
+/// Priority lists of all rules and source zones.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PriorityLists {
-    /// The shapes there are.
+    /// Distinct priority lists.
     pub lists: Vec<PriorityList>,
-    /// Position of the shape by rule and then by zone.
-    by_rule: Vec<Vec<usize>>,
-    /// Zones by region.
-    pub regions: Vec<Zones>,
-    /// Region by zone.
+    /// Index into `lists`, by rule and source zone.
+    index_by_rule: Vec<Vec<usize>>,
+    /// Zones of each region.
+    pub regions: Vec<ZoneSet>,
+    /// Region index of each zone.
     pub region_of: Vec<usize>,
 }
 
 impl PriorityLists {
-    /// Of a topology and its rules.
+    /// Builds the priority lists of a topology and its rules.
     pub fn new(topology: &Topology, rules: &Rules) -> Self {
         let set = |zones: &[Zone]| zones.iter().fold(0, |all, zone| all | zone_bit(*zone));
         let all = topology.zones().fold(0, |all, zone| all | zone_bit(zone));
-        let regions: Vec<Zones> = topology.regions().map(|region| set(topology.zones_of(region))).collect();
+        let regions: Vec<ZoneSet> = topology.regions().map(|region| set(topology.zones_of(region))).collect();
         let region_of = topology.zones().map(|zone| usize::from(topology.region_of(zone).0)).collect();
         let mut priorities = Self { regions, region_of, ..Self::default() };
-        let mut known: BTreeMap<(Zone, Vec<Zones>, usize, [u64; 6]), usize> = BTreeMap::new();
+        let mut index_by_key: BTreeMap<(Zone, Vec<ZoneSet>, usize, [u64; 6]), usize> = BTreeMap::new();
         for rule in rules.all() {
-            let mut of_rule = Vec::new();
+            let mut list_indexes = Vec::new();
             for from in topology.zones() {
-                let mut steps: Vec<Zones> =
+                let mut steps: Vec<ZoneSet> =
                     rule.ladder(topology, from).iter().map(|step| set(step)).collect();
-                let own = steps.len();
-                let named = steps.iter().fold(0, |all, step| all | step);
-                let rest = all & !named & !set(&rule.never);
-                if rule.when_lost == WhenLost::Anywhere && rest != 0 {
-                    steps.push(rest);
+                let explicit_steps = steps.len();
+                let named_zones = steps.iter().fold(0, |all, step| all | step);
+                let other_zones = all & !named_zones & !set(&rule.never);
+                if rule.when_lost == WhenLost::Anywhere && other_zones != 0 {
+                    steps.push(other_zones);
                 }
                 let spill = &rule.spill;
-                let figures = [
+                let parameters = [
                     spill.over.clamp(0.0, 1.0),
                     spill.over_for.as_secs_f64(),
                     spill.back,
@@ -99,49 +101,57 @@
                     rule.usable_least,
                     rule.beyond_region_most.clamp(0.0, 1.0),
                 ];
-                let key = (from, steps, own, figures.map(f64::to_bits));
+                let key = (from, steps, explicit_steps, parameters.map(f64::to_bits));
                 let lists = &mut priorities.lists;
-                let position = *known.entry(key).or_insert_with_key(|(from, steps, own, _)| {
-                    let [over, over_for, back, back_for, usable_least, beyond_most] = figures;
-                    lists.push(PriorityList {
-                        from: *from,
-                        steps: steps.clone(),
-                        own: *own,
-                        over,
-                        over_for,
-                        back,
-                        back_for,
-                        usable_least,
-                        beyond_most,
-                        beyond: all & !set(topology.zones_of(topology.region_of(*from))),
+                let position =
+                    *index_by_key.entry(key).or_insert_with_key(|(from, steps, explicit_steps, _)| {
+                        let [
+                            spill_load,
+                            spill_after_s,
+                            return_load,
+                            return_after_s,
+                            min_usable_share,
+                            max_remote_share,
+                        ] = parameters;
+                        lists.push(PriorityList {
+                            from: *from,
+                            steps: steps.clone(),
+                            explicit_steps: *explicit_steps,
+                            spill_load,
+                            spill_after_s,
+                            return_load,
+                            return_after_s,
+                            min_usable_share,
+                            max_remote_share,
+                            remote_zones: all & !set(topology.zones_of(topology.region_of(*from))),
+                        });
+                        lists.len() - 1
                     });
-                    lists.len() - 1
-                });
-                of_rule.push(position);
+                list_indexes.push(position);
             }
-            priorities.by_rule.push(of_rule);
+            priorities.index_by_rule.push(list_indexes);
         }
         priorities
     }
 
-    /// The position of the shape of a rule and a source.
+    /// Returns the index of the list for a rule and a source zone.
     pub fn list_index(&self, rule: u16, from: Zone) -> Option<usize> {
-        self.by_rule.get(usize::from(rule))?.get(usize::from(from.0)).copied()
+        self.index_by_rule.get(usize::from(rule))?.get(usize::from(from.0)).copied()
     }
 
-    /// Zones of the first steps of all rules, for requests of a zone.
-    pub fn firsts(&self, from: Zone) -> Zones {
-        let lists = self.by_rule.iter().filter_map(|of| of.get(usize::from(from.0)));
-        let firsts = lists.filter_map(|shape| self.lists[*shape].steps.first());
-        firsts.fold(0, |all, step| all | step)
+    /// Returns the zones of the first steps of all rules for a source zone.
+    pub fn first_steps(&self, from: Zone) -> ZoneSet {
+        let lists = self.index_by_rule.iter().filter_map(|indexes| indexes.get(usize::from(from.0)));
+        let first_steps = lists.filter_map(|index| self.lists[*index].steps.first());
+        first_steps.fold(0, |all, step| all | step)
     }
 
-    /// All rules and sources, each with the position of its shape.
-    pub fn all<'a>(&'a self) -> impl Iterator<Item = (u16, Zone, usize)> + 'a {
-        let of_rule = |(rule, of): (usize, &'a Vec<usize>)| {
-            let zone = move |(from, shape): (usize, &usize)| (rule as u16, Zone(from as u16), *shape);
-            of.iter().enumerate().map(zone)
+    /// Iterates over all rules and source zones with the index of their list.
+    pub fn entries<'a>(&'a self) -> impl Iterator<Item = (u16, Zone, usize)> + 'a {
+        let list_indexes = |(rule, indexes): (usize, &'a Vec<usize>)| {
+            let zone = move |(from, index): (usize, &usize)| (rule as u16, Zone(from as u16), *index);
+            indexes.iter().enumerate().map(zone)
         };
-        self.by_rule.iter().enumerate().flat_map(of_rule)
+        self.index_by_rule.iter().enumerate().flat_map(list_indexes)
     }
 }
--- a/crates/failover/src/report.rs
+++ b/crates/failover/src/report.rs
@@ -1,108 +1,109 @@
-//! What one balancer says of zones as seen from its own: by zone, not by upstream, and bounded.
+//! The report of one balancer on all zones: aggregated by zone rather than by upstream, and of bounded size.
 //!
-//! All rates are a second, over the last [`OVER`]. Rooms are requests a second where the operator has stated them for the upstreams,
-//! else sums of upstreams' weights.
+//! All rates are per second, averaged over the last [`RATE_WINDOW`]. Capacities are in requests per second if
+//! the operator stated them for the upstreams, otherwise sums of upstream weights.
 
 use maplehook_locality::Zone;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Bytes of a report at the most, encoded.
-pub const BYTES_MOST: usize = 2048;
-/// The time over which rates are counted.
+/// Maximum size of an encoded report, in bytes.
+pub const MAX_BYTES: usize = 2048;
+/// Time over which rates are averaged.
 pub const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// A zone as a balancer sees it.
+/// Observation of one zone by one balancer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZoneObservation {
-    /// Which.
+    /// Observed zone.
     pub zone: Zone,
-    /// Whether rooms are requests a second; else they are weights.
+    /// Set if capacities are in requests per second; otherwise they are weights.
     pub stated: bool,
-    /// What the zone's listed upstreams could take if all were well and warm.
+    /// Capacity of all listed upstreams, if all were healthy and past slow start.
     pub listed: f32,
-    /// What those can take now that can be used: ready, not ejected, and as warm as they are.
+    /// Capacity of the usable upstreams: those that are ready and not ejected, scaled down during slow start.
     pub usable: f32,
-    /// Part of `listed` that is missing since upstreams are cold.
+    /// Part of `listed` that is missing because of slow start.
     #[serde(rename = "cold")]
     pub warming: f32,
-    /// Attempts that this balancer sent there.
+    /// Attempts per second sent by this balancer.
     pub sent: f32,
-    /// Of these, answered in time.
+    /// Attempts per second answered in time.
     pub ok: f32,
-    /// Answered late, or given up late while the upstream was reached.
+    /// Attempts per second answered late, or abandoned late although the upstream was reached.
     pub slow: f32,
-    /// Answered with an error.
+    /// Attempts per second answered with an error.
     pub failed: f32,
-    /// Not reached: no connection, reset before an answer, silence.
+    /// Attempts per second without a connection, reset before an answer, or without any response.
     pub unreached: f32,
-    /// Mean time of a new connection, in milliseconds; 0 if none was made.
+    /// Mean time to open a connection, in milliseconds; 0 if none was opened.
     pub connect_ms: f32,
-    /// Of the last connections made for no other end than to see whether it is there: how many.
+    /// Number of recent probe connections.
     #[serde(rename = "probed")]
     pub probes: f32,
-    /// How many of these came to nothing.
+    /// Number of recent probe connections that failed.
     #[serde(rename = "unprobed")]
     pub failed_probes: f32,
-    /// What it holds there against what could be held in good time: 1 is full. 0 if nothing was sent.
+    /// Requests in flight relative to the number that can be served in time; 1 is full, 0 if nothing was
+    /// sent.
     pub load: f32,
 }
 
-/// What a balancer is asked for by one rule.
+/// Demand of one rule at one balancer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Position of the rule.
+    /// Index of the rule.
     pub rule: u16,
-    /// Requests that came.
+    /// Requests received per second.
     pub asked: f32,
-    /// Of these, refused here for want of room.
+    /// Part of `asked` that was rejected locally for lack of capacity.
     #[serde(rename = "refused")]
     pub rejected: f32,
 }
 
-/// What one balancer says.
+/// Report of one balancer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Rises with each report of one start of a balancer.
+    /// Sequence number of the report since the start of the balancer.
     pub number: u64,
-    /// Its start, which rises with each.
+    /// Start number of the balancer, which increases with each restart.
     pub start: u64,
-    /// Its own zone.
+    /// Zone of the balancer.
     pub zone: Zone,
-    /// A digest of the topology and rules by which zones and rules are counted: those of another are not taken.
+    /// Digest of the topology and rules that the indexes refer to. Reports with another digest are rejected.
     pub digest: u64,
-    /// The epoch of the plan that it acts on.
+    /// Epoch of the plan that the balancer applies.
     pub epoch: u64,
-    /// Whether it is ready for clients.
+    /// Set if the balancer is ready for clients.
     pub ready: bool,
-    /// Zones, each once.
+    /// Observations, at most one per zone.
     #[serde(rename = "sights")]
     pub observations: Vec<ZoneObservation>,
-    /// Rules with any demand.
+    /// Demand of the rules that received requests.
     pub demand: Vec<Demand>,
-    /// Zones that it has not reached for a while without a break, and for how long, in milliseconds: whoever leads next need not
-    /// wait for what has stood already. It goes behind the rest, where a program that knows nothing of it does not read.
+    /// Zones that are unreachable without interruption, and for how many milliseconds, so that a new leader
+    /// counts an outage from its start. It is encoded after the other fields, where older versions ignore it.
     #[serde(skip)]
     pub out_ms: Vec<(Zone, u16)>,
 }
 
 impl Report {
-    /// For the way. What does not fit in [`BYTES_MOST`] is left out: first the rules with the least demand, then the zones with
-    /// the least sent to.
+    /// Encodes the report. If it exceeds [`MAX_BYTES`], the rules with the least demand are dropped first,
+    /// then the zones with the fewest attempts.
     pub fn encode(&self) -> Vec<u8> {
         let mut report = self.clone();
         loop {
             let mut bytes = postcard::to_allocvec(&report).unwrap_or_default();
             bytes.extend(postcard::to_allocvec(&report.out_ms).unwrap_or_default());
-            if bytes.len() <= BYTES_MOST {
+            if bytes.len() <= MAX_BYTES {
                 return bytes;
             }
-            let weakest = |rates: &mut dyn Iterator<Item = f32>| {
+            let smallest = |rates: &mut dyn Iterator<Item = f32>| {
                 rates.enumerate().min_by(|a, b| a.1.total_cmp(&b.1)).map(|(n, _)| n)
             };
-            match weakest(&mut report.demand.iter().map(|d| d.asked)) {
+            match smallest(&mut report.demand.iter().map(|d| d.asked)) {
                 Some(n) => drop(report.demand.swap_remove(n)),
-                None => match weakest(&mut report.observations.iter().map(|s| s.sent)) {
+                None => match smallest(&mut report.observations.iter().map(|s| s.sent)) {
                     Some(n) => drop(report.observations.swap_remove(n)),
                     None => return bytes,
                 },
@@ -110,43 +111,44 @@
         }
     }
 
-    /// From the way; `None` for what is no report, or bears a figure that none can have.
+    /// Decodes a report. Returns `None` if it is malformed, too large or has implausible values.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        if bytes.len() > BYTES_MOST {
+        if bytes.len() > MAX_BYTES {
             return None;
         }
         let (mut report, rest): (Self, &[u8]) = postcard::take_from_bytes(bytes).ok()?;
         report.out_ms = postcard::from_bytes(rest).unwrap_or_default();
-        report.tidy();
-        report.is_fine().then_some(report)
+        report.normalize();
+        report.is_plausible().then_some(report)
     }
 
-    /// Zones and rules in order, each once.
-    pub(crate) fn tidy(&mut self) {
-        self.observations.sort_by_key(|sight| sight.zone);
-        self.observations.dedup_by_key(|sight| sight.zone);
+    /// Sorts all lists and removes duplicate zones and rules.
+    pub(crate) fn normalize(&mut self) {
+        self.observations.sort_by_key(|observation| observation.zone);
+        self.observations.dedup_by_key(|observation| observation.zone);
         self.demand.sort_by_key(|demand| demand.rule);
         self.demand.dedup_by_key(|demand| demand.rule);
         self.out_ms.sort();
         self.out_ms.dedup_by_key(|(zone, _)| *zone);
     }
 
-    /// What it sees of a zone.
-    pub fn sight(&self, zone: Zone) -> Option<&ZoneObservation> {
-        let found = self.observations.binary_search_by_key(&zone, |sight| sight.zone);
+    /// Returns the observation of a zone.
+    pub fn observation(&self, zone: Zone) -> Option<&ZoneObservation> {
+        let found = self.observations.binary_search_by_key(&zone, |observation| observation.zone);
         found.ok().map(|n| &self.observations[n])
     }
 
-    /// Whether all its figures are such as can be.
-    pub(crate) fn is_fine(&self) -> bool {
-        let fine = |rate: f32| rate.is_finite() && (0.0..=1e9).contains(&rate);
-        let sight = |s: &ZoneObservation| {
-            let rooms = [s.listed, s.usable, s.warming, s.load];
+    /// Returns true if all values are finite, not negative and at most 1e9.
+    pub(crate) fn is_plausible(&self) -> bool {
+        let is_plausible_value = |rate: f32| rate.is_finite() && (0.0..=1e9).contains(&rate);
+        let observation = |s: &ZoneObservation| {
+            let capacities = [s.listed, s.usable, s.warming, s.load];
             let rates =
                 [s.sent, s.ok, s.slow, s.failed, s.unreached, s.connect_ms, s.probes, s.failed_probes];
-            rooms.into_iter().chain(rates).all(fine)
+            capacities.into_iter().chain(rates).all(is_plausible_value)
         };
-        self.observations.iter().all(sight) && self.demand.iter().all(|d| fine(d.asked) && fine(d.rejected))
+        self.observations.iter().all(observation)
+            && self.demand.iter().all(|d| is_plausible_value(d.asked) && is_plausible_value(d.rejected))
     }
 }
 
@@ -156,8 +158,8 @@
     use proptest::prelude::*;
 
     #[test]
-    fn the_least_is_left_out_of_what_is_too_long() {
-        let sight = |n: u16| ZoneObservation {
+    fn encode_drops_the_smallest_entries_of_an_oversized_report() {
+        let observation = |n: u16| ZoneObservation {
             zone: Zone(n),
             sent: f32::from(n),
             usable: 3.7,
@@ -165,46 +167,49 @@
         };
         let demand = |n: u16| Demand { rule: n, asked: f32::from(n), rejected: 0.0 };
         let report = Report {
-            observations: (0..64).map(sight).collect(),
+            observations: (0..64).map(observation).collect(),
             demand: (0..256).map(demand).collect(),
             ..Report::default()
         };
         let bytes = report.encode();
-        assert!(bytes.len() <= BYTES_MOST);
-        let read = Report::decode(&bytes).unwrap();
-        assert!(read.observations.iter().any(|sight| sight.zone == Zone(63)));
-        assert!(!read.observations.iter().any(|sight| sight.zone == Zone(0)), "the least sent to");
+        assert!(bytes.len() <= MAX_BYTES);
+        let decoded = Report::decode(&bytes).unwrap();
+        assert!(decoded.observations.iter().any(|observation| observation.zone == Zone(63)));
+        assert!(
+            !decoded.observations.iter().any(|observation| observation.zone == Zone(0)),
+            "the zone with the fewest attempts is dropped"
+        );
     }
 
     #[test]
-    fn programs_before_and_after_read_each_other() {
+    fn older_and_newer_versions_decode_each_others_reports() {
         let report = Report {
             observations: vec![ZoneObservation { zone: Zone(1), sent: 3.0, ..ZoneObservation::default() }],
             out_ms: vec![(Zone(1), 700), (Zone(2), 9000)],
             ..Report::default()
         };
         assert_eq!(Report::decode(&report.encode()).as_ref(), Some(&report));
-        let before = Report { out_ms: Vec::new(), ..report.clone() };
-        // As it is read by who stops after what it knows, and as that one writes.
-        assert_eq!(postcard::from_bytes::<Report>(&report.encode()).ok(), Some(before.clone()));
-        assert_eq!(Report::decode(&postcard::to_allocvec(&report).unwrap()), Some(before));
+        let without_trailer = Report { out_ms: Vec::new(), ..report.clone() };
+        // An older version reads the report without the trailing field, and writes it so.
+        assert_eq!(postcard::from_bytes::<Report>(&report.encode()).ok(), Some(without_trailer.clone()));
+        assert_eq!(Report::decode(&postcard::to_allocvec(&report).unwrap()), Some(without_trailer));
     }
 
     #[test]
-    fn a_figure_that_none_can_have_is_no_report() {
-        let wild = |rate: f32| Report {
+    fn decode_rejects_implausible_values() {
+        let with_sent = |rate: f32| Report {
             observations: vec![ZoneObservation { sent: rate, ..ZoneObservation::default() }],
             ..Report::default()
         };
-        assert!(Report::decode(&wild(1.0).encode()).is_some());
+        assert!(Report::decode(&with_sent(1.0).encode()).is_some());
         for rate in [f32::NAN, f32::INFINITY, -1.0, 1e12] {
-            assert!(Report::decode(&wild(rate).encode()).is_none());
+            assert!(Report::decode(&with_sent(rate).encode()).is_none());
         }
     }
 
     proptest! {
         #[test]
-        fn any_bytes_are_looked_at_without_harm(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+        fn decode_accepts_arbitrary_bytes_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
             let _ = Report::decode(&bytes);
         }
     }
--- a/crates/failover/src/rtt.rs
+++ b/crates/failover/src/rtt.rs
@@ -1,219 +1,224 @@
-//! Round trips between zones as their balancers measure them, and the table that all go by.
+//! Round-trip times between zones, as measured by balancers, and the agreed table.
 //!
-//! Each balancer says what the way to some of its peers took; whoever leads knows where each of them stands. The word of one is,
-//! for each zone that it sees, the median over its peers there, so that one bad link does not count; the word of a zone the median
-//! over its balancers. A way has two ends, and both measure all of it: the figure moves only as far as **both** zones say, so that no
-//! balancer, and no zone whole, can move it alone. And it moves only by what is more than [`DIFFERENCE`] and [`PART`] of it, for
-//! [`KEPT`]: steps of rules do not follow a jitter. Without word from both ends it stays as it is.
+//! Each balancer reports its round-trip times to some of its peers. The value of a balancer for another zone
+//! is the median over its peers there, so that one bad link does not matter; the value of a zone is the
+//! median over its balancers. Both ends of a path measure the same round trip. The table changes only as far
+//! as **both** zones agree, so that neither a balancer nor a complete zone can change it alone. A change must
+//! exceed both [`MIN_DIFFERENCE`] and [`MIN_RELATIVE_DIFFERENCE`] for [`HOLD_TIME`], so that jitter doesn't
+//! reorder the steps of rules. Without measurements from both ends, an entry stays unchanged.
 
 use maplehook_locality::{Topology, Zone};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The most peers in one balancer's word.
+/// Maximum number of peers in one balancer's measurements.
 pub const MAX_PEERS: usize = 16;
-/// By how much, and by what part of it, a way has to differ from the table.
+/// Minimum difference from the table that counts as a change.
 pub const MIN_DIFFERENCE: Duration = Duration::from_millis(1);
-/// See [`DIFFERENCE`].
+/// Minimum difference relative to the table entry that counts as a change.
 pub const MIN_RELATIVE_DIFFERENCE: f64 = 0.25;
-/// For how long it has to.
+/// Time for which a difference has to last before the table changes.
 pub const HOLD_TIME: Duration = Duration::from_secs(5);
-/// The longest way that is taken for one.
+/// Longest round-trip time that is accepted.
 pub const MAX_RTT: Duration = Duration::from_secs(10);
-/// After this a balancer's word is no longer counted.
-const FRESH: Duration = Duration::from_secs(15);
-/// Balancers whose word is kept.
-const HEARD_MOST: usize = 4096;
-/// The least time between two looks, and the longest after which what has lasted goes on lasting.
-const LOOK: Duration = Duration::from_millis(500);
-const LOOK_MOST: Duration = Duration::from_secs(3);
-
-/// What a balancer measured of the way to another one.
+/// Age from which the measurements of a balancer are ignored.
+const MEASUREMENT_EXPIRY: Duration = Duration::from_secs(15);
+/// Maximum number of balancers whose measurements are stored.
+const MAX_BALANCERS: usize = 4096;
+/// Minimum time between two evaluations, and the longest pause after which pending changes continue.
+const TICK_INTERVAL: Duration = Duration::from_millis(500);
+const MAX_TICK_GAP: Duration = Duration::from_secs(3);
+
+/// Round-trip time from one balancer to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerRtt {
-    /// FNV-1a of the other one's name.
+    /// FNV-1a hash of the peer's name.
     pub peer: u64,
-    /// There and back, in milliseconds.
+    /// Round-trip time in milliseconds.
     pub ms: f32,
 }
 
-/// The way between two zones, by their places in [`Measured::zones`].
+/// Round-trip time between two zones, given as indexes into [`RttTable::zones`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneRtt {
-    /// The one that stands first.
+    /// Index of the first zone; less than `b`.
     pub a: u16,
-    /// The other one.
+    /// Index of the second zone.
     pub b: u16,
-    /// There and back, in microseconds.
+    /// Round-trip time in microseconds.
     pub us: u32,
 }
 
-/// What is agreed on of ways: no more than some 10 KiB for 64 zones.
+/// Agreed round-trip times; about 10 KiB at most for 64 zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RttTable {
-    /// Names of the zones.
+    /// Zone names that the indexes refer to.
     pub zones: Vec<String>,
-    /// Ways, each once, in order.
+    /// Entries sorted by `a` and `b`, at most one per pair.
     #[serde(rename = "trips")]
     pub rtts: Vec<ZoneRtt>,
 }
 
 impl RttTable {
-    /// Whether it is one: ways in order, between two zones that it names, none longer than [`LONGEST`].
+    /// Returns true if the entries are sorted, refer to known zones and do not exceed [`MAX_RTT`].
     pub fn is_sound(&self) -> bool {
-        let fine = |trip: &ZoneRtt| {
-            trip.a < trip.b
-                && usize::from(trip.b) < self.zones.len()
-                && u128::from(trip.us) <= MAX_RTT.as_micros()
+        let is_plausible = |entry: &ZoneRtt| {
+            entry.a < entry.b
+                && usize::from(entry.b) < self.zones.len()
+                && u128::from(entry.us) <= MAX_RTT.as_micros()
         };
-        self.rtts.iter().all(fine) && self.rtts.is_sorted_by(|x, y| (x.a, x.b) < (y.a, y.b))
+        self.rtts.iter().all(is_plausible) && self.rtts.is_sorted_by(|x, y| (x.a, x.b) < (y.a, y.b))
     }
 
-    /// As this topology counts; what it does not know is left out.
+    /// Maps the entries to the zones of this topology; unknown zones are skipped.
     pub fn resolve<'a>(
         &'a self,
         topology: &'a Topology,
     ) -> impl Iterator<Item = (Zone, Zone, Duration)> + 'a {
         let zone = |n: u16| self.zones.get(usize::from(n)).and_then(|name| topology.zone(name));
-        self.rtts.iter().filter_map(move |trip| {
-            let (a, b) = (zone(trip.a)?, zone(trip.b)?);
-            Some((a.min(b), a.max(b), Duration::from_micros(trip.us.into())))
+        self.rtts.iter().filter_map(move |entry| {
+            let (a, b) = (zone(entry.a)?, zone(entry.b)?);
+            Some((a.min(b), a.max(b), Duration::from_micros(entry.us.into())))
         })
     }
 }
 
-/// A difference that is waited for.
+/// A change of a table entry that has not lasted for [`HOLD_TIME`] yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Moving {
+struct PendingChange {
     since: Duration,
-    longer: bool,
-    /// Of all that was said since, what is nearest to the table.
-    to: Duration,
+    is_increase: bool,
+    /// Value nearest to the current entry since the change began.
+    value: Duration,
 }
 
-/// The leader's part: words in, tables out.
+/// The leader's state: collects measurements and maintains the table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RttEstimator {
-    heard: BTreeMap<String, (Duration, Vec<PeerRtt>)>,
+    measurements: BTreeMap<String, (Duration, Vec<PeerRtt>)>,
     table: BTreeMap<(Zone, Zone), Duration>,
-    moving: BTreeMap<(Zone, Zone), Moving>,
-    looked: Duration,
+    pending: BTreeMap<(Zone, Zone), PendingChange>,
+    last_tick: Duration,
 }
 
-/// The lower one of two in the middle: what is too long is more often wrong than what is too short.
-fn median(mut of: Vec<Duration>) -> Option<Duration> {
-    of.sort_unstable();
-    of.get(of.len().saturating_sub(1) / 2).copied()
+/// Returns the median; the lower of the two middle values, since measurements err towards long times.
+fn median(mut values: Vec<Duration>) -> Option<Duration> {
+    values.sort_unstable();
+    values.get(values.len().saturating_sub(1) / 2).copied()
 }
 
-/// Whether a way differs from the table; one that it lacks differs from all.
-fn differs(stands: Option<Duration>, said: Duration) -> bool {
-    stands.is_none_or(|stands| {
-        said.abs_diff(stands) > MIN_DIFFERENCE.max(stands.mul_f64(MIN_RELATIVE_DIFFERENCE))
+/// Returns true if a value differs enough from the table entry, or if there is no entry.
+fn differs(current: Option<Duration>, value: Duration) -> bool {
+    current.is_none_or(|current| {
+        value.abs_diff(current) > MIN_DIFFERENCE.max(current.mul_f64(MIN_RELATIVE_DIFFERENCE))
     })
 }
 
 impl RttEstimator {
-    /// Goes on from what was agreed.
-    pub fn new(before: &RttTable, topology: &Topology) -> Self {
-        let table = before.resolve(topology).map(|(a, b, took)| ((a, b), took)).collect();
+    /// Creates the state from the agreed table.
+    pub fn new(previous: &RttTable, topology: &Topology) -> Self {
+        let table = previous.resolve(topology).map(|(a, b, rtt)| ((a, b), rtt)).collect();
         Self { table, ..Self::default() }
     }
 
-    /// What a balancer measured; what is no time is left out. Its word before is forgotten.
-    pub fn record(&mut self, now: Duration, from: &str, ways: &[PeerRtt]) {
-        if self.heard.len() >= HEARD_MOST && !self.heard.contains_key(from) {
+    /// Replaces the measurements of a balancer. Implausible times are skipped.
+    pub fn record(&mut self, now: Duration, from: &str, measurements: &[PeerRtt]) {
+        if self.measurements.len() >= MAX_BALANCERS && !self.measurements.contains_key(from) {
             return;
         }
-        let fine = |way: &&PeerRtt| {
-            way.ms.is_finite() && way.ms >= 0.0 && f64::from(way.ms) <= MAX_RTT.as_secs_f64() * 1e3
+        let is_plausible = |measurement: &&PeerRtt| {
+            measurement.ms.is_finite()
+                && measurement.ms >= 0.0
+                && f64::from(measurement.ms) <= MAX_RTT.as_secs_f64() * 1e3
         };
-        let ways = ways.iter().take(MAX_PEERS).filter(fine).copied().collect();
-        self.heard.insert(from.to_owned(), (now, ways));
+        let measurements = measurements.iter().take(MAX_PEERS).filter(is_plausible).copied().collect();
+        self.measurements.insert(from.to_owned(), (now, measurements));
     }
 
-    /// What each zone says of its way to each other one: the median over its balancers.
-    fn said(
+    /// Returns the round-trip time from each zone to each other zone: the median over the zone's balancers.
+    fn zone_medians(
         &self,
         zone_of: impl Fn(&str) -> Option<Zone>,
         by_digest: &BTreeMap<u64, Zone>,
     ) -> BTreeMap<(Zone, Zone), Duration> {
-        let mut said: BTreeMap<(Zone, Zone), Vec<Duration>> = BTreeMap::new();
-        for (from, (_, ways)) in &self.heard {
-            let Some(own) = zone_of(from) else { continue };
-            let mut seen: BTreeMap<Zone, Vec<Duration>> = BTreeMap::new();
-            for way in ways {
-                if let Some(zone) = by_digest.get(&way.peer).filter(|zone| **zone != own) {
-                    seen.entry(*zone)
+        let mut zone_medians: BTreeMap<(Zone, Zone), Vec<Duration>> = BTreeMap::new();
+        for (from, (_, measurements)) in &self.measurements {
+            let Some(own_zone) = zone_of(from) else { continue };
+            let mut by_zone: BTreeMap<Zone, Vec<Duration>> = BTreeMap::new();
+            for measurement in measurements {
+                if let Some(zone) = by_digest.get(&measurement.peer).filter(|zone| **zone != own_zone) {
+                    by_zone
+                        .entry(*zone)
                         .or_default()
-                        .push(Duration::from_micros((f64::from(way.ms) * 1e3).round() as u64));
+                        .push(Duration::from_micros((f64::from(measurement.ms) * 1e3).round() as u64));
                 }
             }
-            for (zone, took) in seen {
-                said.entry((own, zone)).or_default().extend(median(took));
+            for (zone, rtt) in by_zone {
+                zone_medians.entry((own_zone, zone)).or_default().extend(median(rtt));
             }
         }
-        said.into_iter().filter_map(|(way, took)| Some((way, median(took)?))).collect()
+        zone_medians.into_iter().filter_map(|(pair, rtt)| Some((pair, median(rtt)?))).collect()
     }
 
-    /// Looks at what was said; says whether the table has moved. `zone_of`: where balancers stand, by name and by the digest of it.
+    /// Evaluates the measurements. Returns true if the table changed. `zone_of` maps balancer names to zones,
+    /// `by_digest` the hashes of names.
     pub fn tick(
         &mut self,
         now: Duration,
         zone_of: impl Fn(&str) -> Option<Zone>,
         by_digest: &BTreeMap<u64, Zone>,
     ) -> bool {
-        let passed = now.saturating_sub(self.looked);
-        if passed < LOOK {
+        let elapsed = now.saturating_sub(self.last_tick);
+        if elapsed < TICK_INTERVAL {
             return false;
         }
-        self.looked = now;
-        if passed > LOOK_MOST {
-            // Stopped and woken: nobody knows what was between.
-            self.moving.clear();
+        self.last_tick = now;
+        if elapsed > MAX_TICK_GAP {
+            // After a pause of the process, the time in between is unknown.
+            self.pending.clear();
         }
-        self.heard.retain(|_, (at, _)| now.saturating_sub(*at) < FRESH);
-        let said = self.said(zone_of, by_digest);
-        let before = std::mem::take(&mut self.moving);
-        let mut moved = false;
-        for ((a, b), there) in said.iter().filter(|((a, b), _)| a < b) {
-            let Some(back) = said.get(&(*b, *a)) else { continue };
-            let stands = self.table.get(&(*a, *b)).copied();
-            // Of both ends' words that which moves it least; a way that is not known is as one without an end.
-            let longer = stands.is_some_and(|stands| *there.min(back) > stands);
-            let to = if longer { *there.min(back) } else { *there.max(back) };
-            if !differs(stands, to) || (!longer && stands.is_some_and(|stands| to > stands)) {
+        self.measurements.retain(|_, (at, _)| now.saturating_sub(*at) < MEASUREMENT_EXPIRY);
+        let zone_medians = self.zone_medians(zone_of, by_digest);
+        let previous = std::mem::take(&mut self.pending);
+        let mut changed = false;
+        for ((a, b), forward) in zone_medians.iter().filter(|((a, b), _)| a < b) {
+            let Some(backward) = zone_medians.get(&(*b, *a)) else { continue };
+            let current = self.table.get(&(*a, *b)).copied();
+            // Uses the end whose value changes the entry least. A missing entry counts as infinitely long.
+            let is_increase = current.is_some_and(|current| *forward.min(backward) > current);
+            let value = if is_increase { *forward.min(backward) } else { *forward.max(backward) };
+            if !differs(current, value) || (!is_increase && current.is_some_and(|current| value > current)) {
                 continue;
             }
-            let moving = match before.get(&(*a, *b)).filter(|moving| moving.longer == longer) {
-                Some(moving) => {
-                    let to = if longer { to.min(moving.to) } else { to.max(moving.to) };
-                    Moving { to, ..*moving }
+            let pending = match previous.get(&(*a, *b)).filter(|pending| pending.is_increase == is_increase) {
+                Some(pending) => {
+                    let value = if is_increase { value.min(pending.value) } else { value.max(pending.value) };
+                    PendingChange { value, ..*pending }
                 }
-                None => Moving { since: now, longer, to },
+                None => PendingChange { since: now, is_increase, value },
             };
-            if now.saturating_sub(moving.since) >= HOLD_TIME {
-                self.table.insert((*a, *b), moving.to);
-                moved = true;
+            if now.saturating_sub(pending.since) >= HOLD_TIME {
+                self.table.insert((*a, *b), pending.value);
+                changed = true;
             } else {
-                self.moving.insert((*a, *b), moving);
+                self.pending.insert((*a, *b), pending);
             }
         }
-        moved
+        changed
     }
 
-    /// The table, as it is agreed on.
+    /// Returns the table to agree on.
     pub fn table(&self, topology: &Topology) -> RttTable {
         if self.table.is_empty() {
             return RttTable::default();
         }
-        let trip = |((a, b), took): (&(Zone, Zone), &Duration)| ZoneRtt {
+        let entry = |((a, b), rtt): (&(Zone, Zone), &Duration)| ZoneRtt {
             a: a.0,
             b: b.0,
-            us: took.min(&MAX_RTT).as_micros() as u32,
+            us: rtt.min(&MAX_RTT).as_micros() as u32,
         };
         let zones = topology.zones().map(|zone| topology.zone_name(zone).to_owned());
-        RttTable { zones: zones.collect(), rtts: self.table.iter().map(trip).collect() }
+        RttTable { zones: zones.collect(), rtts: self.table.iter().map(entry).collect() }
     }
 }
--- a/crates/failover/tests/all/alone.rs
+++ b/crates/failover/tests/all/alone.rs
@@ -129,7 +129,7 @@
     // All that is lent is lent once: to each zone, by three balancers of each other one.
     let plan = &world.force.plan;
     for to in 0..4 {
-        let all: f64 = (0..4).map(|from| 3.0 * plan.lent(4, Zone(from), to, 12)).sum();
+        let all: f64 = (0..4).map(|from| 3.0 * plan.spare_rate(4, Zone(from), to, 12)).sum();
         assert!((all - f64::from(plan.spare[to])).abs() < 0.01, "{all} of {plan:?}");
     }
 }
@@ -148,7 +148,7 @@
     #[test]
     fn no_sides_that_can_form_send_a_zone_more_than_it_lends(
         demand in prop::collection::vec(0.0..900.0f64, 4),
-        crews in prop::collection::vec(1usize..4, 4),
+        balancer_counts in prop::collection::vec(1usize..4, 4),
         lost in prop::option::of(0usize..4),
         views in prop::collection::vec(seen(), 12),
         asked_now in prop::collection::vec(0.0..2000.0f32, 12),
@@ -158,10 +158,10 @@
         for (zone, demand) in demand.iter().enumerate() {
             world.zones[zone].demand = *demand;
         }
-        let most = *crews.iter().max().unwrap();
+        let most = *balancer_counts.iter().max().unwrap();
         world.per_zone = most;
         let all: Vec<(String, Zone)> = (0..4)
-            .flat_map(|zone| (0..crews[zone]).map(move |n| (format!("{zone}-{n}"), Zone(zone as u16))))
+            .flat_map(|zone| (0..balancer_counts[zone]).map(move |n| (format!("{zone}-{n}"), Zone(zone as u16))))
             .collect();
         world.decider.set_members(&all, 0);
         world.run(7.0);
@@ -171,7 +171,7 @@
         }
         let document = world.force.clone();
         let mut beside = [0.0; 4];
-        let mut left = crews.clone();
+        let mut left = balancer_counts.clone();
         for ((zone, seen), rate) in views.iter().zip(asked_now) {
             // No more balancers of a zone than there are.
             if left[usize::from(*zone)] == 0 {
@@ -197,7 +197,7 @@
                 beside[usize::from(zone)] += more.max(0.0) * f64::from(rate);
             }
         }
-        let spare = document.plan.spare_part(0, 4);
+        let spare = document.plan.spare_section(0, 4);
         for zone in 0..4 {
             prop_assert!(beside[zone] <= f64::from(spare[zone]) + 0.01, "{:?} of {:?}", beside, document.plan);
         }
--- a/crates/failover/tests/all/any.rs
+++ b/crates/failover/tests/all/any.rs
@@ -62,13 +62,13 @@
     assert!(document.plan.rows.is_sorted_by(|a, b| (a.rule, a.from) < (b.rule, b.from)));
     assert!(document.plan.spare.iter().all(|spare| spare.is_finite() && *spare >= 0.0));
     for place in &document.zone_statuses {
-        assert!((0.0..=1.0).contains(&place.given), "{place:?}");
+        assert!((0.0..=1.0).contains(&place.admitted_share), "{place:?}");
         assert!(
-            f64::from(place.penalty) <= bounds.damping.most + 1.0 && place.usable.is_finite(),
+            f64::from(place.penalty) <= bounds.damping.max_penalty + 1.0 && place.usable.is_finite(),
             "{place:?}"
         );
     }
-    let served = document.zone_statuses.iter().filter(|place| place.given > 0.0).count();
+    let served = document.zone_statuses.iter().filter(|place| place.admitted_share > 0.0).count();
     assert!(served >= bounds.min_zones_in_service, "{:?}", document.zone_statuses);
 }
 
@@ -118,15 +118,15 @@
             match fault {
                 0 => truth.up = 0.0,
                 1 => truth.failing = 0.7,
-                2 => truth.cut_from = vec![(zone + 1) % 4],
-                _ => (truth.up, truth.failing, truth.cut_from) = (1.0, 0.0, vec![]),
+                2 => truth.unreachable_from = vec![(zone + 1) % 4],
+                _ => (truth.up, truth.failing, truth.unreachable_from) = (1.0, 0.0, vec![]),
             }
             world.run(f64::from(quarters) / 4.0);
         }
         let all: f64 = world.zones.iter().map(|zone| zone.room).sum();
         for (_, document) in &world.documents {
             holds(document, &bounds);
-            let away: f64 = (0..4).map(|z| world.zones[z].room * (1.0 - f64::from(document.zone_statuses[z].given))).sum();
+            let away: f64 = (0..4).map(|z| world.zones[z].room * (1.0 - f64::from(document.zone_statuses[z].admitted_share))).sum();
             prop_assert!(away <= all * max_capacity_removed + 1.0, "{away} of {all}: {:?}", document.zone_statuses);
         }
         // Falls: each costs a penalty of 1000 that halves in a minute, and over 1500 none returns.
--- a/crates/failover/tests/all/believed.rs
+++ b/crates/failover/tests/all/believed.rs
@@ -1,7 +1,7 @@
 //! What the leader makes of words that can't be, and of what had stood before it led.
 
 use crate::world::{World, topology};
-use maplehook_failover::room::{credible, demand};
+use maplehook_failover::capacity::{aggregate_demand, partition_reports};
 use maplehook_failover::{Bounds, Decider, Document, Report, ZoneState};
 use maplehook_locality::{Rules, Zone};
 use std::time::Duration;
@@ -51,9 +51,9 @@
     world.run(3.0);
     let reports: Vec<Report> =
         (0..4).filter_map(|zone| wild(Duration::from_secs(11), zone, 0, world.report(zone))).collect();
-    let (can_be, left) = credible(4, &reports.iter().collect::<Vec<_>>());
+    let (can_be, left) = partition_reports(4, &reports.iter().collect::<Vec<_>>());
     assert_eq!((can_be.len(), left.len(), left[0].zone), (3, 1, Zone(3)));
-    let demand = demand(&can_be, &left, 4000.0);
+    let demand = aggregate_demand(&can_be, &left, 4000.0);
     assert!((demand[&(0, Zone(3))] - 470.0).abs() < 0.1, "{demand:?}");
 }
 
@@ -126,7 +126,7 @@
 fn who_comes_has_a_part_at_once_and_whoever_leads_next_forgets_nobody() {
     let mut world = World::new();
     world.run(10.0);
-    let part = |document: &Document| document.plan.lent(4, Zone(0), 1, 12);
+    let part = |document: &Document| document.plan.spare_rate(4, Zone(0), 1, 12);
     let before = part(&world.force);
     assert!(before > 0.0);
     world.per_zone = 4;
@@ -147,5 +147,5 @@
             next.accepted(&document);
         }
     }
-    assert_eq!(next.document().plan.spare_part(2, 4), [4.0; 4]);
+    assert_eq!(next.document().plan.spare_section(2, 4), [4.0; 4]);
 }
--- a/crates/failover/tests/all/bounds.rs
+++ b/crates/failover/tests/all/bounds.rs
@@ -17,7 +17,7 @@
     assert_eq!(world.force.plan.rows, rows);
     let said = world.force.shared_cause.clone().unwrap();
     assert!(said.contains("4 of 4 zones"), "{said}");
-    assert!((0..4).all(|zone| world.force.zone_statuses[zone].given == 1.0));
+    assert!((0..4).all(|zone| world.force.zone_statuses[zone].admitted_share == 1.0));
     world.zones.iter_mut().for_each(|zone| zone.failing = 0.0);
     world.run(10.0);
     assert_eq!((world.force.shared_cause.as_ref(), &world.force.plan.rows), (None, &rows));
@@ -43,7 +43,7 @@
         anyway: true,
     };
     let rejected = world.decider.order(world.now, order).unwrap_err();
-    assert!(rejected.to_string().contains("nothing moves"), "{rejected}");
+    assert!(rejected.to_string().contains("no traffic is moved"), "{rejected}");
     world.zones.iter_mut().zip(rooms).for_each(|(zone, room)| zone.room = room);
     world.run(5.0);
     assert_eq!((world.force.shared_cause.as_ref(), &world.force.plan.rows), (None, &rows));
@@ -124,7 +124,12 @@
         world.zones[0].up = 1.0;
         world.run(9.0);
     }
-    assert!(world.documents.iter().all(|(_, d)| d.plan.rows.is_empty() && d.zone_statuses[0].given == 1.0));
+    assert!(
+        world
+            .documents
+            .iter()
+            .all(|(_, d)| d.plan.rows.is_empty() && d.zone_statuses[0].admitted_share == 1.0)
+    );
 }
 
 #[test]
@@ -141,7 +146,7 @@
         world.zones[zone].up = 0.0;
         world.run(5.0);
     }
-    let given: Vec<f32> = world.force.zone_statuses.iter().map(|place| place.given).collect();
+    let given: Vec<f32> = world.force.zone_statuses.iter().map(|place| place.admitted_share).collect();
     assert_eq!(given, [0.0, 0.0, 1.0, 1.0], "{:?}", world.force.zone_statuses);
     assert_eq!(world.state(2), ZoneState::Unreachable, "it is said");
     assert!(
@@ -154,7 +159,7 @@
     world.zones[0].up = 1.0;
     world.run(20.0);
     assert_eq!(
-        (world.force.zone_statuses[2].given, world.part(2, 2)),
+        (world.force.zone_statuses[2].admitted_share, world.part(2, 2)),
         (0.0, 0.0),
         "{:?}",
         world.force.zone_statuses
@@ -171,12 +176,15 @@
     // b falls ill under the spill and then c at once: b is not cured, and then as good as gone.
     world.zones[1].failing = 0.5;
     world.run(2.5);
-    assert_eq!(world.force.zone_statuses[1].given, 0.5);
+    assert_eq!(world.force.zone_statuses[1].admitted_share, 0.5);
     world.zones[2].failing = 0.5;
     world.run(20.0);
     for (_, document) in &world.documents {
-        let away: f32 = document.zone_statuses.iter().map(|place| 0.25 * (1.0 - place.given)).sum();
+        let away: f32 = document.zone_statuses.iter().map(|place| 0.25 * (1.0 - place.admitted_share)).sum();
         assert!(away <= 0.7, "{:?}", document.zone_statuses);
     }
-    assert_eq!((world.force.zone_statuses[1].given, world.force.zone_statuses[2].given), (0.0, 1.0));
+    assert_eq!(
+        (world.force.zone_statuses[1].admitted_share, world.force.zone_statuses[2].admitted_share),
+        (0.0, 1.0)
+    );
 }
--- a/crates/failover/tests/all/decisions.rs
+++ b/crates/failover/tests/all/decisions.rs
@@ -1,8 +1,8 @@
 //! Operators' orders, leaders that follow each other, and places and rules that change meanwhile.
 
 use crate::world::{World, topology};
-use maplehook_failover::evidence::Views;
-use maplehook_failover::heard::Heard;
+use maplehook_failover::report_store::ReportStore;
+use maplehook_failover::verdict::VerdictMatrix;
 use maplehook_failover::{Bounds, Decider, Order, OrderError, Report, ZoneObservation, ZoneState, digest};
 use maplehook_locality::{Rule, Rules, Topology, Zone};
 use std::time::Duration;
@@ -44,14 +44,14 @@
     let rejected = world.decider.order(world.now, evacuate(&[0], None, false)).unwrap_err();
     let said = rejected.to_string();
     assert!(
-        said.contains("of 3200 requests a second 200 would be refused") && said.contains("3000"),
+        said.contains("of 3200 requests per second 200 would be rejected") && said.contains("3000"),
         "{said}"
     );
     world.run(5.0);
     assert_eq!((world.state(0), world.force.plan.epoch), (ZoneState::Serving, epoch), "nothing of it stands");
     assert_eq!(world.decider.order(world.now, evacuate(&[9], None, true)), Err(OrderError::UnknownZone));
     let all = world.decider.order(world.now, evacuate(&[0, 1, 2, 3], None, true));
-    assert_eq!(all, Err(OrderError::TooFewZones { left: 0, least: 1 }), "not even anyway");
+    assert_eq!(all, Err(OrderError::TooFewZones { remaining: 0, required: 1 }), "not even anyway");
     let document = world.decider.order(world.now, evacuate(&[0], None, true)).unwrap();
     world.take(document);
     world.run(5.0);
@@ -73,7 +73,7 @@
     assert_eq!((world.state(0), world.state(1)), (ZoneState::Evacuated, ZoneState::Evacuated));
     assert!(world.part(0, 2) + world.part(0, 3) > 0.99);
     let third = world.decider.order(world.now, evacuate(&[2], None, false)).unwrap_err();
-    assert!(matches!(third, OrderError::TooMuchCapacityRemoved { away, .. } if away > 0.7), "{third}");
+    assert!(matches!(third, OrderError::TooMuchCapacityRemoved { removed, .. } if removed > 0.7), "{third}");
     // The first one's time ends; the other's stays.
     world.run(60.0);
     assert_eq!((world.force.evacuations.len(), world.state(1)), (1, ZoneState::Evacuated));
@@ -240,7 +240,7 @@
     assert_eq!((stands.zone_statuses[1].state, stands.plan.epoch), (ZoneState::Unreachable, epoch));
     assert!(
         stands.zone_statuses[1].since_ms >= place.since_ms
-            && stands.zone_statuses[1].reason.contains("out of reach")
+            && stands.zone_statuses[1].reason.contains("unreachable from")
     );
     let row = stands.plan.row(0, Zone(1)).unwrap();
     assert!(row.part(Zone(2)) >= 5000 && row.is_sound(), "{row:?}");
@@ -346,8 +346,8 @@
     let state = |d_reaches: bool| {
         let reports = [sees(0, false), sees(1, false), sees(3, d_reaches)];
         let reports: Vec<&Report> = reports.iter().collect();
-        let (views, _) = Views::of(4, &reports);
-        views.seen(&Heard::default(), &reports)[2].state
+        let (views, _) = VerdictMatrix::of(4, &reports);
+        views.assess(&ReportStore::default(), &reports)[2].state
     };
     assert_eq!((state(true), state(false)), (ZoneState::Partitioned, ZoneState::Unreachable));
     // Its last report is from before its clients came: that it sends nothing says nothing either.
@@ -363,6 +363,6 @@
     };
     let reports = [sees(0, false), sees(1, false), sees(3, true), quiet];
     let reports: Vec<&Report> = reports.iter().collect();
-    let (views, _) = Views::of(4, &reports);
-    assert_eq!(views.seen(&Heard::default(), &reports)[2].state, ZoneState::Partitioned);
+    let (views, _) = VerdictMatrix::of(4, &reports);
+    assert_eq!(views.assess(&ReportStore::default(), &reports)[2].state, ZoneState::Partitioned);
 }
--- a/crates/failover/tests/all/dwell.rs
+++ b/crates/failover/tests/all/dwell.rs
@@ -87,12 +87,12 @@
     world.run(10.0);
     let into = world.part(0, 2);
     assert!(into > 0.1);
-    world.zones[2].cut_from = vec![0];
+    world.zones[2].unreachable_from = vec![0];
     world.run(0.75);
-    world.zones[2].cut_from = vec![];
+    world.zones[2].unreachable_from = vec![];
     world.count_anew();
     world.run(5.0);
-    assert!(world.documents.iter().all(|(_, d)| d.zone_statuses[2].cut_from.is_empty()));
+    assert!(world.documents.iter().all(|(_, d)| d.zone_statuses[2].unreachable_from.is_empty()));
     assert!(world.part(0, 2) > 0.1);
 }
 
@@ -108,7 +108,12 @@
     world.now += Duration::from_secs(4);
     world.step();
     world.run(5.0);
-    assert!(world.documents.iter().all(|(_, d)| d.zone_statuses[0].given == 1.0 && d.plan.rows.is_empty()));
+    assert!(
+        world
+            .documents
+            .iter()
+            .all(|(_, d)| d.zone_statuses[0].admitted_share == 1.0 && d.plan.rows.is_empty())
+    );
 }
 
 #[test]
--- a/crates/failover/tests/all/planner.rs
+++ b/crates/failover/tests/all/planner.rs
@@ -1,9 +1,9 @@
 //! The planner against brute force, and what it promises of any case.
 
 use maplehook_failover::assignment;
-use maplehook_failover::flow::{Flows, Ground, waterfall};
-use maplehook_failover::plan::{Planner, Setting, by_rule};
-use maplehook_failover::priorities::{PriorityLists, each};
+use maplehook_failover::flow::{FlowProblem, Flows, waterfall};
+use maplehook_failover::plan::{Planner, PlannerInput, demand_table};
+use maplehook_failover::priorities::{PriorityLists, zones_in};
 use maplehook_failover::{Bounds, FULL_SHARE, Plan, Row};
 use maplehook_locality::{Place, Region, Rule, Rules, Step, Topology, WhenLost, Zone};
 use proptest::prelude::*;
@@ -40,14 +40,14 @@
         Self { priorities, room, last: vec![0.0; ZONES], reach: vec![0b1111; ZONES], open, asked: by_shape }
     }
 
-    fn ground(&self) -> Ground<'_> {
-        Ground {
+    fn ground(&self) -> FlowProblem<'_> {
+        FlowProblem {
             priorities: &self.priorities,
-            room: &self.room,
-            last: &self.last,
+            capacity: &self.room,
+            fallback: &self.last,
             reach: &self.reach,
-            open: &self.open,
-            asked: &self.asked,
+            spill_open: &self.open,
+            demand: &self.asked,
         }
     }
 
@@ -60,14 +60,14 @@
         let (lists, ground) = (&self.priorities.lists, self.ground());
         let mut least = f64::INFINITY;
         for zones in 0u64..1 << ZONES {
-            let rooms: f64 = each(zones).map(|zone| ground.cap(zone)).sum();
+            let rooms: f64 = zones_in(zones).map(|zone| ground.total_capacity(zone)).sum();
             // What flows of each shape past these zones: the least of what it asks and what its ways bear.
             let past = |(n, shape): (usize, &maplehook_failover::priorities::PriorityList)| {
                 let open = ground.usable(shape) & !zones;
-                if open & !shape.beyond != 0 {
+                if open & !shape.remote_zones != 0 {
                     self.asked[n]
                 } else if open != 0 {
-                    self.asked[n] * shape.beyond_most
+                    self.asked[n] * shape.max_remote_share
                 } else {
                     0.0
                 }
@@ -80,14 +80,14 @@
     fn sound(&self, flows: &Flows) {
         let ground = self.ground();
         for zone in 0..ZONES {
-            assert!(flows.load[zone] <= ground.cap(zone) + 1e-6, "over the room: {flows:?}");
+            assert!(flows.load[zone] <= ground.total_capacity(zone) + 1e-6, "over the room: {flows:?}");
             let sum: f64 = (0..flows.to.len()).map(|n| flows.sent(n, zone)).sum();
             assert!((sum - flows.load[zone]).abs() < 1e-6);
         }
         for (n, shape) in self.priorities.lists.iter().enumerate() {
             let sent: f64 = flows.to[n].iter().map(|(_, sent)| sent).sum();
             assert!(
-                (sent + flows.left[n] - self.asked[n]).abs() < 1e-6,
+                (sent + flows.unserved[n] - self.asked[n]).abs() < 1e-6,
                 "sent and refused is all: {flows:?}"
             );
             let allowed = ground.usable(shape);
@@ -98,10 +98,10 @@
             );
             let beyond: f64 = flows.to[n]
                 .iter()
-                .filter(|(zone, _)| shape.beyond >> zone & 1 == 1)
+                .filter(|(zone, _)| shape.remote_zones >> zone & 1 == 1)
                 .map(|(_, sent)| sent)
                 .sum();
-            assert!(beyond <= shape.beyond_most * self.asked[n] + 1e-6);
+            assert!(beyond <= shape.max_remote_share * self.asked[n] + 1e-6);
         }
     }
 
@@ -111,7 +111,7 @@
         for (n, shape) in self.priorities.lists.iter().enumerate() {
             for (zone, sent) in flows.to[n].iter() {
                 let here = group[usize::from(shape.from.0)];
-                if shape.level(zone) > 0 && here != group[zone] {
+                if shape.step_of(zone) > 0 && here != group[zone] {
                     *ways.entry((here, group[zone])).or_insert(0.0) += sent;
                 }
             }
@@ -144,7 +144,7 @@
                 case.sound(&flows);
                 let (served, most) = (Case::served(&flows), case.most());
                 assert!((served - most).abs() < 1e-6, "{rule:?}: {room:?} {asked:?}: {served} of {most}");
-                assignment::undo(&case.ground(), &mut flows);
+                assignment::remove_opposite_flows(&case.ground(), &mut flows);
                 case.sound(&flows);
                 assert!((Case::served(&flows) - most).abs() < 1e-6, "swapped at no loss: {room:?} {asked:?}");
                 assert!(
@@ -204,11 +204,11 @@
         let most = case.most();
         prop_assert!(Case::served(&flows) <= most + 1e-6);
         // With `at most` under the whole, ways through one rule's two flows are not sought.
-        if case.priorities.lists.iter().all(|shape| shape.beyond_most >= 1.0) {
+        if case.priorities.lists.iter().all(|shape| shape.max_remote_share >= 1.0) {
             prop_assert!((Case::served(&flows) - most).abs() < 1e-6, "{} of {}", Case::served(&flows), most);
         }
         let before = Case::served(&flows);
-        assignment::undo(&case.ground(), &mut flows);
+        assignment::remove_opposite_flows(&case.ground(), &mut flows);
         case.sound(&flows);
         prop_assert!(Case::served(&flows) <= before + 1e-6);
         prop_assert!(!case.pours(&flows, &[0, 0, 1, 1]), "{:?}", flows);
@@ -218,7 +218,7 @@
     #[test]
     fn more_capacity_never_serves_less(case in a_case(), zone in 0..ZONES, more in 1u32..5) {
         let mut case = case;
-        case.priorities.lists.iter_mut().for_each(|shape| shape.beyond_most = 1.0);
+        case.priorities.lists.iter_mut().for_each(|shape| shape.max_remote_share = 1.0);
         let before = Case::served(&waterfall(&case.ground()));
         let mut larger = case;
         larger.room[zone] += f64::from(more);
@@ -237,10 +237,10 @@
         let of_rule = |n: usize| ((n / ZONES) as u16, Zone((n % ZONES) as u16));
         let demand: BTreeMap<(u16, Zone), f64> =
             demand.iter().enumerate().map(|(n, rate)| (of_rule(n), f64::from(*rate))).collect();
-        let table = by_rule(&demand, room.len());
-        let setting = Setting {
-            priorities: &case.priorities, room: &room, last: &last, listed: &room, reach: &case.reach,
-            troubled: 0, crews: &[1; ZONES], demand: &table,
+        let table = demand_table(&demand, room.len());
+        let setting = PlannerInput {
+            priorities: &case.priorities, capacity: &room, fallback: &last, listed: &room, reach: &case.reach,
+            impaired: 0, balancer_counts: &[1; ZONES], demand: &table,
         };
         let rows = |n: usize| Row {
             rule: 0,
@@ -270,7 +270,7 @@
             }
         }
         for zone in 0..ZONES {
-            let most = (room[zone] + last[zone]) * (1.0 + bounds.gain) + 0.1;
+            let most = (room[zone] + last[zone]) * (1.0 + bounds.min_gain) + 0.1;
             prop_assert!(load[zone] <= most, "{} over {}: {:?}", load[zone], most, plan);
             prop_assert!(f64::from(plan.spare[zone]) <= (room[zone] - load[zone]).max(0.0) + 0.2, "{:?} {:?}", plan, load);
         }
@@ -288,22 +288,22 @@
     let all = || (0..200u16).flat_map(|rule| (0..64u16).map(move |zone| (rule, zone)));
     let demand: BTreeMap<(u16, Zone), f64> = all().map(|(r, z)| ((r, Zone(z)), rate(r, z))).collect();
     let (room, last, reach) = (vec![1e9; 64], vec![0.0; 64], vec![u64::MAX; 64]);
-    let table = by_rule(&demand, 64);
-    let setting = Setting {
+    let table = demand_table(&demand, 64);
+    let setting = PlannerInput {
         priorities: &priorities,
-        room: &room,
-        last: &last,
+        capacity: &room,
+        fallback: &last,
         listed: &room,
         reach: &reach,
-        troubled: u64::MAX,
-        crews: &[1; 64],
+        impaired: u64::MAX,
+        balancer_counts: &[1; 64],
         demand: &table,
     };
     let before = Plan { rows: vec![Row { rule: 0, from: Zone(0), to: vec![] }], ..Plan::default() };
-    let bounds = Bounds { max_moved_per_s: 1e9, gain: 0.0, ..Bounds::default() };
+    let bounds = Bounds { max_moved_per_s: 1e9, min_gain: 0.0, ..Bounds::default() };
     let mut planner = Planner::new(Duration::ZERO, 1e9);
     let plan = planner.plan(Duration::ZERO, &setting, &before, true, &bounds).unwrap();
-    assert_eq!(plan.rows.len(), maplehook_failover::document::ROWS_MOST);
+    assert_eq!(plan.rows.len(), maplehook_failover::document::MAX_ROWS);
     assert!(plan.rows.is_sorted_by(|a, b| (a.rule, a.from) < (b.rule, b.from)));
     // Each rate is there once: the largest 4096 of 12800.
     assert!(plan.rows.iter().all(|row| rate(row.rule, row.from.0) > 12_800.0 - 4096.0));
@@ -336,15 +336,15 @@
             .collect();
         let reach = vec![u64::MAX; 64];
         let last = vec![0.0; 64];
-        let table = by_rule(&demand, room.len());
-        let setting = Setting {
+        let table = demand_table(&demand, room.len());
+        let setting = PlannerInput {
             priorities: &priorities,
-            room: &room,
-            last: &last,
+            capacity: &room,
+            fallback: &last,
             listed: &listed,
             reach: &reach,
-            troubled: 0xff,
-            crews: &[5; 64],
+            impaired: 0xff,
+            balancer_counts: &[5; 64],
             demand: &table,
         };
         let bounds = Bounds { max_moved_per_s: 1e9, ..Bounds::default() };
--- a/crates/failover/tests/all/storms.rs
+++ b/crates/failover/tests/all/storms.rs
@@ -12,7 +12,7 @@
     assert!(world.force.plan.rows.is_empty());
     assert_eq!(world.share_served(), 1.0);
     assert!(world.force.zone_statuses.iter().all(|place| place.state == ZoneState::Serving));
-    let spare = world.force.plan.spare_part(0, 4);
+    let spare = world.force.plan.spare_section(0, 4);
     assert!(spare.len() == 4 && spare.iter().all(|spare| (476.0..478.0).contains(spare)), "{spare:?}");
     assert!(world.documents.len() <= 6, "figures alone: {}", world.documents.len());
 }
@@ -115,7 +115,7 @@
     world.zones[1].failing = 0.5;
     world.run(3.5);
     let place = &world.force.zone_statuses[1];
-    assert_eq!((place.state, place.given), (ZoneState::Unhealthy, 0.5), "{place:?}");
+    assert_eq!((place.state, place.admitted_share), (ZoneState::Unhealthy, 0.5), "{place:?}");
     assert!(world.part(0, 1) < before * 0.3, "{} of {before}", world.part(0, 1));
     assert!(world.part(1, 1) > 0.5);
     world.zones[1].failing = 0.0;
@@ -144,7 +144,7 @@
     assert!(world.share_served() > 0.999, "{}", world.share_served());
     assert_eq!((world.part(0, 0), world.state(0)), (1.0, ZoneState::Serving));
     let returns: Vec<f64> =
-        world.documents.iter().map(|(_, d)| f64::from(d.zone_statuses[0].given)).collect();
+        world.documents.iter().map(|(_, d)| f64::from(d.zone_statuses[0].admitted_share)).collect();
     assert!(
         returns.iter().filter(|given| **given > 0.0 && **given < 1.0).count() >= 5,
         "slowly: {returns:?}"
@@ -159,15 +159,18 @@
     world.run(10.0);
     assert!(world.part(0, 2) > 0.1, "{:?}", world.force.plan);
     // In one direction.
-    world.zones[2].cut_from = vec![0];
+    world.zones[2].unreachable_from = vec![0];
     world.run(3.0);
     assert_eq!(world.part(0, 2), 0.0, "{:?}", world.force.plan);
-    assert_eq!((world.state(2), world.force.zone_statuses[2].cut_from.len()), (ZoneState::Partitioned, 1));
+    assert_eq!(
+        (world.state(2), world.force.zone_statuses[2].unreachable_from.len()),
+        (ZoneState::Partitioned, 1)
+    );
     assert!(world.part(0, 3) > 0.1 && world.part(2, 2) == 1.0);
     world.count_anew();
     world.run(10.0);
     assert!(world.share_served() > 0.99 && world.worst <= 1.001, "{} {}", world.share_served(), world.worst);
-    world.zones[2].cut_from = vec![];
+    world.zones[2].unreachable_from = vec![];
     world.run(20.0);
     assert_eq!(world.state(2), ZoneState::Serving);
     // It moves back when there is something to gain by it.
@@ -181,7 +184,7 @@
     let mut world = World::new();
     world.run(10.0);
     for zone in 0..4 {
-        world.zones[zone].cut_from = if zone < 2 { vec![2, 3] } else { vec![0, 1] };
+        world.zones[zone].unreachable_from = if zone < 2 { vec![2, 3] } else { vec![0, 1] };
     }
     world.run(5.0);
     assert!(
@@ -294,7 +297,9 @@
         let fell: Vec<Duration> = world
             .documents
             .windows(2)
-            .filter(|pair| pair[1].1.zone_statuses[0].given < pair[0].1.zone_statuses[0].given)
+            .filter(|pair| {
+                pair[1].1.zone_statuses[0].admitted_share < pair[0].1.zone_statuses[0].admitted_share
+            })
             .map(|pair| pair[1].0)
             .collect();
         assert!(!fell.is_empty(), "{period}: it is bad half of the time");
--- a/crates/failover/tests/all/world.rs
+++ b/crates/failover/tests/all/world.rs
@@ -21,7 +21,7 @@
     pub balancers: bool,
     pub demand: f64,
     /// Zones that do not reach it.
-    pub cut_from: Vec<usize>,
+    pub unreachable_from: Vec<usize>,
 }
 
 /// The world.
@@ -61,7 +61,7 @@
         failing: 0.0,
         balancers: true,
         demand: 470.0,
-        cut_from: vec![],
+        unreachable_from: vec![],
     }
 }
 
@@ -113,7 +113,7 @@
     }
 
     pub fn reaches(&self, from: usize, to: usize) -> bool {
-        !self.zones[to].cut_from.contains(&from)
+        !self.zones[to].unreachable_from.contains(&from)
     }
 
     /// Sends the requests of one step by what is in force.
--- a/crates/failover/tests/probed.rs
+++ b/crates/failover/tests/probed.rs
@@ -1,7 +1,7 @@
 //! Zones that serve only their own: others know of them by connections alone.
 
-use maplehook_failover::evidence::{Verdict, Views};
-use maplehook_failover::heard::Heard;
+use maplehook_failover::report_store::ReportStore;
+use maplehook_failover::verdict::{Verdict, VerdictMatrix};
 use maplehook_failover::{Report, ZoneObservation, ZoneState};
 use maplehook_locality::Zone;
 
@@ -37,8 +37,8 @@
 fn states(change: impl Fn(u16, &mut ZoneObservation)) -> Vec<ZoneState> {
     let reports = reports(change);
     let all: Vec<&Report> = reports.iter().collect();
-    let (views, _) = Views::of(4, &all);
-    views.seen(&Heard::default(), &all).into_iter().map(|seen| seen.state).collect()
+    let (views, _) = VerdictMatrix::of(4, &all);
+    views.assess(&ReportStore::default(), &all).into_iter().map(|seen| seen.state).collect()
 }
 
 const WELL: ZoneState = ZoneState::Serving;
@@ -88,10 +88,10 @@
         failed_probes: 3.0,
         ..ZoneObservation::default()
     };
-    assert_eq!(Verdict::of(&sight), Verdict::Well);
+    assert_eq!(Verdict::of(&sight), Verdict::Healthy);
     assert_eq!(
         Verdict::of(&ZoneObservation { sent: 0.0, ok: 0.0, failed_probes: 1.0, ..sight }),
-        Verdict::Reached
+        Verdict::Reachable
     );
-    assert_eq!(Verdict::of(&ZoneObservation { sent: 0.0, ok: 0.0, ..sight }), Verdict::Out);
+    assert_eq!(Verdict::of(&ZoneObservation { sent: 0.0, ok: 0.0, ..sight }), Verdict::Unreachable);
 }
--- a/tools/simulator/src/places/ways.rs
+++ b/tools/simulator/src/places/ways.rs
@@ -98,7 +98,7 @@
         let (each, _) = ground.demand();
         let posts = ground.posts.iter().filter(|post| post.serves());
         let demand = posts.map(|post| ((0, Zone(post.zone as u16)), each[post.zone]));
-        let rooms = AvailableCapacity { room: &room, last: &last, reach: &reach };
+        let rooms = AvailableCapacity { capacity: &room, fallback: &last, reach: &reach };
         let (flows, asked) = assignment::assign(&self.ladders, rooms, false, demand);
         let shares = |zone: usize| match self.ladders.list_index(0, Zone(zone as u16)) {
             Some(n) if asked[n] > 0.0 => flows.to[n].iter().map(|(z, sent)| (z, sent / asked[n])).collect(),
