--- a/crates/failover/src/capacity.rs
+++ b/crates/failover/src/capacity.rs
@@ -166,8 +166,8 @@
     }
 }
 
-/// Returns one value per balancer, capped at a multiple of the median of its zone, or of all balancers if the
-/// zone has fewer than three.
+/// Returns one value per balancer, capped at a multiple of the median of its zone, or of twice the overall
+/// median if the zone has fewer than three balancers.
 fn capped_values(reports: &[&Report], floor: f64, value: impl Fn(&Report) -> f64) -> Vec<f64> {
     let values: Vec<f64> = reports.iter().map(|report| value(report)).collect();
     let Some(overall_median) = median(values.iter().copied().filter(|value| *value > 0.0).collect()) else {
@@ -194,8 +194,8 @@
 }
 
 /// Separates plausible from implausible reports: those that list far more upstreams than the median or far
-/// more timely answers than the capacity of a zone. Nothing is rejected among fewer than three reports, or if
-/// half of all reports would be.
+/// more timely answers than a zone has capacity for. With fewer than three reports, the median does not tell
+/// which one is wrong. Values that half of all balancers report count as plausible.
 pub fn partition_reports<'a>(
     zones: usize,
     fresh_reports: &[&'a Report],
--- a/crates/failover/src/priorities.rs
+++ b/crates/failover/src/priorities.rs
@@ -29,7 +29,7 @@
     /// Zones of each step, nearest first. With [`WhenLost::Anywhere`], the last step holds all zones that no
     /// other step names.
     pub steps: Vec<ZoneSet>,
-    /// Number of steps that the rule states; any further step is only used if these are lost or full.
+    /// Number of steps that the rule states; a further step is only used if these are unavailable or full.
     pub explicit_steps: usize,
     /// Load of a step above which requests spill over to the next step, 0 to 1.
     pub spill_load: f64,
--- a/crates/failover/src/report.rs
+++ b/crates/failover/src/report.rs
@@ -209,7 +209,7 @@
 
     proptest! {
         #[test]
-        fn decode_accepts_arbitrary_bytes_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+        fn decode_does_not_panic_on_arbitrary_bytes(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
             let _ = Report::decode(&bytes);
         }
     }
--- a/crates/failover/src/verdict.rs
+++ b/crates/failover/src/verdict.rs
@@ -9,7 +9,7 @@
 
 /// Share of the listed capacity below which a zone counts as unusable.
 const NEGLIGIBLE_SHARE: f32 = 0.02;
-/// Share of failed connections from which a zone counts as unreachable.
+/// Share of attempts and probes without a connection from which a zone counts as unreachable.
 const UNREACHABLE_RATIO: f32 = 0.6;
 /// Share of slow, failed or unreachable attempts from which a zone counts as unhealthy.
 const UNHEALTHY_RATIO: f32 = 0.3;
@@ -268,8 +268,8 @@
         let from = (0..zones).filter(|from| *from != usize::from(observer.0));
         let (mut healthy, mut failing_elsewhere) = (0, 0);
         for verdict in from.map(of) {
-            // An unreachable zone is healthy if others reach it; a failing zone is healthy if others are
-            // served.
+            // Another zone's verdict counts as healthy if its requests are served, or if it reaches a zone
+            // that this balancer can't reach.
             healthy += usize::from(
                 verdict == Verdict::Healthy
                     || verdict == Verdict::Reachable && *local_verdict == Verdict::Unreachable,
