--- a/crates/failover/tests/all/planner.rs
+++ b/crates/failover/tests/all/planner.rs
@@ -1,10 +1,10 @@
 //! The planner against brute force, and what it promises of any case.
 
-use maplehook_failover::flow::{Flows, Ground, waterfall};
-use maplehook_failover::ladders::{Ladders, each};
-use maplehook_failover::plan::{Planner, Setting, by_rule};
-use maplehook_failover::pouring;
-use maplehook_failover::{Bounds, Plan, Row, WHOLE};
+use maplehook_failover::assignment;
+use maplehook_failover::flow::{FlowProblem, Flows, waterfall};
+use maplehook_failover::plan::{Planner, PlannerInput, demand_table};
+use maplehook_failover::priorities::{PriorityLists, zones_in};
+use maplehook_failover::{Bounds, FULL_SHARE, Plan, Row};
 use maplehook_locality::{Place, Region, Rule, Rules, Step, Topology, WhenLost, Zone};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -24,7 +24,7 @@
 /// One case: rooms, who reaches whom, and what is asked for by shape.
 #[derive(Debug)]
 struct Case {
-    ladders: Ladders,
+    priorities: PriorityLists,
     room: Vec<f64>,
     last: Vec<f64>,
     reach: Vec<u64>,
@@ -34,20 +34,20 @@
 
 impl Case {
     fn new(rules: &Rules, room: Vec<f64>, asked: &[f64]) -> Self {
-        let ladders = Ladders::new(&topology(), rules);
-        let by_shape = ladders.shapes.iter().enumerate().map(|(n, _)| asked[n % asked.len()]).collect();
-        let open = vec![true; ladders.shapes.len()];
-        Self { ladders, room, last: vec![0.0; ZONES], reach: vec![0b1111; ZONES], open, asked: by_shape }
+        let priorities = PriorityLists::new(&topology(), rules);
+        let by_shape = priorities.lists.iter().enumerate().map(|(n, _)| asked[n % asked.len()]).collect();
+        let open = vec![true; priorities.lists.len()];
+        Self { priorities, room, last: vec![0.0; ZONES], reach: vec![0b1111; ZONES], open, asked: by_shape }
     }
 
-    fn ground(&self) -> Ground<'_> {
-        Ground {
-            ladders: &self.ladders,
-            room: &self.room,
-            last: &self.last,
+    fn ground(&self) -> FlowProblem<'_> {
+        FlowProblem {
+            priorities: &self.priorities,
+            capacity: &self.room,
+            fallback: &self.last,
             reach: &self.reach,
-            open: &self.open,
-            asked: &self.asked,
+            spill_open: &self.open,
+            demand: &self.asked,
         }
     }
 
@@ -57,22 +57,22 @@
 
     /// The most that any split serves, by the least of all cuts: each set of shapes and zones is tried.
     fn most(&self) -> f64 {
-        let (shapes, ground) = (&self.ladders.shapes, self.ground());
+        let (lists, ground) = (&self.priorities.lists, self.ground());
         let mut least = f64::INFINITY;
         for zones in 0u64..1 << ZONES {
-            let rooms: f64 = each(zones).map(|zone| ground.cap(zone)).sum();
+            let rooms: f64 = zones_in(zones).map(|zone| ground.total_capacity(zone)).sum();
             // What flows of each shape past these zones: the least of what it asks and what its ways bear.
-            let past = |(n, shape): (usize, &maplehook_failover::ladders::Shape)| {
+            let past = |(n, shape): (usize, &maplehook_failover::priorities::PriorityList)| {
                 let open = ground.usable(shape) & !zones;
-                if open & !shape.beyond != 0 {
+                if open & !shape.remote_zones != 0 {
                     self.asked[n]
                 } else if open != 0 {
-                    self.asked[n] * shape.beyond_most
+                    self.asked[n] * shape.max_remote_share
                 } else {
                     0.0
                 }
             };
-            least = least.min(rooms + shapes.iter().enumerate().map(past).sum::<f64>());
+            least = least.min(rooms + lists.iter().enumerate().map(past).sum::<f64>());
         }
         least
     }
@@ -80,14 +80,14 @@
     fn sound(&self, flows: &Flows) {
         let ground = self.ground();
         for zone in 0..ZONES {
-            assert!(flows.load[zone] <= ground.cap(zone) + 1e-6, "over the room: {flows:?}");
+            assert!(flows.load[zone] <= ground.total_capacity(zone) + 1e-6, "over the room: {flows:?}");
             let sum: f64 = (0..flows.to.len()).map(|n| flows.sent(n, zone)).sum();
             assert!((sum - flows.load[zone]).abs() < 1e-6);
         }
-        for (n, shape) in self.ladders.shapes.iter().enumerate() {
+        for (n, shape) in self.priorities.lists.iter().enumerate() {
             let sent: f64 = flows.to[n].iter().map(|(_, sent)| sent).sum();
             assert!(
-                (sent + flows.left[n] - self.asked[n]).abs() < 1e-6,
+                (sent + flows.unserved[n] - self.asked[n]).abs() < 1e-6,
                 "sent and refused is all: {flows:?}"
             );
             let allowed = ground.usable(shape);
@@ -98,20 +98,20 @@
             );
             let beyond: f64 = flows.to[n]
                 .iter()
-                .filter(|(zone, _)| shape.beyond >> zone & 1 == 1)
+                .filter(|(zone, _)| shape.remote_zones >> zone & 1 == 1)
                 .map(|(_, sent)| sent)
                 .sum();
-            assert!(beyond <= shape.beyond_most * self.asked[n] + 1e-6);
+            assert!(beyond <= shape.max_remote_share * self.asked[n] + 1e-6);
         }
     }
 
     /// What two groups of zones send each other beside what rules name first.
     fn pours(&self, flows: &Flows, group: &[usize]) -> bool {
         let mut ways = BTreeMap::new();
-        for (n, shape) in self.ladders.shapes.iter().enumerate() {
+        for (n, shape) in self.priorities.lists.iter().enumerate() {
             for (zone, sent) in flows.to[n].iter() {
                 let here = group[usize::from(shape.from.0)];
-                if shape.level(zone) > 0 && here != group[zone] {
+                if shape.step_of(zone) > 0 && here != group[zone] {
                     *ways.entry((here, group[zone])).or_insert(0.0) += sent;
                 }
             }
@@ -144,7 +144,7 @@
                 case.sound(&flows);
                 let (served, most) = (Case::served(&flows), case.most());
                 assert!((served - most).abs() < 1e-6, "{rule:?}: {room:?} {asked:?}: {served} of {most}");
-                pouring::undo(&case.ground(), &mut flows);
+                assignment::remove_opposite_flows(&case.ground(), &mut flows);
                 case.sound(&flows);
                 assert!((Case::served(&flows) - most).abs() < 1e-6, "swapped at no loss: {room:?} {asked:?}");
                 assert!(
@@ -204,11 +204,11 @@
         let most = case.most();
         prop_assert!(Case::served(&flows) <= most + 1e-6);
         // With `at most` under the whole, ways through one rule's two flows are not sought.
-        if case.ladders.shapes.iter().all(|shape| shape.beyond_most >= 1.0) {
+        if case.priorities.lists.iter().all(|shape| shape.max_remote_share >= 1.0) {
             prop_assert!((Case::served(&flows) - most).abs() < 1e-6, "{} of {}", Case::served(&flows), most);
         }
         let before = Case::served(&flows);
-        pouring::undo(&case.ground(), &mut flows);
+        assignment::remove_opposite_flows(&case.ground(), &mut flows);
         case.sound(&flows);
         prop_assert!(Case::served(&flows) <= before + 1e-6);
         prop_assert!(!case.pours(&flows, &[0, 0, 1, 1]), "{:?}", flows);
@@ -218,7 +218,7 @@
     #[test]
     fn more_capacity_never_serves_less(case in a_case(), zone in 0..ZONES, more in 1u32..5) {
         let mut case = case;
-        case.ladders.shapes.iter_mut().for_each(|shape| shape.beyond_most = 1.0);
+        case.priorities.lists.iter_mut().for_each(|shape| shape.max_remote_share = 1.0);
         let before = Case::served(&waterfall(&case.ground()));
         let mut larger = case;
         larger.room[zone] += f64::from(more);
@@ -237,10 +237,10 @@
         let of_rule = |n: usize| ((n / ZONES) as u16, Zone((n % ZONES) as u16));
         let demand: BTreeMap<(u16, Zone), f64> =
             demand.iter().enumerate().map(|(n, rate)| (of_rule(n), f64::from(*rate))).collect();
-        let table = by_rule(&demand, room.len());
-        let setting = Setting {
-            ladders: &case.ladders, room: &room, last: &last, listed: &room, reach: &case.reach,
-            troubled: 0, crews: &[1; ZONES], demand: &table,
+        let table = demand_table(&demand, room.len());
+        let setting = PlannerInput {
+            priorities: &case.priorities, capacity: &room, fallback: &last, listed: &room, reach: &case.reach,
+            impaired: 0, balancer_counts: &[1; ZONES], demand: &table,
         };
         let rows = |n: usize| Row {
             rule: 0,
@@ -249,7 +249,7 @@
         };
         let before = Plan { epoch: 7, rows: (0..ZONES).map(rows).collect(), spare: vec![0.0; ZONES] };
         let bounds = Bounds::default();
-        let mut planner = Planner::new(Duration::ZERO, bounds.most_moved_per_s);
+        let mut planner = Planner::new(Duration::ZERO, bounds.max_moved_per_s);
         let (mut plan, mut now) = (before, Duration::ZERO);
         for _ in 0..8 {
             let next = planner.plan(now, &setting, &plan, true, &bounds);
@@ -266,11 +266,11 @@
         let mut load = [0.0; ZONES];
         for ((rule, from), rate) in &demand {
             if let Some(row) = plan.row(*rule, *from) {
-                row.to.iter().for_each(|s| load[usize::from(s.zone.0)] += rate * f64::from(s.part) / f64::from(WHOLE));
+                row.to.iter().for_each(|s| load[usize::from(s.zone.0)] += rate * f64::from(s.part) / f64::from(FULL_SHARE));
             }
         }
         for zone in 0..ZONES {
-            let most = (room[zone] + last[zone]) * (1.0 + bounds.gain) + 0.1;
+            let most = (room[zone] + last[zone]) * (1.0 + bounds.min_gain) + 0.1;
             prop_assert!(load[zone] <= most, "{} over {}: {:?}", load[zone], most, plan);
             prop_assert!(f64::from(plan.spare[zone]) <= (room[zone] - load[zone]).max(0.0) + 0.2, "{:?} {:?}", plan, load);
         }
@@ -283,27 +283,27 @@
     let topology = Topology::new([("all", names.iter().map(String::as_str).collect::<Vec<_>>())]).unwrap();
     let rule = |n: usize| Rule { name: format!("r{n}"), ..Rule::near_first() };
     let rules = Rules::new((0..200).map(rule).collect(), 1, 1, |_, _| 0);
-    let ladders = Ladders::new(&topology, &rules);
+    let priorities = PriorityLists::new(&topology, &rules);
     let rate = |rule: u16, zone: u16| f64::from((u32::from(rule) * 64 + u32::from(zone)) * 7919 % 12_800 + 1);
     let all = || (0..200u16).flat_map(|rule| (0..64u16).map(move |zone| (rule, zone)));
     let demand: BTreeMap<(u16, Zone), f64> = all().map(|(r, z)| ((r, Zone(z)), rate(r, z))).collect();
     let (room, last, reach) = (vec![1e9; 64], vec![0.0; 64], vec![u64::MAX; 64]);
-    let table = by_rule(&demand, 64);
-    let setting = Setting {
-        ladders: &ladders,
-        room: &room,
-        last: &last,
+    let table = demand_table(&demand, 64);
+    let setting = PlannerInput {
+        priorities: &priorities,
+        capacity: &room,
+        fallback: &last,
         listed: &room,
         reach: &reach,
-        troubled: u64::MAX,
-        crews: &[1; 64],
+        impaired: u64::MAX,
+        balancer_counts: &[1; 64],
         demand: &table,
     };
     let before = Plan { rows: vec![Row { rule: 0, from: Zone(0), to: vec![] }], ..Plan::default() };
-    let bounds = Bounds { most_moved_per_s: 1e9, gain: 0.0, ..Bounds::default() };
+    let bounds = Bounds { max_moved_per_s: 1e9, min_gain: 0.0, ..Bounds::default() };
     let mut planner = Planner::new(Duration::ZERO, 1e9);
     let plan = planner.plan(Duration::ZERO, &setting, &before, true, &bounds).unwrap();
-    assert_eq!(plan.rows.len(), maplehook_failover::document::ROWS_MOST);
+    assert_eq!(plan.rows.len(), maplehook_failover::document::MAX_ROWS);
     assert!(plan.rows.is_sorted_by(|a, b| (a.rule, a.from) < (b.rule, b.from)));
     // Each rate is there once: the largest 4096 of 12800.
     assert!(plan.rows.iter().all(|row| rate(row.rule, row.from.0) > 12_800.0 - 4096.0));
@@ -313,10 +313,10 @@
 fn three_hundred_balancers_64_zones_and_256_rules_are_planned_in_time() {
     let names: Vec<String> = (0..64).map(|n| format!("z{n}")).collect();
     let regions: Vec<String> = (0..8).map(|n| format!("r{n}")).collect();
-    let places = regions.iter().enumerate().map(|(n, region)| {
+    let zone_statuses = regions.iter().enumerate().map(|(n, region)| {
         (region.as_str(), names[n * 8..n * 8 + 8].iter().map(String::as_str).collect::<Vec<_>>())
     });
-    let topology = Topology::new(places).unwrap();
+    let topology = Topology::new(zone_statuses).unwrap();
     for kinds in [1, 16, 256] {
         let rule = |n: usize| {
             let mut rule = Rule::near_first();
@@ -325,7 +325,7 @@
             rule
         };
         let rules = Rules::new((0..256).map(rule).collect(), 1, 1, |_, _| 0);
-        let ladders = Ladders::new(&topology, &rules);
+        let priorities = PriorityLists::new(&topology, &rules);
         // One region is gone, what is left is nearly full.
         let room: Vec<f64> = (0..64).map(|zone| if zone < 8 { 0.0 } else { 1000.0 + zone as f64 }).collect();
         let listed = vec![1000.0; 64];
@@ -336,18 +336,18 @@
             .collect();
         let reach = vec![u64::MAX; 64];
         let last = vec![0.0; 64];
-        let table = by_rule(&demand, room.len());
-        let setting = Setting {
-            ladders: &ladders,
-            room: &room,
-            last: &last,
+        let table = demand_table(&demand, room.len());
+        let setting = PlannerInput {
+            priorities: &priorities,
+            capacity: &room,
+            fallback: &last,
             listed: &listed,
             reach: &reach,
-            troubled: 0xff,
-            crews: &[5; 64],
+            impaired: 0xff,
+            balancer_counts: &[5; 64],
             demand: &table,
         };
-        let bounds = Bounds { most_moved_per_s: 1e9, ..Bounds::default() };
+        let bounds = Bounds { max_moved_per_s: 1e9, ..Bounds::default() };
         // The best of five: others may run beside it.
         let mut runs = (0..5).map(|_| {
             let mut planner = Planner::new(Duration::ZERO, 1e9);
@@ -362,7 +362,7 @@
         }
         println!(
             "{kinds} kinds of rules, {} shapes: {took:?}, {} rows",
-            ladders.shapes.len(),
+            priorities.lists.len(),
             plan.rows.len()
         );
         assert!(!plan.rows.is_empty());
