--- a/crates/address-announcement/src/answer.rs
+++ b/crates/address-announcement/src/answer.rs
@@ -14,7 +14,7 @@
 
 /// What a balancer knows of itself.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Own {
+pub struct LocalBalancer {
     /// Name of its site.
     pub site: String,
     /// Whether it is ready for clients.
@@ -51,7 +51,7 @@
     Answer::Withdrawn { why: why.into() }
 }
 
-impl Own {
+impl LocalBalancer {
     /// The answer for an address, now by its own clock, read after the question had come.
     pub fn answer(&self, name: &str, now: Duration) -> Answer {
         if !self.ready {
--- a/crates/address-announcement/src/decide.rs
+++ b/crates/address-announcement/src/decide.rs
@@ -13,7 +13,7 @@
 
 /// After this a state that was neither accepted nor overtaken is offered once more.
 pub const AGAIN: Duration = Duration::from_millis(500);
-/// For how long a site whose name is not known any more is waited for, until [`Decider::set_longest_lease`] says it.
+/// For how long a site whose name is not known any more is waited for, until [`Decider::set_max_lease`] says it.
 pub const LONGEST_LEASE: Duration = Duration::from_secs(10);
 
 /// One leader's, from its election on.
@@ -91,12 +91,12 @@
                 decider.memory.insert((name.clone(), site.clone()), Memory::of(record, now));
             }
         }
-        decider.retune(addresses, site_names, now);
+        decider.reconfigure(addresses, site_names, now);
         decider
     }
 
     /// The longest that a lease can last by the leader's clock. Waited for where a site that held an address is named no more.
-    pub fn set_longest_lease(&mut self, longest: Duration) {
+    pub fn set_max_lease(&mut self, longest: Duration) {
         self.longest_lease = longest;
     }
 
@@ -107,7 +107,7 @@
 
     /// Other settings, or another topology. What is under way goes on: sites are known by name. Addresses past
     /// [`ADDRESSES_MOST`] and sites without a name are left out.
-    pub fn retune(&mut self, addresses: Vec<Address>, site_names: Vec<String>, now: Duration) {
+    pub fn reconfigure(&mut self, addresses: Vec<Address>, site_names: Vec<String>, now: Duration) {
         self.now = self.now.max(now);
         self.addresses = addresses;
         self.addresses.truncate(ADDRESSES_MOST);
--- a/crates/address-announcement/src/explore/world.rs
+++ b/crates/address-announcement/src/explore/world.rs
@@ -1,6 +1,6 @@
 //! Two sites, one address that one of them announces, a leader that may die, and routers: in steps of a common clock.
 
-use crate::{Address, Announce, Answer, Decider, Order, Own, SiteHealth, Standing, State};
+use crate::{Address, Announce, Answer, Decider, LocalBalancer, Order, SiteHealth, Standing, State};
 use maplehook_locality::Region;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -64,7 +64,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Site {
-    own: Own,
+    own: LocalBalancer,
     stopped: bool,
     cut: bool,
     hold_lease: bool,
@@ -106,7 +106,8 @@
     pub fn new(broken: Broken) -> Self {
         let mut sites = [Site::default(), Site::default()];
         for (site, name) in sites.iter_mut().zip(NAMES) {
-            site.own = Own { site: name.into(), ready: true, served: 1.0, ..Own::default() };
+            site.own =
+                LocalBalancer { site: name.into(), ready: true, served: 1.0, ..LocalBalancer::default() };
         }
         let mut world =
             Self { broken, t: 0, leader: None, hold_commit: false, late: None, log: State::default(), sites };
--- a/crates/address-announcement/src/lib.rs
+++ b/crates/address-announcement/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod order;
 pub mod state;
 
-pub use answer::{Answer, Own};
+pub use answer::{Answer, LocalBalancer};
 pub use decide::Decider;
 pub use health::SiteHealth;
 pub use order::{Order, Refusal};
--- a/crates/address-announcement/tests/answer.rs
+++ b/crates/address-announcement/tests/answer.rs
@@ -4,7 +4,7 @@
 
 use common::{Run, address, ms, s};
 use maplehook_address_announcement::answer::{ALONE_FOR, FLOOR};
-use maplehook_address_announcement::{Announce, Answer, Order, Own, State};
+use maplehook_address_announcement::{Announce, Answer, LocalBalancer, Order, State};
 
 fn state(announce: Announce) -> State {
     let mut run = Run::new(address(announce, 2, 1));
@@ -12,8 +12,14 @@
     run.decider.state().clone()
 }
 
-fn own(site: &str, state: State, until: u64) -> Own {
-    Own { site: site.into(), ready: true, served: 1.0, lease_until: Some(s(until)), state: Some(state) }
+fn own(site: &str, state: State, until: u64) -> LocalBalancer {
+    LocalBalancer {
+        site: site.into(),
+        ready: true,
+        served: 1.0,
+        lease_until: Some(s(until)),
+        state: Some(state),
+    }
 }
 
 fn good_for(answer: &Answer) -> std::time::Duration {
@@ -71,13 +77,13 @@
         let ready = own("a", state(announce), 100);
         assert!(!good_for(&ready.answer("front", s(50))).is_zero());
         assert!(good_for(&ready.answer("back", s(50))).is_zero());
-        let not = Own { ready: false, ..ready.clone() };
+        let not = LocalBalancer { ready: false, ..ready.clone() };
         assert!(good_for(&not.answer("front", s(50))).is_zero());
-        let new = Own { state: None, ..ready.clone() };
+        let new = LocalBalancer { state: None, ..ready.clone() };
         assert!(good_for(&new.answer("front", s(50))).is_zero());
-        let never = Own { lease_until: None, ..ready.clone() };
+        let never = LocalBalancer { lease_until: None, ..ready.clone() };
         assert_eq!(good_for(&never.answer("front", s(50))).is_zero(), announce == Announce::One);
-        let elsewhere = Own { site: "x".into(), ..ready };
+        let elsewhere = LocalBalancer { site: "x".into(), ..ready };
         assert!(good_for(&elsewhere.answer("front", s(500))).is_zero());
     }
 }
@@ -88,7 +94,7 @@
     assert_eq!(good_for(&cut.answer("front", s(50))), s(3));
     assert_eq!(good_for(&cut.answer("front", s(5000))), ALONE_FOR);
     for served in [0.89, 0.0, f64::NAN] {
-        let ill = Own { served, ..cut.clone() };
+        let ill = LocalBalancer { served, ..cut.clone() };
         assert!(good_for(&ill.answer("front", s(5000))).is_zero(), "{served}");
         assert!(!good_for(&ill.answer("front", s(50))).is_zero(), "with a lease the common word holds");
     }
--- a/crates/address-announcement/tests/drift.rs
+++ b/crates/address-announcement/tests/drift.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Run, address, ms, s};
-use maplehook_address_announcement::{Announce, Answer, Order, Own, State};
+use maplehook_address_announcement::{Announce, Answer, LocalBalancer, Order, State};
 use maplehook_locality::Region;
 use std::time::Duration;
 
@@ -14,13 +14,19 @@
     real.mul_f64(rate)
 }
 
-fn holder(state: &State, asked: Duration) -> Own {
+fn holder(state: &State, asked: Duration) -> LocalBalancer {
     let until = asked + LEASE.mul_f64(0.99);
-    Own { site: "a".into(), ready: true, served: 1.0, lease_until: Some(until), state: Some(state.clone()) }
+    LocalBalancer {
+        site: "a".into(),
+        ready: true,
+        served: 1.0,
+        lease_until: Some(until),
+        state: Some(state.clone()),
+    }
 }
 
 /// Until when, in real time, a router goes on that asked now.
-fn held(own: &Own, rate: f64, router: f64, real: Duration) -> Duration {
+fn held(own: &LocalBalancer, rate: f64, router: f64, real: Duration) -> Duration {
     match own.answer("front", by(rate, real)) {
         Answer::Announces { good_for, .. } => real + good_for.div_f64(router),
         Answer::Withdrawn { .. } => Duration::ZERO,
--- a/crates/address-announcement/tests/health.rs
+++ b/crates/address-announcement/tests/health.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Run, address, ms, names, s};
-use maplehook_address_announcement::{Announce, Answer, Decider, Own, Phase};
+use maplehook_address_announcement::{Announce, Answer, Decider, LocalBalancer, Phase};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -72,7 +72,7 @@
 
 /// Sites' balancers, one each.
 struct Balancers {
-    own: Vec<Own>,
+    own: Vec<LocalBalancer>,
     /// Since when each could serve, and was in touch.
     healthy: Vec<Option<Duration>>,
     near: Vec<Option<Duration>>,
@@ -117,7 +117,7 @@
     ) {
         let mut run = Run::new(address(Announce::Many, sites, keep));
         let mut watch = Watch::default();
-        let own = |site: &str| Own { site: site.into(), ..Own::default() };
+        let own = |site: &str| LocalBalancer { site: site.into(), ..LocalBalancer::default() };
         let all = ["a", "b", "c", "d"][..usize::from(sites)].to_vec();
         let mut balancers = Balancers {
             own: all.iter().map(|site| own(site)).collect(),
@@ -171,7 +171,7 @@
     let mut run = Run::new(address(Announce::Many, 3, 1));
     run.run(s(1));
     let until = run.now + LEASE;
-    let own = |site: &str, served| Own {
+    let own = |site: &str, served| LocalBalancer {
         site: site.into(),
         ready: true,
         served,
@@ -185,6 +185,7 @@
     run.run(s(600));
     assert!(run.standing().all_stay.is_some(), "it is said");
     assert_eq!(run.announcing(), "a300 b300 c300", "and nothing is withdrawn");
-    let announces = |own: &Own| matches!(own.answer("front", until + s(60)), Answer::Announces { .. });
+    let announces =
+        |own: &LocalBalancer| matches!(own.answer("front", until + s(60)), Answer::Announces { .. });
     assert_eq!(balancers.each_ref().map(announces), [true, true, false]);
 }
--- a/crates/address-announcement/tests/many.rs
+++ b/crates/address-announcement/tests/many.rs
@@ -72,7 +72,7 @@
     run.run(s(10));
     assert_eq!(run.announcing(), "b400 c400");
     let three = address(Announce::Many, 3, 3);
-    run.decider.retune(vec![three], names(&["a", "b", "c"]), run.now);
+    run.decider.reconfigure(vec![three], names(&["a", "b", "c"]), run.now);
     run.run(s(10));
     assert_eq!(run.announcing(), "a100 b400 c400");
 }
@@ -248,7 +248,7 @@
     // The regions are counted otherwise, and one is added before them.
     let mut other = address(Announce::Many, 4, 1);
     other.sites = vec![Region(3), Region(2), Region(1), Region(0)];
-    run.decider.retune(vec![other], names(&["d", "c", "b", "a"]), run.now);
+    run.decider.reconfigure(vec![other], names(&["d", "c", "b", "a"]), run.now);
     run.sites = (0..4).map(common::well).collect();
     run.serves(2, 0.0);
     run.run(s(5));
@@ -256,7 +256,7 @@
     run.run(s(6));
     assert_eq!(run.announcing(), "a400 c400 d400");
     // An address that is taken away is announced no more.
-    run.decider.retune(Vec::new(), names(&["d", "c", "b", "a"]), run.now);
+    run.decider.reconfigure(Vec::new(), names(&["d", "c", "b", "a"]), run.now);
     run.run(s(1));
     assert!(run.decider.state().addresses.is_empty());
 }
--- a/crates/address-announcement/tests/net.rs
+++ b/crates/address-announcement/tests/net.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::{address, ms, names, s};
-use maplehook_address_announcement::{Address, Announce, Answer, Decider, Order, Own, SiteHealth, State};
+use maplehook_address_announcement::{
+    Address, Announce, Answer, Decider, LocalBalancer, Order, SiteHealth, State,
+};
 use maplehook_locality::Region;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -27,7 +29,7 @@
 struct Balancer {
     site: usize,
     clock: Clock,
-    own: Own,
+    own: LocalBalancer,
     stopped: bool,
     cut: bool,
     next_ask: Duration,
@@ -79,7 +81,12 @@
         let balancer = |n: usize, clock| Balancer {
             site: n / 2,
             clock,
-            own: Own { site: NAMES[n / 2].into(), ready: true, served: 1.0, ..Own::default() },
+            own: LocalBalancer {
+                site: NAMES[n / 2].into(),
+                ready: true,
+                served: 1.0,
+                ..LocalBalancer::default()
+            },
             stopped: false,
             cut: false,
             next_ask: Duration::ZERO,
--- a/crates/address-announcement/tests/one.rs
+++ b/crates/address-announcement/tests/one.rs
@@ -148,7 +148,7 @@
     run.behind.insert(Region(0), s(4));
     run.run(s(1));
     // Regions are counted otherwise: the holder is the third now.
-    run.decider.retune(vec![address(Announce::One, 3, 1)], names(&["c", "b", "a"]), run.now);
+    run.decider.reconfigure(vec![address(Announce::One, 3, 1)], names(&["c", "b", "a"]), run.now);
     run.behind.clear();
     run.behind.insert(Region(2), s(3));
     run.run(s(2));
@@ -161,8 +161,8 @@
 #[test]
 fn a_holder_that_is_named_no_more_is_waited_for_by_the_longest_lease() {
     let mut run = three();
-    run.decider.set_longest_lease(s(6));
-    run.decider.retune(vec![address(Announce::One, 2, 1)], names(&["b", "c"]), run.now);
+    run.decider.set_max_lease(s(6));
+    run.decider.reconfigure(vec![address(Announce::One, 2, 1)], names(&["b", "c"]), run.now);
     run.sites.truncate(2);
     run.run(ms(200));
     assert_eq!(stands(&run), ["-", "a", "b"]);
@@ -177,7 +177,7 @@
     let mut run = Run::new(address(Announce::Many, 3, 1));
     run.run(s(1));
     run.sites[2].cut_off = true;
-    run.decider.retune(vec![address(Announce::One, 3, 1)], names(&["a", "b", "c"]), run.now);
+    run.decider.reconfigure(vec![address(Announce::One, 3, 1)], names(&["a", "b", "c"]), run.now);
     run.run(s(60));
     assert_eq!(stands(&run), ["-", "-", "-"], "the third may announce it without a lease");
     assert!(run.announcing().is_empty() && run.standing().unheard.contains("c"));
@@ -185,7 +185,7 @@
     run.run(s(5));
     assert_eq!(stands(&run), ["a", "a", "-"]);
     // And back: all may, the holder at once.
-    run.decider.retune(vec![address(Announce::Many, 3, 1)], names(&["a", "b", "c"]), run.now);
+    run.decider.reconfigure(vec![address(Announce::Many, 3, 1)], names(&["a", "b", "c"]), run.now);
     run.run(ms(200));
     assert_eq!(run.announcing(), "a300 b200 c200");
 }
--- a/crates/address-announcement/tests/state.rs
+++ b/crates/address-announcement/tests/state.rs
@@ -43,7 +43,7 @@
     let mut other = address(Announce::Many, 2, 1);
     other.name = "other".into();
     let mut run = run(Announce::Many);
-    run.decider.retune(vec![address(Announce::Many, 2, 1), other.clone()], names(&["a", "b"]), run.now);
+    run.decider.reconfigure(vec![address(Announce::Many, 2, 1), other.clone()], names(&["a", "b"]), run.now);
     run.run(s(1));
     let epochs = |run: &Run| ["front", "other"].map(|name| run.decider.state().addresses[name].epoch);
     assert_eq!(epochs(&run), [1, 1]);
@@ -76,7 +76,7 @@
     let mut run = run(Announce::One);
     moved(&mut run, "b");
     run.run(ms(900));
-    run.decider.retune(vec![address(Announce::One, 2, 1)], names(&["b", "a"]), run.now);
+    run.decider.reconfigure(vec![address(Announce::One, 2, 1)], names(&["b", "a"]), run.now);
     run.behind.insert(Region(1), s(4));
     run.run(s(2));
     assert_eq!(run.standing().holder, None);
@@ -109,8 +109,8 @@
     let mut wild = address(Announce::One, 2, usize::MAX);
     wild.sites.push(Region(500));
     (wild.withdraw_after, wild.return_after) = (std::time::Duration::MAX, std::time::Duration::MAX);
-    run.decider.retune(vec![wild], names(&["a", "b"]), run.now);
-    run.decider.set_longest_lease(std::time::Duration::MAX);
+    run.decider.reconfigure(vec![wild], names(&["a", "b"]), run.now);
+    run.decider.set_max_lease(std::time::Duration::MAX);
     run.behind.insert(Region(0), std::time::Duration::MAX);
     run.run(s(5));
     assert_eq!(run.standing().holder, None);
@@ -150,7 +150,7 @@
     let mut run = run(Announce::Many);
     let slow =
         maplehook_address_announcement::Address { return_after: s(10_000), ..address(Announce::Many, 2, 1) };
-    run.decider.retune(vec![slow], names(&["a", "b"]), run.now);
+    run.decider.reconfigure(vec![slow], names(&["a", "b"]), run.now);
     for _ in 0..100 {
         run.serves(0, 0.0);
         run.run(s(6));
--- a/crates/failover-agent/src/board.rs
+++ b/crates/failover-agent/src/board.rs
@@ -4,7 +4,7 @@
 use crate::history::{Writer, unix_us};
 use crate::shown::{Shown, ShownRow, trips};
 use crate::talk::{Agreed, Reply, Wish};
-use maplehook_address_announcement::{Announce, Answer, Own};
+use maplehook_address_announcement::{Announce, Answer, LocalBalancer};
 use maplehook_consensus::SharedDocumentStatus;
 use maplehook_history_checker::What;
 use serde::{Deserialize, Serialize};
@@ -184,7 +184,7 @@
         let now = Instant::now();
         let since = |at: Instant| at.saturating_duration_since(self.epoch);
         let site = config.topology.region_name(config.topology.region_of(config.own)).to_owned();
-        let own = Own {
+        let own = LocalBalancer {
             site: site.clone(),
             ready: self.ready.load(Ordering::Acquire),
             served: stands.served,
--- a/crates/failover-agent/src/lead.rs
+++ b/crates/failover-agent/src/lead.rs
@@ -53,7 +53,7 @@
     pub fn retune(&mut self, config: Config, now: Duration) {
         self.places.retune(config.topology.clone(), config.rules.clone(), now);
         self.places.set_bounds(config.bounds);
-        self.addresses.retune(config.addresses.clone(), config.sites(), now);
+        self.addresses.reconfigure(config.addresses.clone(), config.sites(), now);
         self.measuring = Measuring::new(&self.measuring.table(&self.config.topology), &config.topology);
         self.config = config;
         // Zones are counted anew.
@@ -62,7 +62,7 @@
 
     /// The longest that a lease can last by this leader's clock.
     pub fn set_longest_lease(&mut self, longest: Duration) {
-        self.addresses.set_longest_lease(longest);
+        self.addresses.set_max_lease(longest);
     }
 
     /// What a balancer sees.
--- a/tools/simulator/src/places/explore/members.rs
+++ b/tools/simulator/src/places/explore/members.rs
@@ -1,7 +1,7 @@
 //! Leases, what members answer to routers, and what they act on.
 
 use super::world::{Flaw, NAMES, SITES, STEP, World, names, times};
-use maplehook_address_announcement::{Answer, Own};
+use maplehook_address_announcement::{Answer, LocalBalancer};
 use maplehook_failover::Acting;
 use maplehook_failover_agent::talk::Agreed;
 use maplehook_locality::{Rules, Topology, Zone};
@@ -100,7 +100,7 @@
         let (member, clock) = (&self.members[n], self.clock(n));
         let past = self.flaw == Some(Flaw::AnnouncesPastLease);
         let until = member.holding.lease_end().map(|until| if past { clock + times().lease } else { until });
-        let own = Own {
+        let own = LocalBalancer {
             site: NAMES[SITES[n]].into(),
             ready: true,
             served: 1.0,
--- a/tools/simulator/src/places/watch.rs
+++ b/tools/simulator/src/places/watch.rs
@@ -4,7 +4,7 @@
 use super::faults::{BEGINS, ENDS, LASTS};
 use super::fleet::{Eyes, Step};
 use super::ground::{Ground, STEP, STEP_S};
-use maplehook_address_announcement::{Answer, Own};
+use maplehook_address_announcement::{Answer, LocalBalancer};
 use maplehook_failover::Document;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -223,7 +223,7 @@
                 .collect();
             let Some(n) = of_it.get(self.polls % of_it.len().max(1)).copied() else { continue };
             let entry = &agreeing.members[n].entry;
-            let own = Own {
+            let own = LocalBalancer {
                 site: topology.region_name(maplehook_locality::Region(*site as u16)).to_owned(),
                 ready: true,
                 served: eyes[n].served(),
