--- a/crates/address-announcement/src/answer.rs
+++ b/crates/address-announcement/src/answer.rs
@@ -21,7 +21,7 @@
     pub site: String,
     /// True if the balancer accepts clients.
     pub ready: bool,
-    /// Share of the demand of the balancer's clients that it can serve, measured by the balancer itself, from
+    /// Share of its own clients' demand that the balancer can serve, as measured by the balancer, from
     /// 0 to 1.
     pub served: f64,
     /// Time on the balancer's clock until which it may act on the state. Counted from before the lease was
--- a/crates/address-announcement/src/decide.rs
+++ b/crates/address-announcement/src/decide.rs
@@ -34,7 +34,7 @@
     handovers: BTreeMap<String, Handover>,
 }
 
-/// Input for the decision on one address.
+/// Input for the decision on which sites announce one address.
 pub(crate) struct AddressContext<'a> {
     pub address: &'a Address,
     /// Sites of the address that have a name, in order of preference.
--- a/crates/address-announcement/src/one.rs
+++ b/crates/address-announcement/src/one.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// Returns the sites that may still announce the address by an old state.
+/// Returns the sites that may still announce the address based on an old state.
 pub(crate) fn sites_to_wait_for(context: &AddressContext<'_>) -> BTreeSet<Region> {
     let last = context.base.last.as_ref().and_then(|last| context.region(last));
     match last {
@@ -104,7 +104,7 @@
     if next.pinned.is_some()
         && next.holder.as_deref().or(next.next.as_deref()).is_some_and(|s| context.is_healthy(s))
     {
-        // The site has recovered, so its earlier health no longer needs to be ignored.
+        // The site has recovered, so the pin ends and its health counts again.
         next.pinned = None;
     }
     match next.holder.clone() {
--- a/crates/address-announcement/src/state.rs
+++ b/crates/address-announcement/src/state.rs
@@ -82,7 +82,7 @@
     pub all_stay: Option<String>,
     /// Records of the sites of the address, by site name.
     pub sites: BTreeMap<String, SiteRecord>,
-    /// Time since the last change of this state, in milliseconds.
+    /// Not used: no leader sets this age, so the value is always 0. It stays part of the encoding.
     pub for_ms: u64,
 }
 
--- a/crates/address-announcement/tests/one.rs
+++ b/crates/address-announcement/tests/one.rs
@@ -294,7 +294,7 @@
     while handover_state(&run)[0] != "b" {
         run.tick();
     }
-    // The state was agreed just now, but balancers may have answered by it already.
+    // The state was agreed just now, but balancers may already have sent answers based on it.
     let state = run.decider.order(&move_order("a", false)).unwrap();
     run.accept(state);
     run.run(ms(1000));
