--- a/crates/address-announcement/src/decide.rs
+++ b/crates/address-announcement/src/decide.rs
@@ -332,7 +332,7 @@
 
 #[cfg(test)]
 impl Decider {
-    /// Returns the part of the decider that can affect later decisions. Times are ages; penalties are left out.
+    /// Returns the parts of the decider that affect later decisions. Times are ages; penalties are left out.
     pub(crate) fn fingerprint(&self) -> Vec<u64> {
         let age = |at: Duration| self.now.saturating_sub(at).min(Duration::from_secs(4)).as_millis() as u64;
         let mut fingerprint = vec![self.proposed_at.map_or(9999, age)];
