--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -1,14 +1,14 @@
-//! One client's connection: how far it has come, and what its bytes tell before a request is made of them.
+//! State of one client connection and the timeouts that apply to it.
 
 mod progress;
 
-pub use progress::Allowance;
+pub use progress::ClientTimeouts;
 
 use crate::framing::Framing;
-use crate::server::End;
+use crate::server::EndReason;
 use maplehook::label::Label;
 use maplehook_admission::ConnectionId;
-use progress::{PROMPT, Progress};
+use progress::{Progress, SEND_GRACE};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::task::Poll;
@@ -16,349 +16,366 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A connection on which nothing has been asked for so long is closed.
-const IDLE_MOST: Duration = Duration::from_secs(6);
-/// An answer that has been written for so long has been read, or its client holds up what comes after it.
-const READ_BY_NOW: Duration = Duration::from_secs(3);
-/// Between two looks at a connection on which a request may begin at any time.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
-/// The attempt that has a body which stops tells its client so; after this its connection does.
-const WORDING: Duration = Duration::from_millis(50);
-/// How far a connection has come.
+/// Time without a request after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time after which a written response counts as read. A client that is slower blocks only its own next
+/// response.
+const ASSUMED_READ_AFTER: Duration = Duration::from_secs(3);
+/// Interval between checks of a connection on which a request may begin at any time.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Extra time before the connection reports a stalled upload, so that the attempt that forwards the body can
+/// report the stall first.
+const STALL_REPORT_DELAY: Duration = Duration::from_millis(50);
+/// Request state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
-    /// Nothing of use has come on it yet.
+pub enum ConnectionState {
+    /// Waiting for the first valid request.
     New,
-    /// The head of a request is here, the rest of it is not.
+    /// A request head was received; the request is not complete yet.
     Reading,
-    /// A request is owed its answer.
+    /// The response to a valid request is pending.
     Held,
-    /// The last request has its answer.
+    /// The last request was answered.
     Idle,
 }
 
-/// What an answer was to.
+/// Kind of the client message that a response answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Question {
-    /// A request.
+pub enum MessageKind {
+    /// A valid request, which is forwarded or rejected.
     Request,
-    /// Our health.
+    /// A request for one of the balancer's own health endpoints.
     Health,
-    /// What is no request.
-    Unfit,
+    /// A message that is not a valid request.
+    Invalid,
 }
 
-/// Who is told what clients do.
-pub trait Keeper {
-    /// A part of a request has come.
-    fn came(&self, id: ConnectionId);
-    /// A request is whole and fit.
-    fn held(&self, id: ConnectionId, tenant: u32, vouched: bool);
-    /// A request has its answer; `true`: the connection ends with it.
-    fn answered(&self, id: ConnectionId) -> bool;
-    /// A question that is no request has its answer; `true`: the connection ends with it.
-    fn checked(&self, id: ConnectionId) -> bool;
-    /// A connection has ended.
-    fn left(&self, id: ConnectionId);
+/// Receives the events of client connections.
+pub trait ConnectionObserver {
+    /// Called when part of a request was received.
+    fn on_bytes(&self, id: ConnectionId);
+    /// Called when a valid request was received; `is_authenticated`: the request identifies a known client.
+    fn on_request(&self, id: ConnectionId, tenant: u32, is_authenticated: bool);
+    /// Called when a request was answered. Returns true if the connection must close after that response.
+    fn on_response(&self, id: ConnectionId) -> bool;
+    /// Called when a health check or an invalid message was answered. Returns true if the connection must
+    /// close after that response.
+    fn on_health_check_response(&self, id: ConnectionId) -> bool;
+    /// Called when the connection was closed.
+    fn on_close(&self, id: ConnectionId);
 }
 
-/// What is known of a client's connection.
-pub struct Client {
-    keeper: Rc<dyn Keeper>,
+/// Request state, transfer progress and close request of a client connection.
+pub struct ClientConnection {
+    observer: Rc<dyn ConnectionObserver>,
     id: ConnectionId,
-    stand: Cell<Stand>,
-    /// Whether a request of it was ever fit to be answered.
-    useful: Cell<bool>,
-    /// Since when nothing of use has come, or since the last answer.
-    since: Cell<Instant>,
+    state: Cell<ConnectionState>,
+    /// True if the client has ever sent a valid request.
+    has_valid_request: Cell<bool>,
+    /// Time of the last response, or of the connection's start if there was none.
+    idle_since: Cell<Instant>,
     progress: Progress,
-    /// How long nothing may come of the body that streams, where the request in hand has one and no answer yet.
-    upload: Cell<Option<Duration>>,
-    upload_begins: Notify,
-    /// Whether it has been told that its request did not come in time.
-    cut_short: Cell<bool>,
-    /// What it calls its last request, for the log.
+    /// Maximum pause within a streaming request body; `None` without such a body or once its response was
+    /// received.
+    upload_idle_limit: Cell<Option<Duration>>,
+    upload_started: Notify,
+    /// True if the client was notified that its request timed out.
+    timeout_reported: Cell<bool>,
+    /// Label of the last request, for the log.
     label: Cell<Label>,
-    /// Where its requests begin and end, and whether the head of the one in hand hides a length.
+    /// Boundaries of the client's requests. `has_hidden_length`: the current head has a `Content-Length` that
+    /// hyper hides.
     framing: RefCell<Framing>,
-    hides_a_length: Cell<bool>,
-    /// Told when it is to make room, and whether it was.
-    close: Notify,
-    told: Cell<bool>,
+    has_hidden_length: Cell<bool>,
+    /// Wakes the connection's task to close; `close_requested` is true from then on.
+    close_signal: Notify,
+    close_requested: Cell<bool>,
 }
 
-impl Client {
-    /// One that has just been let in under this name.
-    pub fn new(keeper: Rc<dyn Keeper>, id: ConnectionId, allowance: Allowance) -> Self {
+impl ClientConnection {
+    /// Creates the state of a connection that was just admitted under `id`.
+    pub fn new(observer: Rc<dyn ConnectionObserver>, id: ConnectionId, timeouts: ClientTimeouts) -> Self {
         Self {
-            keeper,
+            observer,
             id,
-            progress: Progress::new(allowance),
-            upload: Cell::new(None),
-            upload_begins: Notify::new(),
-            cut_short: Cell::new(false),
-            stand: Cell::new(Stand::New),
-            useful: Cell::new(false),
-            since: Cell::new(Instant::now()),
+            progress: Progress::new(timeouts),
+            upload_idle_limit: Cell::new(None),
+            upload_started: Notify::new(),
+            timeout_reported: Cell::new(false),
+            state: Cell::new(ConnectionState::New),
+            has_valid_request: Cell::new(false),
+            idle_since: Cell::new(Instant::now()),
             label: Cell::default(),
             framing: RefCell::default(),
-            hides_a_length: Cell::new(false),
-            close: Notify::new(),
-            told: Cell::new(false),
+            has_hidden_length: Cell::new(false),
+            close_signal: Notify::new(),
+            close_requested: Cell::new(false),
         }
     }
 
-    /// How far it has come.
-    pub fn stand(&self) -> Stand {
-        self.stand.get()
+    /// Returns the request state.
+    pub fn state(&self) -> ConnectionState {
+        self.state.get()
     }
 
-    /// A head has come, of a request that its client calls by this label.
-    pub fn reads(&self, label: Label) {
+    /// Records that the head of the request with this label was read.
+    pub fn on_head(&self, label: Label) {
         self.label.set(label);
-        self.hides_a_length.set(self.framing.borrow_mut().next());
-        let begun = self.progress.begun().unwrap_or_else(Instant::now);
-        let begun = if self.stand.replace(Stand::Reading) == Stand::New { self.since.get() } else { begun };
-        self.progress.begin(begun);
-    }
-
-    /// The request is here and fit to be answered, whole or with a body that streams, of which nothing may come for as long
-    /// as `upload` says. `vouched`: it shows that its client is known.
-    pub fn holds(&self, tenant: u32, vouched: bool, upload: Option<Duration>) {
-        self.progress.end();
-        self.upload.set(upload);
-        if upload.is_some() {
-            self.upload_begins.notify_one();
+        self.has_hidden_length.set(self.framing.borrow_mut().advance());
+        let start = self.progress.request_started().unwrap_or_else(Instant::now);
+        let start = if self.state.replace(ConnectionState::Reading) == ConnectionState::New {
+            self.idle_since.get()
+        } else {
+            start
+        };
+        self.progress.start_request(start);
+    }
+
+    /// Records that a valid request was received, either complete or with a streaming body.
+    /// `upload_idle_limit`: the maximum pause within that body. `is_authenticated`: the request identifies a
+    /// known client.
+    pub fn on_request(&self, tenant: u32, is_authenticated: bool, upload_idle_limit: Option<Duration>) {
+        self.progress.finish_request();
+        self.upload_idle_limit.set(upload_idle_limit);
+        if upload_idle_limit.is_some() {
+            self.upload_started.notify_one();
         }
-        self.stand.set(Stand::Held);
-        self.keeper.held(self.id, tenant, vouched);
-    }
-
-    /// The answer is made; `true`: the connection ends with it. A client that has only sent what is unfit
-    /// stays as new as it was.
-    pub fn answered(&self, question: Question) -> bool {
-        self.progress.restart();
-        self.upload.set(None);
-        self.useful.set(self.useful.get() || question == Question::Request);
-        if self.useful.get() || question == Question::Health {
-            self.stand.set(Stand::Idle);
-            self.since.set(Instant::now());
+        self.state.set(ConnectionState::Held);
+        self.observer.on_request(self.id, tenant, is_authenticated);
+    }
+
+    /// Records a response to a message of this kind. Returns true if the connection must close after that
+    /// response. A client that has sent only invalid messages stays in [`ConnectionState::New`].
+    pub fn on_response(&self, kind: MessageKind) -> bool {
+        self.progress.reset_request();
+        self.upload_idle_limit.set(None);
+        self.has_valid_request.set(self.has_valid_request.get() || kind == MessageKind::Request);
+        if self.has_valid_request.get() || kind == MessageKind::Health {
+            self.state.set(ConnectionState::Idle);
+            self.idle_since.set(Instant::now());
         } else {
-            self.stand.set(Stand::New);
+            self.state.set(ConnectionState::New);
         }
-        match question {
-            Question::Request => self.keeper.answered(self.id),
-            Question::Health | Question::Unfit => self.keeper.checked(self.id),
+        match kind {
+            MessageKind::Request => self.observer.on_response(self.id),
+            MessageKind::Health | MessageKind::Invalid => self.observer.on_health_check_response(self.id),
         }
     }
 
-    /// The answer has come: what its client still sends of its request is not waited for.
-    pub fn has_answer(&self) {
-        self.upload.set(None);
+    /// Records that the upstream's response was received. The rest of the request body no longer times out.
+    pub fn on_upstream_response(&self) {
+        self.upload_idle_limit.set(None);
     }
 
-    /// The connection has ended.
-    pub fn leaves(&self) {
-        self.keeper.left(self.id);
+    /// Reports that the connection was closed.
+    pub fn on_close(&self) {
+        self.observer.on_close(self.id);
     }
 
-    /// Whether the head that is read names a length beside its encoding: hyper does not show that one.
-    pub fn hides_a_length(&self) -> bool {
-        self.hides_a_length.get()
+    /// Returns true if the current head has a `Content-Length` next to `Transfer-Encoding`; hyper does not
+    /// expose that length.
+    pub fn has_hidden_length(&self) -> bool {
+        self.has_hidden_length.get()
     }
 
-    /// Whether the next request has begun to come behind the one that is answered.
-    pub fn has_more(&self) -> bool {
-        self.framing.borrow().has_more()
+    /// Returns true if part of another request was received after the current one.
+    pub fn has_pipelined_bytes(&self) -> bool {
+        self.framing.borrow().has_next_request_bytes()
     }
 
-    /// Whether a whole request stands behind the one that is answered: it is owed its answer too.
-    pub fn has_whole(&self) -> bool {
-        self.framing.borrow().has_whole()
+    /// Returns true if a complete request was received after the current one; that request must be answered
+    /// too.
+    pub fn has_complete_pipelined_request(&self) -> bool {
+        self.framing.borrow().has_complete_next_request()
     }
 
-    /// When the last byte came of the request that is read, where that can be told.
-    pub fn whole_at(&self) -> Option<Instant> {
-        self.framing.borrow().whole_at()
+    /// Returns when the last byte of the current request was received, if known.
+    pub fn request_completed_at(&self) -> Option<Instant> {
+        self.framing.borrow().completed_at()
     }
 
-    /// Whether a part of a request has come that is not whole yet.
-    pub fn is_writing(&self) -> bool {
-        self.stand.get() == Stand::Reading || (self.stand.get() != Stand::Held && self.has_more())
+    /// Returns true if the client has sent part of a request that is not complete yet.
+    pub fn is_sending_request(&self) -> bool {
+        self.state.get() == ConnectionState::Reading
+            || (self.state.get() != ConnectionState::Held && self.has_pipelined_bytes())
     }
 
-    /// Whether it is owed no answer and has sent a part of a request that is not whole. One that does not read its last
-    /// answer is not asked for the rest.
-    fn is_midway(&self) -> bool {
-        match self.stand.get() {
-            Stand::Reading => true,
-            Stand::New | Stand::Idle => !self.progress.is_blocked() && self.framing.borrow().has_part(),
-            Stand::Held => false,
+    /// Returns true if no response is pending and the client has sent part of a request. A client that does
+    /// not read its last response is not expected to send the rest.
+    fn is_mid_request(&self) -> bool {
+        match self.state.get() {
+            ConnectionState::Reading => true,
+            ConnectionState::New | ConnectionState::Idle => {
+                !self.progress.is_write_blocked() && self.framing.borrow().has_partial_next_request()
+            }
+            ConnectionState::Held => false,
         }
     }
 
-    /// How long nothing may come of the rest of the body that streams, where it has not come whole.
-    fn uploads(&self) -> Option<Duration> {
-        self.upload.get().filter(|_| self.framing.borrow().awaits_body())
+    /// Returns the maximum pause within the streaming body, if that body is not complete yet.
+    fn remaining_upload_limit(&self) -> Option<Duration> {
+        self.upload_idle_limit.get().filter(|_| self.framing.borrow().is_body_incomplete())
     }
 
-    /// When it is to be closed, as things stand.
-    fn due(&self) -> Option<Instant> {
-        let begun = self.progress.begun().unwrap_or(self.since.get());
-        match self.stand.get() {
-            Stand::New => Some(self.progress.read_by(self.since.get())),
-            // A bit more: the answer says why.
-            Stand::Reading => Some(self.progress.read_by(begun) + PROMPT),
-            Stand::Idle if self.is_midway() => Some(self.progress.read_by(begun)),
-            Stand::Idle => Some(self.since.get() + IDLE_MOST),
-            // An answer that streams waits for its reader, but not for ever.
-            Stand::Held => self.progress.unread_by().or_else(|| self.upload_by()),
+    /// Returns when the connection times out in its current state.
+    fn deadline(&self) -> Option<Instant> {
+        let start = self.progress.request_started().unwrap_or(self.idle_since.get());
+        match self.state.get() {
+            ConnectionState::New => Some(self.progress.request_deadline(self.idle_since.get())),
+            // The extra time lets the response report the timeout first.
+            ConnectionState::Reading => Some(self.progress.request_deadline(start) + SEND_GRACE),
+            ConnectionState::Idle if self.is_mid_request() => Some(self.progress.request_deadline(start)),
+            ConnectionState::Idle => Some(self.idle_since.get() + IDLE_TIMEOUT),
+            // The client of a streaming response may read slowly, up to a limit.
+            ConnectionState::Held => self.progress.read_deadline().or_else(|| self.upload_deadline()),
         }
     }
 
-    /// Until when the body that streams has to go on.
-    fn upload_by(&self) -> Option<Instant> {
-        self.uploads().map(|silence| self.progress.silent_by(silence) + WORDING)
+    /// Returns when the streaming body counts as stalled unless more of the body is received.
+    fn upload_deadline(&self) -> Option<Instant> {
+        self.remaining_upload_limit()
+            .map(|idle_limit| self.progress.idle_deadline(idle_limit) + STALL_REPORT_DELAY)
     }
 
-    /// Waits until a body begins to stream.
-    pub async fn upload_begins(&self) {
-        self.upload_begins.notified().await;
+    /// Waits until a request body starts to stream.
+    pub async fn wait_for_upload(&self) {
+        self.upload_started.notified().await;
     }
 
-    /// Whether more is to come of a body that streams.
+    /// Returns true if the streaming body of the current request is not complete yet.
     pub fn is_uploading(&self) -> bool {
-        self.uploads().is_some()
+        self.remaining_upload_limit().is_some()
     }
 
-    /// Why it is to end, where it has had all the time that it may take for what it does.
-    pub fn overdue_for(&self) -> Option<End> {
-        let end = match self.stand.get() {
-            _ if self.is_midway() => End::Stopped,
-            Stand::Held if self.progress.unread_by().is_none() => End::Stopped,
-            Stand::Held => End::Unread,
-            Stand::New => End::Silent,
-            Stand::Reading | Stand::Idle => End::Rested,
+    /// Returns why the connection must be closed, if its current state has timed out.
+    pub fn expiry_reason(&self) -> Option<EndReason> {
+        let reason = match self.state.get() {
+            _ if self.is_mid_request() => EndReason::RequestStalled,
+            ConnectionState::Held if self.progress.read_deadline().is_none() => EndReason::RequestStalled,
+            ConnectionState::Held => EndReason::ResponseUnread,
+            ConnectionState::New => EndReason::NothingReceived,
+            ConnectionState::Reading | ConnectionState::Idle => EndReason::Idle,
         };
-        self.due().filter(|due| *due <= Instant::now()).map(|_| end)
+        self.deadline().filter(|deadline| *deadline <= Instant::now()).map(|_| reason)
     }
 
-    /// Until when more has to come of the request that is being read.
-    pub fn read_by(&self) -> Option<Instant> {
-        self.progress.begun().map(|begun| self.progress.read_by(begun))
+    /// Returns when the request that is being read times out.
+    pub fn request_deadline(&self) -> Option<Instant> {
+        self.progress.request_started().map(|start| self.progress.request_deadline(start))
     }
 
-    /// Whether it has stopped in the middle of a request that it is owed no answer to, and has had its time.
-    pub fn has_stopped(&self) -> bool {
-        self.overdue_for() == Some(End::Stopped)
+    /// Returns true if the client stopped sending in the middle of a request, without a pending response, and
+    /// timed out.
+    pub fn has_stalled_request(&self) -> bool {
+        self.expiry_reason() == Some(EndReason::RequestStalled)
     }
 
-    /// It is told that its request did not come in time.
-    pub fn is_cut_short(&self) {
-        self.cut_short.set(true);
+    /// Records that the client was notified that its request timed out.
+    pub fn mark_timeout_reported(&self) {
+        self.timeout_reported.set(true);
     }
 
-    /// Whether it was told so.
-    pub fn was_cut_short(&self) -> bool {
-        self.cut_short.get()
+    /// Returns true if the client was notified that its request timed out.
+    pub fn is_timeout_reported(&self) -> bool {
+        self.timeout_reported.get()
     }
 
-    /// How long nothing has come from it.
-    pub fn silence(&self) -> Duration {
-        self.progress.silence()
+    /// Returns the time since the last byte was received from the client.
+    pub fn time_since_received(&self) -> Duration {
+        self.progress.time_since_received()
     }
 
-    /// What it calls its last request.
+    /// Returns the label of the last request.
     pub fn label(&self) -> Label {
         self.label.get()
     }
 
-    /// How many bytes have come since its last answer.
-    pub fn came_since_answer(&self) -> usize {
-        self.progress.came()
+    /// Returns the number of request bytes consumed since the last response.
+    pub fn bytes_since_response(&self) -> usize {
+        self.progress.consumed_bytes()
     }
 
-    /// Whether its last answer lies so far back that it has long been read.
-    pub fn has_rested(&self) -> bool {
-        self.stand.get() == Stand::Idle && self.since.get().elapsed() > READ_BY_NOW
+    /// Returns true if the last response is so old that the client counts as having read it.
+    pub fn has_read_response(&self) -> bool {
+        self.state.get() == ConnectionState::Idle && self.idle_since.get().elapsed() > ASSUMED_READ_AFTER
     }
 
-    /// Whether it has left an answer unread for too long.
-    pub fn is_stalled(&self) -> bool {
-        self.progress.unread_by().is_some_and(|by| by <= Instant::now())
+    /// Returns true if the client has left a response unread for too long.
+    pub fn has_stalled_response(&self) -> bool {
+        self.progress.read_deadline().is_some_and(|by| by <= Instant::now())
     }
 
-    /// Bytes for it were taken by the kernel, or were not.
-    pub fn wrote<T>(&self, poll: Poll<T>) -> Poll<T> {
-        self.progress.wrote(&poll);
+    /// Records the result of a write to the client's socket.
+    pub fn on_write<T>(&self, poll: Poll<T>) -> Poll<T> {
+        self.progress.on_write(&poll);
         poll
     }
 
-    /// Waits until it has to make room, or has had all the time that it may take for what it does.
-    pub async fn is_to_end(&self) {
+    /// Waits until the connection is asked to close or its current state has timed out.
+    pub async fn wait_for_close(&self) {
         tokio::select! {
-            () = self.close.notified() => (),
-            () = self.overdue() => (),
+            () = self.close_signal.notified() => (),
+            () = self.wait_for_expiry() => (),
         }
     }
 
-    async fn overdue(&self) {
+    async fn wait_for_expiry(&self) {
         loop {
-            let (now, due) = (Instant::now(), self.due());
-            if due.is_some_and(|due| due <= now) {
+            let (now, deadline) = (Instant::now(), self.deadline());
+            if deadline.is_some_and(|deadline| deadline <= now) {
                 return;
             }
-            let look = now + LOOK_EVERY;
-            let until = match due {
-                Some(due) if self.stand.get() == Stand::New => due,
-                due => due.map_or(look, |due| due.min(look)),
+            let next_check = now + CHECK_INTERVAL;
+            let wake_at = match deadline {
+                Some(deadline) if self.state.get() == ConnectionState::New => deadline,
+                deadline => deadline.map_or(next_check, |deadline| deadline.min(next_check)),
             };
-            tokio::time::sleep_until(until).await;
+            tokio::time::sleep_until(wake_at).await;
         }
     }
 
-    /// Has it make room.
-    pub fn end(&self) {
-        self.told.set(true);
-        self.close.notify_one();
+    /// Asks the connection to close and free its slot.
+    pub fn request_close(&self) {
+        self.close_requested.set(true);
+        self.close_signal.notify_one();
     }
 
-    /// Whether it has to make room.
-    pub fn is_told(&self) -> bool {
-        self.told.get()
+    /// Returns true if the connection was asked to close.
+    pub fn is_close_requested(&self) -> bool {
+        self.close_requested.get()
     }
 
-    /// Waits until it has to make room.
-    pub async fn told(&self) {
-        if !self.told.get() {
-            self.close.notified().await;
+    /// Waits until the connection is asked to close.
+    pub async fn wait_for_close_request(&self) {
+        if !self.close_requested.get() {
+            self.close_signal.notified().await;
         }
     }
 
-    /// These bytes have come from it, whoever reads them when.
-    pub fn arrived(&self, bytes: &[u8]) {
+    /// Records bytes received from the client, before the HTTP connection reads them.
+    pub fn on_received(&self, bytes: &[u8]) {
         let now = Instant::now();
-        self.progress.hears(now);
-        self.framing.borrow_mut().came(bytes, now);
+        self.progress.on_received(now);
+        self.framing.borrow_mut().on_bytes(bytes, now);
     }
 
-    /// Bytes of it wait that nobody has read.
-    pub fn has_unread(&self) {
-        self.progress.hears(Instant::now());
+    /// Records that bytes from the client wait in the socket's receive buffer.
+    pub fn on_unread_bytes(&self) {
+        self.progress.on_received(Instant::now());
     }
 
-    /// So many bytes are taken in as a part of a request.
-    pub fn took(&self, bytes: usize) {
+    /// Records that the HTTP connection consumed this many bytes of a request.
+    pub fn on_consumed(&self, bytes: usize) {
         if bytes == 0 {
             return;
         }
-        if self.stand.get() == Stand::Idle && self.progress.begun().is_none() {
-            self.progress.begin(Instant::now());
+        if self.state.get() == ConnectionState::Idle && self.progress.request_started().is_none() {
+            self.progress.start_request(Instant::now());
         }
-        if self.stand.get() != Stand::Held {
-            self.keeper.came(self.id);
+        if self.state.get() != ConnectionState::Held {
+            self.observer.on_bytes(self.id);
         }
-        self.progress.took(bytes);
+        self.progress.add_consumed(bytes);
     }
 }
 
--- a/crates/proxy/src/client/progress.rs
+++ b/crates/proxy/src/client/progress.rs
@@ -1,123 +1,124 @@
-//! What a client has sent and taken lately, and until when more has to come: a client may be slow, as long as it moves on.
+//! Transfer progress of a client connection: a client may be slow as long as it keeps sending and reading.
 
 use std::cell::Cell;
 use std::task::Poll;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The time from the connection, or from a later request's first byte, to the request's last byte, and the bytes a second
-/// that add to it.
-const READ_MOST: Duration = Duration::from_secs(5);
-const READ_RATE: f64 = 8.0 * 1024.0;
-/// What a client has in any case to go on with a request, or to be told that it has not, once it has its last answer.
-pub const PROMPT: Duration = Duration::from_millis(250);
+/// Time from the connection's start, or from a later request's first byte, to the request's last byte, and
+/// the transfer rate that extends this time.
+const BASE_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+const MIN_REQUEST_BYTES_PER_S: f64 = 8.0 * 1024.0;
+/// Minimum time a client has after the last write to it: either to continue a request that it started
+/// earlier, or to receive the response that reports the timeout.
+pub const SEND_GRACE: Duration = Duration::from_millis(250);
 
-/// How long a client may leave things undone.
+/// Limits on a client's pauses while it sends a request or reads a response.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
-    /// The longest time in which nothing comes of a request that is not whole, or of a first one.
-    pub silence: Duration,
-    /// The longest time for which it leaves an answer unread.
-    pub unread: Duration,
+pub struct ClientTimeouts {
+    /// Maximum time without a received byte while a request is incomplete or the first request is awaited.
+    pub request_idle: Duration,
+    /// Maximum time for which a client may leave a response unread.
+    pub response_unread: Duration,
 }
 
-/// A client's progress.
+/// Number of bytes received from a client, and the times of its last activity.
 pub struct Progress {
-    allowance: Allowance,
-    /// When the request that is being read began, and what has come since.
-    begun: Cell<Option<Instant>>,
-    came: Cell<usize>,
-    /// When its last byte came, and when it last took one of ours.
-    heard: Cell<Instant>,
-    wrote: Cell<Instant>,
-    /// Since when it takes nothing of what there is for it.
-    blocked: Cell<Option<Instant>>,
+    timeouts: ClientTimeouts,
+    /// Start of the request that is being read, and the bytes consumed since the last response.
+    started_at: Cell<Option<Instant>>,
+    consumed: Cell<usize>,
+    /// Times of the last byte received and of the last successful write.
+    last_received: Cell<Instant>,
+    last_write: Cell<Instant>,
+    /// Time since which writes to the client have blocked.
+    blocked_since: Cell<Option<Instant>>,
 }
 
 impl Progress {
-    /// Of a client that has just connected.
-    pub fn new(allowance: Allowance) -> Self {
+    /// Creates the progress of a client that has just connected.
+    pub fn new(timeouts: ClientTimeouts) -> Self {
         let now = Instant::now();
         Self {
-            allowance,
-            begun: Cell::new(None),
-            came: Cell::new(0),
-            heard: Cell::new(now),
-            wrote: Cell::new(now),
-            blocked: Cell::new(None),
+            timeouts,
+            started_at: Cell::new(None),
+            consumed: Cell::new(0),
+            last_received: Cell::new(now),
+            last_write: Cell::new(now),
+            blocked_since: Cell::new(None),
         }
     }
 
-    /// When the request that is being read began.
-    pub fn begun(&self) -> Option<Instant> {
-        self.begun.get()
+    /// Returns when the request that is being read started; `None` between requests.
+    pub fn request_started(&self) -> Option<Instant> {
+        self.started_at.get()
     }
 
-    /// The request that is being read began then.
-    pub fn begin(&self, at: Instant) {
-        self.begun.set(Some(at));
+    /// Records the start of the request that is being read.
+    pub fn start_request(&self, at: Instant) {
+        self.started_at.set(Some(at));
     }
 
-    /// No request is being read.
-    pub fn end(&self) {
-        self.begun.set(None);
+    /// Records that no request is being read.
+    pub fn finish_request(&self) {
+        self.started_at.set(None);
     }
 
-    /// Its last request has its answer: what comes from here on is counted anew.
-    pub fn restart(&self) {
-        self.end();
-        self.came.set(0);
+    /// Records that the last request was answered, and resets the count of consumed bytes.
+    pub fn reset_request(&self) {
+        self.finish_request();
+        self.consumed.set(0);
     }
 
-    /// So many bytes are taken in as a part of a request.
-    pub fn took(&self, bytes: usize) {
-        self.came.set(self.came.get().saturating_add(bytes));
+    /// Counts bytes of a request that were consumed.
+    pub fn add_consumed(&self, bytes: usize) {
+        self.consumed.set(self.consumed.get().saturating_add(bytes));
     }
 
-    /// How many bytes have been taken in since its last answer.
-    pub fn came(&self) -> usize {
-        self.came.get()
+    /// Returns the number of bytes consumed since the last response.
+    pub fn consumed_bytes(&self) -> usize {
+        self.consumed.get()
     }
 
-    /// Bytes have come from it.
-    pub fn hears(&self, now: Instant) {
-        self.heard.set(now);
+    /// Records that bytes were received from the client at `now`.
+    pub fn on_received(&self, now: Instant) {
+        self.last_received.set(now);
     }
 
-    /// For how long nothing has come from it.
-    pub fn silence(&self) -> Duration {
-        self.heard.get().elapsed()
+    /// Returns the time since the last byte was received.
+    pub fn time_since_received(&self) -> Duration {
+        self.last_received.get().elapsed()
     }
 
-    /// Bytes for it were taken by the kernel, or were not.
-    pub fn wrote<T>(&self, poll: &Poll<T>) {
+    /// Records the result of a write to the client's socket.
+    pub fn on_write<T>(&self, poll: &Poll<T>) {
         let now = Instant::now();
         if poll.is_ready() {
-            self.wrote.set(now);
-            self.blocked.set(None);
-        } else if self.blocked.get().is_none() {
-            self.blocked.set(Some(now));
+            self.last_write.set(now);
+            self.blocked_since.set(None);
+        } else if self.blocked_since.get().is_none() {
+            self.blocked_since.set(Some(now));
         }
     }
 
-    /// Whether it takes nothing of what there is for it.
-    pub fn is_blocked(&self) -> bool {
-        self.blocked.get().is_some()
+    /// Returns true if writes to the client are blocked.
+    pub fn is_write_blocked(&self) -> bool {
+        self.blocked_since.get().is_some()
     }
 
-    /// Until when it has to read on; `None` where nothing waits for it.
-    pub fn unread_by(&self) -> Option<Instant> {
-        self.blocked.get().and_then(|since| since.checked_add(self.allowance.unread))
+    /// Returns when the client must read on; `None` if no write is blocked.
+    pub fn read_deadline(&self) -> Option<Instant> {
+        self.blocked_since.get().and_then(|since| since.checked_add(self.timeouts.response_unread))
     }
 
-    /// Until when more has to come of a request that began then: it goes on without a stop, and is fast enough in all.
-    pub fn read_by(&self, begun: Instant) -> Instant {
-        let earned = Duration::from_secs_f64(self.came.get() as f64 / READ_RATE);
-        (begun + READ_MOST + earned).min(self.silent_by(self.allowance.silence))
+    /// Returns when a request started at `started_at` times out: by its minimum transfer rate or by a pause.
+    pub fn request_deadline(&self, started_at: Instant) -> Instant {
+        let extra_time = Duration::from_secs_f64(self.consumed.get() as f64 / MIN_REQUEST_BYTES_PER_S);
+        (started_at + BASE_REQUEST_TIMEOUT + extra_time).min(self.idle_deadline(self.timeouts.request_idle))
     }
 
-    /// Until when something has to come, where it may be silent for so long.
-    pub fn silent_by(&self, silence: Duration) -> Instant {
-        (self.heard.get() + silence).max(self.wrote.get() + PROMPT)
+    /// Returns when a client that may pause for `idle_limit` must have sent more.
+    pub fn idle_deadline(&self, idle_limit: Duration) -> Instant {
+        (self.last_received.get() + idle_limit).max(self.last_write.get() + SEND_GRACE)
     }
 }
--- a/crates/proxy/src/client/tests.rs
+++ b/crates/proxy/src/client/tests.rs
@@ -1,147 +1,151 @@
-//! When a client's time is over, on a clock that the tests move.
+//! Timeouts of client connections, on a paused clock.
 
 use super::*;
 use tokio::time::advance;
 
 const HEAD: &[u8] = b"POST /book HTTP/1.1\r\nContent-Length: 4\r\n\r\n";
-const SILENCE: Duration = Duration::from_millis(2500);
-const A_BIT: Duration = Duration::from_millis(20);
+const REQUEST_IDLE: Duration = Duration::from_millis(2500);
+const TOLERANCE: Duration = Duration::from_millis(20);
 
-struct Nobody;
+struct NoObserver;
 
-impl Keeper for Nobody {
-    fn came(&self, _: ConnectionId) {}
-    fn held(&self, _: ConnectionId, _: u32, _: bool) {}
-    fn answered(&self, _: ConnectionId) -> bool {
+impl ConnectionObserver for NoObserver {
+    fn on_bytes(&self, _: ConnectionId) {}
+    fn on_request(&self, _: ConnectionId, _: u32, _: bool) {}
+    fn on_response(&self, _: ConnectionId) -> bool {
         false
     }
-    fn checked(&self, _: ConnectionId) -> bool {
+    fn on_health_check_response(&self, _: ConnectionId) -> bool {
         false
     }
-    fn left(&self, _: ConnectionId) {}
+    fn on_close(&self, _: ConnectionId) {}
 }
 
-/// A client of which nobody is told.
-pub fn alone() -> Rc<Client> {
+/// Returns a connection whose events nobody observes.
+pub fn unobserved_connection() -> Rc<ClientConnection> {
     let policy = maplehook_admission::AdmissionPolicy::default();
     let mut admission = maplehook_admission::ConnectionAdmission::new(policy, 10, &[], 7);
     let decision = admission.admit(Duration::ZERO, "127.0.0.1".parse().unwrap());
     let maplehook_admission::AdmissionDecision::Admitted { id, .. } = decision else { panic!("rejected") };
-    let allowance = Allowance { silence: Duration::from_millis(2500), unread: Duration::from_secs(5) };
-    Rc::new(Client::new(Rc::new(Nobody), id, allowance))
+    let timeouts =
+        ClientTimeouts { request_idle: Duration::from_millis(2500), response_unread: Duration::from_secs(5) };
+    Rc::new(ClientConnection::new(Rc::new(NoObserver), id, timeouts))
 }
 
-/// These bytes come, and are taken in.
-fn comes(client: &Client, bytes: &[u8]) {
-    client.arrived(bytes);
-    client.took(bytes.len());
+/// Delivers bytes to the connection and consumes them at once.
+fn receive(client: &ClientConnection, bytes: &[u8]) {
+    client.on_received(bytes);
+    client.on_consumed(bytes.len());
 }
 
-/// A client whose last request has its answer.
-fn answered() -> Rc<Client> {
-    let client = alone();
-    comes(&client, b"GET /look HTTP/1.1\r\n\r\n");
-    client.reads(Label::default());
-    client.holds(0, false, None);
-    client.answered(Question::Request);
+/// Returns a connection whose last request was answered.
+fn idle_connection() -> Rc<ClientConnection> {
+    let client = unobserved_connection();
+    receive(&client, b"GET /look HTTP/1.1\r\n\r\n");
+    client.on_head(Label::default());
+    client.on_request(0, false, None);
+    client.on_response(MessageKind::Request);
     client
 }
 
-/// Asserts that it is let be up to this moment, and then ends for this reason.
-async fn ends_after(client: &Client, after: Duration, reason: End) {
-    advance(after - A_BIT).await;
-    assert_eq!(client.overdue_for(), None);
-    advance(2 * A_BIT).await;
-    assert_eq!(client.overdue_for(), Some(reason));
+/// Asserts that the connection expires within the tolerance around `after`, and for this reason.
+async fn assert_expires_after(client: &ClientConnection, after: Duration, reason: EndReason) {
+    advance(after - TOLERANCE).await;
+    assert_eq!(client.expiry_reason(), None);
+    advance(2 * TOLERANCE).await;
+    assert_eq!(client.expiry_reason(), Some(reason));
 }
 
-/// Guards whoever has stopped, wherever: its time counts from its last byte.
+/// Guards the stall timeout: it counts from the last byte, for a first request as for a later one.
 #[tokio::test(flavor = "local", start_paused = true)]
-async fn a_stop_counts_from_the_last_byte() {
-    ends_after(&alone(), SILENCE, End::Silent).await;
-    for client in [alone(), answered()] {
-        comes(&client, &HEAD[..10]);
-        advance(SILENCE / 2).await;
-        comes(&client, &HEAD[10..20]);
-        ends_after(&client, SILENCE, End::Stopped).await;
+async fn stalled_requests_time_out_from_their_last_byte() {
+    assert_expires_after(&unobserved_connection(), REQUEST_IDLE, EndReason::NothingReceived).await;
+    for client in [unobserved_connection(), idle_connection()] {
+        receive(&client, &HEAD[..10]);
+        advance(REQUEST_IDLE / 2).await;
+        receive(&client, &HEAD[10..20]);
+        assert_expires_after(&client, REQUEST_IDLE, EndReason::RequestStalled).await;
     }
-    let reading = alone();
-    comes(&reading, HEAD);
-    reading.reads(Label::default());
-    // By then it has been told why.
-    ends_after(&reading, SILENCE + PROMPT, End::Stopped).await;
+    let reading = unobserved_connection();
+    receive(&reading, HEAD);
+    reading.on_head(Label::default());
+    // By then the timeout response was written.
+    assert_expires_after(&reading, REQUEST_IDLE + SEND_GRACE, EndReason::RequestStalled).await;
 }
 
-/// Guards clients that are slow and move on, and the end of those that move on for ever.
+/// Guards slow clients that keep sending against the idle timeout, and the balancer against requests that
+/// never end.
 #[tokio::test(flavor = "local", start_paused = true)]
-async fn a_pause_is_no_stop() {
-    let client = alone();
-    for piece in HEAD.chunks(HEAD.len() / 2) {
-        comes(&client, piece);
+async fn slow_requests_time_out_only_at_the_total_limit() {
+    let client = unobserved_connection();
+    for part in HEAD.chunks(HEAD.len() / 2) {
+        receive(&client, part);
         advance(Duration::from_secs(2)).await;
-        assert_eq!(client.overdue_for(), None);
+        assert_eq!(client.expiry_reason(), None);
     }
     advance(Duration::from_millis(900)).await;
-    comes(&client, b"x");
+    receive(&client, b"x");
     advance(Duration::from_millis(200)).await;
-    assert_eq!(client.overdue_for(), Some(End::Stopped));
+    assert_eq!(client.expiry_reason(), Some(EndReason::RequestStalled));
 }
 
-/// Guards what stands behind a request in hand: that one's answer is not cut, and what stopped behind it has hardly any time
-/// left once it is written; who does not read that answer is not asked for the rest.
+/// Guards a pending response against the stall of a partial request pipelined behind it. Once that response
+/// is written the partial request times out within the grace period, unless the client does not read the
+/// response.
 #[tokio::test(flavor = "local", start_paused = true)]
-async fn what_stopped_behind_a_request_ends_soon_after_its_answer() {
-    for reads in [true, false] {
-        let client = alone();
-        comes(&client, b"GET /look HTTP/1.1\r\n\r\n");
-        client.reads(Label::default());
-        client.holds(0, false, None);
-        comes(&client, &HEAD[..10]);
-        advance(2 * SILENCE).await;
-        assert_eq!(client.overdue_for(), None);
-        client.answered(Question::Request);
-        if reads {
-            let _ = client.wrote(Poll::Ready(()));
-            ends_after(&client, PROMPT, End::Stopped).await;
+async fn stalled_pipelined_requests_time_out_soon_after_the_previous_response() {
+    for reads_response in [true, false] {
+        let client = unobserved_connection();
+        receive(&client, b"GET /look HTTP/1.1\r\n\r\n");
+        client.on_head(Label::default());
+        client.on_request(0, false, None);
+        receive(&client, &HEAD[..10]);
+        advance(2 * REQUEST_IDLE).await;
+        assert_eq!(client.expiry_reason(), None);
+        client.on_response(MessageKind::Request);
+        if reads_response {
+            let _ = client.on_write(Poll::Ready(()));
+            assert_expires_after(&client, SEND_GRACE, EndReason::RequestStalled).await;
         } else {
-            let _ = client.wrote(Poll::<()>::Pending);
-            ends_after(&client, IDLE_MOST, End::Rested).await;
+            let _ = client.on_write(Poll::<()>::Pending);
+            assert_expires_after(&client, IDLE_TIMEOUT, EndReason::Idle).await;
         }
     }
 }
 
-/// Guards a body that streams: its sender may be silent for a while; what nobody has read yet is no silence, and neither is
-/// what follows its last byte or its answer.
+/// Guards the idle limit of a streaming body: bytes in the receive buffer count as activity, and nothing
+/// times out after the last byte of the body or after its response.
 #[tokio::test(flavor = "local", start_paused = true)]
-async fn a_body_that_streams_may_stop_for_a_while() {
-    let streams = || {
-        let client = alone();
-        comes(&client, HEAD);
-        client.reads(Label::default());
-        client.holds(0, false, Some(SILENCE));
+async fn streaming_bodies_may_pause_up_to_their_idle_limit() {
+    let uploading_connection = || {
+        let client = unobserved_connection();
+        receive(&client, HEAD);
+        client.on_head(Label::default());
+        client.on_request(0, false, Some(REQUEST_IDLE));
         client
     };
-    let client = streams();
-    advance(SILENCE).await;
-    client.has_unread();
-    ends_after(&client, SILENCE + WORDING, End::Stopped).await;
-    let client = streams();
-    client.arrived(b"body");
-    advance(3 * SILENCE).await;
-    assert_eq!(client.overdue_for(), None);
-    let client = streams();
-    client.has_answer();
-    advance(3 * SILENCE).await;
-    assert_eq!(client.overdue_for(), None);
+    let client = uploading_connection();
+    advance(REQUEST_IDLE).await;
+    client.on_unread_bytes();
+    assert_expires_after(&client, REQUEST_IDLE + STALL_REPORT_DELAY, EndReason::RequestStalled).await;
+    let client = uploading_connection();
+    client.on_received(b"body");
+    advance(3 * REQUEST_IDLE).await;
+    assert_eq!(client.expiry_reason(), None);
+    let client = uploading_connection();
+    client.on_upstream_response();
+    advance(3 * REQUEST_IDLE).await;
+    assert_eq!(client.expiry_reason(), None);
 }
 
-/// Guards an answer of which the rest of its request is still on its way: that rest is no further request.
+/// Guards early responses: body bytes that arrive after the response of their request must not start another
+/// request.
 #[tokio::test(flavor = "local", start_paused = true)]
-async fn the_rest_of_an_answered_request_is_none_of_its_own() {
-    let client = alone();
-    comes(&client, HEAD);
-    client.reads(Label::default());
-    client.answered(Question::Health);
-    client.arrived(b"bo");
-    ends_after(&client, IDLE_MOST, End::Rested).await;
+async fn late_body_bytes_of_an_answered_request_are_not_a_new_request() {
+    let client = unobserved_connection();
+    receive(&client, HEAD);
+    client.on_head(Label::default());
+    client.on_response(MessageKind::Health);
+    client.on_received(b"bo");
+    assert_expires_after(&client, IDLE_TIMEOUT, EndReason::Idle).await;
 }
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -5,7 +5,7 @@
 //! they stand. Callers that send nothing or half a call have so much time and so many places, and make room.
 
 use crate::places::{self, Desk};
-use crate::refusals::{MORE_MOST, linger};
+use crate::rejections::{MAX_DISCARDED_BYTES, linger};
 use crate::rollout;
 use crate::signed;
 use crate::tier::Shown;
@@ -176,7 +176,7 @@
         builder.serve_connection(TokioIo::new(stream), service).without_shutdown(),
     );
     let Ok(Ok(parts)) = served.await else { return };
-    linger(parts.io.into_inner(), MORE_MOST).await;
+    linger(parts.io.into_inner(), MAX_DISCARDED_BYTES).await;
 }
 
 async fn answer(request: Request<Incoming>, board: &Board) -> Response<Full<Bytes>> {
--- a/crates/proxy/src/counts.rs
+++ b/crates/proxy/src/counts.rs
@@ -1,6 +1,7 @@
-//! What becomes of requests, counted on the thread that serves while a change in stages runs, and handed over each interval.
+//! Counts request outcomes on the serving thread during a staged rollout, and hands the counts over after
+//! each interval.
 
-use crate::nearness::Names;
+use crate::failover::NamesById;
 use maplehook::tally::{Counting, End, Looks};
 use maplehook_canary::IntervalReport;
 use maplehook_core::{ClassId, TenantId};
@@ -12,82 +13,91 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// Counts by class and tenant.
-pub struct Counts {
-    names: watch::Receiver<Names>,
-    /// When a request of each class is late.
-    aims: RefCell<Vec<Duration>>,
+/// Request counts of the current interval, by class and tenant.
+pub struct IntervalCounts {
+    names: watch::Receiver<NamesById>,
+    /// Latency objective of each class, by class id; slower requests count as late.
+    latency_objectives: RefCell<Vec<Duration>>,
     report: RefCell<IntervalReport>,
 }
 
-impl Counts {
-    /// Under these names, by this process's numbers.
-    pub fn new(names: watch::Receiver<Names>) -> Rc<Self> {
-        Rc::new(Self { names, aims: RefCell::default(), report: RefCell::new(IntervalReport::new(0, "")) })
+impl IntervalCounts {
+    /// Creates empty counts; `names` maps the ids of classes and tenants to names.
+    pub fn new(names: watch::Receiver<NamesById>) -> Rc<Self> {
+        Rc::new(Self {
+            names,
+            latency_objectives: RefCell::default(),
+            report: RefCell::new(IntervalReport::new(0, "")),
+        })
     }
 
-    /// The classes' aims from now on.
-    pub fn aim(&self, aims: Vec<Duration>) {
-        *self.aims.borrow_mut() = aims;
+    /// Sets the latency objective of each class.
+    pub fn set_latency_objectives(&self, latency_objectives: Vec<Duration>) {
+        *self.latency_objectives.borrow_mut() = latency_objectives;
     }
 
-    fn take(&self, interval: u64) -> IntervalReport {
-        let counted = self.report.replace(IntervalReport::new(0, ""));
-        IntervalReport { interval, ..counted }
+    fn take_report(&self, interval: u64) -> IntervalReport {
+        let report = self.report.replace(IntervalReport::new(0, ""));
+        IntervalReport { interval, ..report }
     }
 
-    /// Hands over what was counted, each interval, as long as the process lives.
+    /// Hands over the report of each interval while `interval_settings` has an interval, until its sender is
+    /// dropped.
     pub async fn run(
         self: Rc<Self>,
-        mut counts: watch::Receiver<Option<Duration>>,
-        counted: tokio::sync::mpsc::Sender<IntervalReport>,
-        counting: Rc<Counting>,
+        mut interval_settings: watch::Receiver<Option<Duration>>,
+        reports: tokio::sync::mpsc::Sender<IntervalReport>,
+        request_counting: Rc<Counting>,
     ) {
-        let (mut present, mut next, mut interval) = (None, Instant::now(), 0u64);
+        let (mut current, mut next_report, mut interval_number) = (None, Instant::now(), 0u64);
         loop {
-            let wanted = *counts.borrow_and_update();
-            if mem::replace(&mut present, wanted) != wanted {
-                counting.look(wanted.map(|_| Rc::clone(&self) as Rc<dyn Looks>));
-                drop(self.take(0));
-                next = Instant::now() + wanted.unwrap_or_default();
+            let interval = *interval_settings.borrow_and_update();
+            if mem::replace(&mut current, interval) != interval {
+                request_counting.look(interval.map(|_| Rc::clone(&self) as Rc<dyn Looks>));
+                drop(self.take_report(0));
+                next_report = Instant::now() + interval.unwrap_or_default();
             }
             tokio::select! {
-                changed = counts.changed() => if changed.is_err() { return },
-                () = sleep_until(next), if wanted.is_some() => {
-                    interval += 1;
-                    // What does not fit is lost: whoever is to take it stands still.
-                    let _ = counted.try_send(self.take(interval));
-                    next = (next + wanted.unwrap_or_default()).max(Instant::now());
+                changed = interval_settings.changed() => if changed.is_err() { return },
+                () = sleep_until(next_report), if interval.is_some() => {
+                    interval_number += 1;
+                    // If the channel is full, the receiving thread is stalled and the report is dropped.
+                    let _ = reports.try_send(self.take_report(interval_number));
+                    next_report = (next_report + interval.unwrap_or_default()).max(Instant::now());
                 }
             }
         }
     }
 }
 
-impl Looks for Counts {
+impl Looks for IntervalCounts {
     fn ended(&self, class: ClassId, tenant: TenantId, end: End, after: Duration) {
         let names = self.names.borrow();
-        let (class_at, tenant) = (usize::from(class.0), names.tenants.get(tenant.0 as usize));
-        let Some(class) = names.classes.get(class_at) else { return };
+        let (class_index, tenant) = (usize::from(class.0), names.tenants.get(tenant.0 as usize));
+        let Some(class) = names.classes.get(class_index) else { return };
         let mut report = self.report.borrow_mut();
-        let cell = report.counts_mut(class, tenant.map_or("", String::as_str));
+        let counts = report.counts_mut(class, tenant.map_or("", String::as_str));
         match end {
             End::Served => {
-                let late = self.aims.borrow().get(class_at).is_some_and(|aim| after > *aim);
-                cell.record_served(u64::try_from(after.as_micros()).unwrap_or(u64::MAX), late);
+                let is_late = self
+                    .latency_objectives
+                    .borrow()
+                    .get(class_index)
+                    .is_some_and(|objective| after > *objective);
+                counts.record_served(u64::try_from(after.as_micros()).unwrap_or(u64::MAX), is_late);
             }
-            End::Refused => cell.rejected += 1,
-            End::Failed => cell.failed += 1,
+            End::Refused => counts.rejected += 1,
+            End::Failed => counts.failed += 1,
         }
     }
 }
 
-/// What the thread that serves has of a part in changes in stages.
-pub struct Part {
-    /// What passes to and from the part's thread.
-    pub serving: Serving,
-    /// What counts.
-    pub counts: Rc<Counts>,
+/// The serving thread's side of a staged rollout.
+pub struct RolloutLink {
+    /// Channels to and from the rollout agent's thread.
+    pub channels: Serving,
+    /// Counts that are reported to the rollout agent.
+    pub counts: Rc<IntervalCounts>,
 }
 
 #[cfg(test)]
@@ -95,11 +105,12 @@
     use super::*;
 
     #[test]
-    fn ends_are_counted_by_name_and_aim() {
-        let names = Names { classes: vec!["look".into()], tenants: vec!["acme".into()], zones: Vec::new() };
-        let (_keep, names) = watch::channel(names);
-        let counts = Counts::new(names);
-        counts.aim(vec![Duration::from_millis(10)]);
+    fn requests_are_counted_by_class_tenant_and_latency_objective() {
+        let names =
+            NamesById { classes: vec!["look".into()], tenants: vec!["acme".into()], zones: Vec::new() };
+        let (_sender, names) = watch::channel(names);
+        let counts = IntervalCounts::new(names);
+        counts.set_latency_objectives(vec![Duration::from_millis(10)]);
         let (class, tenant) = (ClassId(0), TenantId(0));
         counts.ended(class, tenant, End::Served, Duration::from_millis(9));
         counts.ended(class, tenant, End::Served, Duration::from_millis(8));
@@ -107,10 +118,13 @@
         counts.ended(class, TenantId(9), End::Refused, Duration::ZERO);
         counts.ended(class, tenant, End::Failed, Duration::ZERO);
         counts.ended(ClassId(7), tenant, End::Failed, Duration::ZERO);
-        let mut report = counts.take(3);
-        let cell = report.counts_mut("look", "acme").clone();
-        assert_eq!((cell.served, cell.late, cell.rejected, cell.failed), (2, 1, 0, 1));
+        let mut report = counts.take_report(3);
+        let class_counts = report.counts_mut("look", "acme").clone();
+        assert_eq!(
+            (class_counts.served, class_counts.late, class_counts.rejected, class_counts.failed),
+            (2, 1, 0, 1)
+        );
         assert_eq!((report.counts_mut("look", "").rejected, report.total(), report.interval), (1, 5, 3));
-        assert_eq!(counts.take(4).total(), 0);
+        assert_eq!(counts.take_report(4).total(), 0);
     }
 }
--- a/crates/proxy/src/framing.rs
+++ b/crates/proxy/src/framing.rs
@@ -1,195 +1,216 @@
-//! Where a client's requests begin and end, as their bytes come: hyper does not show a `Content-Length` that stands beside
-//! `Transfer-Encoding`, and what a body holds must not be taken for a header.
+//! Tracks where a client's requests begin and end in the received bytes. hyper hides a `Content-Length` next
+//! to `Transfer-Encoding`, and bytes of a body must not be parsed as headers.
 
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// What is kept of a line: a name, and the digits of a length.
-const LINE_KEPT: usize = 64;
-/// Heads that may wait to be taken: a client can't have more in the buffer of its connection.
-const HEADS_MOST: usize = 4096;
+/// Bytes stored of each line: enough for a header name and the digits of a length.
+const MAX_LINE_PREFIX_BYTES: usize = 64;
+/// Maximum number of queued heads; the client's connection buffer can't hold more.
+const MAX_QUEUED_HEADS: usize = 4096;
 
+/// Part of a request that the next byte belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum At {
-    /// In a head. `begun`: a line of it has come.
-    Head { begun: bool },
-    /// In a body with so many bytes to come.
+enum Part {
+    /// Within a head. `is_started`: a non-empty line of the head was received.
+    Head { is_started: bool },
+    /// Within a body, with the number of bytes left.
     Body(u64),
-    /// In the line that says how long a chunk is.
-    Size,
-    /// In a chunk with so many bytes to come, the end of its line included.
+    /// Within the line that states a chunk's size.
+    ChunkSize,
+    /// Within a chunk, with the number of bytes left, including its line ending.
     Chunk(u64),
-    /// In the lines after the last chunk.
+    /// Within the trailers after the last chunk.
     Trailers,
-    /// It can't be told: whoever reads it properly ends the connection.
-    Lost,
+    /// The framing can't be read; hyper rejects the same bytes and closes the connection.
+    Unreadable,
 }
 
-/// A request whose head has come.
+/// Framing of a request whose head was received.
 #[derive(Clone, Copy, Debug)]
-struct Request {
-    /// Whether its head names both a length and an encoding; where in doubt, it does.
-    hides_a_length: bool,
-    /// When its last byte came.
-    whole: Option<Instant>,
+struct RequestRecord {
+    /// True if the head has both `Content-Length` and `Transfer-Encoding`, or if that is unknown.
+    has_hidden_length: bool,
+    /// Time at which the last byte of the request was received.
+    completed_at: Option<Instant>,
 }
 
-/// What is said of a request that was not seen.
-const UNSEEN: Request = Request { hides_a_length: true, whole: None };
+/// Record of a request whose framing could not be read.
+const UNKNOWN_REQUEST: RequestRecord = RequestRecord { has_hidden_length: true, completed_at: None };
 
-/// Follows the requests of one connection.
+/// Tracks the request boundaries of one connection.
 #[derive(Debug)]
 pub struct Framing {
-    at: At,
+    part: Part,
     line: Vec<u8>,
-    /// Of the head in hand: how long its body is, and whether it comes in chunks.
-    length: Option<u64>,
-    chunked: bool,
-    /// The request that is read, and those behind it whose heads have come whole.
-    read: Request,
-    heads: VecDeque<Request>,
+    /// Body framing of the current head: its length, and whether the body is chunked.
+    content_length: Option<u64>,
+    is_chunked: bool,
+    /// The request that hyper reads, and those pipelined behind it whose heads are complete.
+    current: RequestRecord,
+    queued: VecDeque<RequestRecord>,
 }
 
 impl Default for Framing {
     fn default() -> Self {
-        let at = At::Head { begun: false };
-        Self { at, line: Vec::new(), length: None, chunked: false, read: UNSEEN, heads: VecDeque::new() }
+        let part = Part::Head { is_started: false };
+        Self {
+            part,
+            line: Vec::new(),
+            content_length: None,
+            is_chunked: false,
+            current: UNKNOWN_REQUEST,
+            queued: VecDeque::new(),
+        }
     }
 }
 
 impl Framing {
-    /// These bytes have come now.
-    pub fn came(&mut self, mut bytes: &[u8], now: Instant) {
+    /// Parses bytes received at `now`.
+    pub fn on_bytes(&mut self, mut bytes: &[u8], now: Instant) {
         while !bytes.is_empty() {
-            let inside = !matches!(self.at, At::Head { .. });
-            let heads = self.heads.len();
-            bytes = match self.at {
-                At::Lost => return,
-                At::Body(left) => self.skip(bytes, left, At::Body, At::Head { begun: false }),
-                At::Chunk(left) => self.skip(bytes, left, At::Chunk, At::Size),
-                At::Head { .. } | At::Size | At::Trailers => self.line(bytes),
+            let was_in_body = !matches!(self.part, Part::Head { .. });
+            let queued_before = self.queued.len();
+            bytes = match self.part {
+                Part::Unreadable => return,
+                Part::Body(left) => self.skip(bytes, left, Part::Body, Part::Head { is_started: false }),
+                Part::Chunk(left) => self.skip(bytes, left, Part::Chunk, Part::ChunkSize),
+                Part::Head { .. } | Part::ChunkSize | Part::Trailers => self.consume_line(bytes),
             };
-            if (inside || self.heads.len() > heads) && self.at == (At::Head { begun: false }) {
-                self.heads.back_mut().unwrap_or(&mut self.read).whole = Some(now);
+            if (was_in_body || self.queued.len() > queued_before)
+                && self.part == (Part::Head { is_started: false })
+            {
+                self.queued.back_mut().unwrap_or(&mut self.current).completed_at = Some(now);
             }
         }
     }
 
-    fn skip<'a>(&mut self, bytes: &'a [u8], left: u64, rest: fn(u64) -> At, then: At) -> &'a [u8] {
+    fn skip<'a>(
+        &mut self,
+        bytes: &'a [u8],
+        left: u64,
+        part_with: fn(u64) -> Part,
+        next_part: Part,
+    ) -> &'a [u8] {
         let n = left.min(bytes.len() as u64);
-        self.at = if n == left { then } else { rest(left - n) };
+        self.part = if n == left { next_part } else { part_with(left - n) };
         &bytes[n as usize..]
     }
 
-    /// Takes in what there is of a line, and the line once it is whole.
-    fn line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
-        let end = memchr::memchr(b'\n', bytes);
-        let part = &bytes[..end.unwrap_or(bytes.len())];
-        let room = LINE_KEPT + 1 - self.line.len();
-        self.line.extend_from_slice(&part[..part.len().min(room)]);
-        let Some(end) = end else { return &[] };
+    /// Collects bytes up to the end of the line, and parses the line once it is complete.
+    fn consume_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+        let newline = memchr::memchr(b'\n', bytes);
+        let fragment = &bytes[..newline.unwrap_or(bytes.len())];
+        let remaining = MAX_LINE_PREFIX_BYTES + 1 - self.line.len();
+        self.line.extend_from_slice(&fragment[..fragment.len().min(remaining)]);
+        let Some(newline) = newline else { return &[] };
         let line = std::mem::take(&mut self.line);
         let text = line.strip_suffix(b"\r").unwrap_or(&line);
-        self.at = match self.at {
-            At::Head { begun } => self.head(text, begun),
-            At::Trailers if text.is_empty() => At::Head { begun: false },
-            At::Trailers => At::Trailers,
-            _ => size(text),
+        self.part = match self.part {
+            Part::Head { is_started } => self.header_line(text, is_started),
+            Part::Trailers if text.is_empty() => Part::Head { is_started: false },
+            Part::Trailers => Part::Trailers,
+            _ => part_after_chunk_size(text),
         };
         self.line = line;
         self.line.clear();
-        &bytes[end + 1..]
+        &bytes[newline + 1..]
     }
 
-    fn head(&mut self, line: &[u8], begun: bool) -> At {
+    fn header_line(&mut self, line: &[u8], is_started: bool) -> Part {
         if !line.is_empty() {
             let name = line.iter().position(|b| *b == b':').map_or(line, |n| &line[..n]);
-            if begun && name.eq_ignore_ascii_case(b"content-length") {
+            if is_started && name.eq_ignore_ascii_case(b"content-length") {
                 let value = line[name.len()..].strip_prefix(b":").unwrap_or_default();
-                self.length = digits(value);
-                if self.length.is_none() || line.len() > LINE_KEPT {
-                    return self.lost();
+                self.content_length = parse_content_length(value);
+                if self.content_length.is_none() || line.len() > MAX_LINE_PREFIX_BYTES {
+                    return self.give_up();
                 }
             }
-            self.chunked |= begun && name.eq_ignore_ascii_case(b"transfer-encoding");
-            return At::Head { begun: true };
+            self.is_chunked |= is_started && name.eq_ignore_ascii_case(b"transfer-encoding");
+            return Part::Head { is_started: true };
         }
-        if !begun {
+        if !is_started {
             // RFC 9112, section 2.2: empty lines before a request are skipped.
-            return At::Head { begun };
+            return Part::Head { is_started };
         }
-        let (length, chunked) = (self.length.take(), std::mem::take(&mut self.chunked));
-        if self.heads.len() == HEADS_MOST {
-            return self.lost();
+        let (length, is_chunked) = (self.content_length.take(), std::mem::take(&mut self.is_chunked));
+        if self.queued.len() == MAX_QUEUED_HEADS {
+            return self.give_up();
         }
-        self.heads.push_back(Request { hides_a_length: length.is_some() && chunked, whole: None });
+        self.queued.push_back(RequestRecord {
+            has_hidden_length: length.is_some() && is_chunked,
+            completed_at: None,
+        });
         match length {
-            _ if chunked => At::Size,
-            Some(length) if length > 0 => At::Body(length),
-            _ => At::Head { begun: false },
+            _ if is_chunked => Part::ChunkSize,
+            Some(length) if length > 0 => Part::Body(length),
+            _ => Part::Head { is_started: false },
         }
     }
 
-    fn lost(&mut self) -> At {
-        self.heads.clear();
-        At::Lost
+    fn give_up(&mut self) -> Part {
+        self.queued.clear();
+        Part::Unreadable
     }
 
-    /// Whether a further request has begun to come.
-    pub fn has_more(&self) -> bool {
-        match self.at {
-            At::Head { begun } => begun || !self.line.is_empty() || !self.heads.is_empty(),
-            _ => !self.heads.is_empty(),
+    /// Returns true if any byte of another request was received.
+    pub fn has_next_request_bytes(&self) -> bool {
+        match self.part {
+            Part::Head { is_started } => is_started || !self.line.is_empty() || !self.queued.is_empty(),
+            _ => !self.queued.is_empty(),
         }
     }
 
-    /// Whether a request behind the one that is read has begun to come and is not whole; where in doubt, it has.
-    pub fn has_part(&self) -> bool {
-        match self.at {
-            At::Head { begun } => begun || !self.line.is_empty(),
-            At::Body(_) | At::Size | At::Chunk(_) | At::Trailers => !self.heads.is_empty(),
-            At::Lost => true,
+    /// Returns true if part of the next request was received; true if the framing can't be read.
+    pub fn has_partial_next_request(&self) -> bool {
+        match self.part {
+            Part::Head { is_started } => is_started || !self.line.is_empty(),
+            Part::Body(_) | Part::ChunkSize | Part::Chunk(_) | Part::Trailers => !self.queued.is_empty(),
+            Part::Unreadable => true,
         }
     }
 
-    /// Whether more is to come of the body of the request that is read; where in doubt, there is not.
-    pub fn awaits_body(&self) -> bool {
-        let inside = matches!(self.at, At::Body(_) | At::Size | At::Chunk(_) | At::Trailers);
-        inside && self.heads.is_empty()
+    /// Returns true if the body of the current request is incomplete; false if the framing can't be read.
+    pub fn is_body_incomplete(&self) -> bool {
+        let is_in_body =
+            matches!(self.part, Part::Body(_) | Part::ChunkSize | Part::Chunk(_) | Part::Trailers);
+        is_in_body && self.queued.is_empty()
     }
 
-    /// Whether a further request has come whole.
-    pub fn has_whole(&self) -> bool {
-        self.heads.front().is_some_and(|request| request.whole.is_some())
+    /// Returns true if another request was received completely.
+    pub fn has_complete_next_request(&self) -> bool {
+        self.queued.front().is_some_and(|request| request.completed_at.is_some())
     }
 
-    /// The next request is read. Whether its head names both a length and an encoding; where in doubt, it does.
-    pub fn next(&mut self) -> bool {
-        self.read = self.heads.pop_front().unwrap_or(UNSEEN);
-        self.read.hides_a_length
+    /// Advances to the next request. Returns true if its head has both `Content-Length` and
+    /// `Transfer-Encoding`, or if that is unknown.
+    pub fn advance(&mut self) -> bool {
+        self.current = self.queued.pop_front().unwrap_or(UNKNOWN_REQUEST);
+        self.current.has_hidden_length
     }
 
-    /// When the last byte came of the request that is read, where that can be told.
-    pub fn whole_at(&self) -> Option<Instant> {
-        self.read.whole
+    /// Returns when the last byte of the current request was received, if known.
+    pub fn completed_at(&self) -> Option<Instant> {
+        self.current.completed_at
     }
 }
 
-/// What follows the line that says how long a chunk is.
-fn size(line: &[u8]) -> At {
-    let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
-    let length = std::str::from_utf8(&line[..digits]).ok().and_then(|d| u64::from_str_radix(d, 16).ok());
+/// Returns the position after a line that states a chunk's size.
+fn part_after_chunk_size(line: &[u8]) -> Part {
+    let digit_count = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
+    let length = std::str::from_utf8(&line[..digit_count]).ok().and_then(|d| u64::from_str_radix(d, 16).ok());
     match length.map(|length| length.checked_add(2)) {
-        Some(Some(2)) => At::Trailers,
-        Some(Some(length)) => At::Chunk(length),
-        _ => At::Lost,
+        Some(Some(2)) => Part::Trailers,
+        Some(Some(length)) => Part::Chunk(length),
+        _ => Part::Unreadable,
     }
 }
 
-fn digits(value: &[u8]) -> Option<u64> {
+fn parse_content_length(value: &[u8]) -> Option<u64> {
     let value = value.trim_ascii();
-    let all = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
-    std::str::from_utf8(value).ok().filter(|_| all).and_then(|value| value.parse().ok())
+    let is_number = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
+    std::str::from_utf8(value).ok().filter(|_| is_number).and_then(|value| value.parse().ok())
 }
 
 #[cfg(test)]
@@ -198,18 +219,18 @@
     use std::time::Duration;
 
     const STEP: Duration = Duration::from_millis(10);
-    const EVIL: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n";
+    const SMUGGLED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /// Requests on one connection, and whether each names both.
-    fn requests() -> Vec<(String, bool)> {
-        let chunk = |text: &str, more: &str| format!("{:X}{more}\r\n{text}\r\n", text.len());
+    /// Returns requests for one connection, each with the expected hidden length flag.
+    fn requests_with_hidden_length_flags() -> Vec<(String, bool)> {
+        let chunk = |text: &str, extension: &str| format!("{:X}{extension}\r\n{text}\r\n", text.len());
         vec![
             ("GET /a HTTP/1.1\r\nHost: a\r\nX: content-length\r\nContent-Lengt: 1\r\n\r\n".into(), false),
-            (format!("POST / HTTP/1.1\r\ncontent-LENGTH:  {} \r\n\r\n{EVIL}", EVIL.len()), false),
+            (format!("POST / HTTP/1.1\r\ncontent-LENGTH:  {} \r\n\r\n{SMUGGLED}", SMUGGLED.len()), false),
             (
                 format!(
                     "\r\nPOST / HTTP/1.1\r\nTransfer-encoding: chunked\r\n\r\n{}{}0\r\nContent-Length: 3\r\n\r\n",
-                    chunk(EVIL, ";a=\"b\""),
+                    chunk(SMUGGLED, ";a=\"b\""),
                     chunk("x", "")
                 ),
                 false,
@@ -224,85 +245,101 @@
         ]
     }
 
-    /// Guards the look for hidden lengths: what bodies, chunks and trailers hold is no header, however the bytes are cut.
-    /// Guards a request's time too: it counts from the piece that its last byte came with.
+    /// Guards the detection of hidden lengths: bytes of bodies, chunks and trailers must not be parsed as
+    /// headers, wherever the stream is split. A request completes with the chunk that contains its last byte.
     #[test]
-    fn heads_are_told_from_bodies_however_they_come() {
-        let all: String = requests().into_iter().map(|(text, _)| text).collect();
+    fn heads_are_distinguished_from_bodies_in_chunks_of_any_size() {
+        let all: String = requests_with_hidden_length_flags().into_iter().map(|(text, _)| text).collect();
         let start = Instant::now();
-        for cut in 1..all.len() {
-            let came_at = |bytes: usize| start + STEP * bytes.div_ceil(cut) as u32;
+        for chunk_size in 1..all.len() {
+            let received_at = |bytes: usize| start + STEP * bytes.div_ceil(chunk_size) as u32;
             let mut framing = Framing::default();
-            for (n, chunk) in all.as_bytes().chunks(cut).enumerate() {
-                framing.came(chunk, start + STEP * (n as u32 + 1));
+            for (n, chunk) in all.as_bytes().chunks(chunk_size).enumerate() {
+                framing.on_bytes(chunk, start + STEP * (n as u32 + 1));
             }
             let mut bytes = 0;
-            for (text, both) in requests() {
+            for (text, has_hidden_length) in requests_with_hidden_length_flags() {
                 bytes += text.len();
-                assert!(framing.has_whole(), "{cut}: {text}");
-                assert_eq!(framing.next(), both, "{cut}: {text}");
-                assert_eq!(framing.whole_at(), Some(came_at(bytes)), "{cut}: {text}");
+                assert!(framing.has_complete_next_request(), "chunks of {chunk_size} bytes: {text}");
+                assert_eq!(framing.advance(), has_hidden_length, "chunks of {chunk_size} bytes: {text}");
+                assert_eq!(
+                    framing.completed_at(),
+                    Some(received_at(bytes)),
+                    "chunks of {chunk_size} bytes: {text}"
+                );
             }
-            assert!(framing.heads.is_empty() && !framing.has_whole(), "{cut}");
+            assert!(
+                framing.queued.is_empty() && !framing.has_complete_next_request(),
+                "chunks of {chunk_size} bytes leave a request"
+            );
         }
     }
 
-    /// Guards the end of a request against being told of another: one that is read before it is whole has none yet.
+    /// Guards the completion time: a request whose head is read early must not take the time of another
+    /// request.
     #[test]
-    fn a_request_is_whole_once_its_last_byte_has_come() {
+    fn a_request_is_complete_once_its_last_byte_is_received() {
         let (start, mut framing) = (Instant::now(), Framing::default());
-        framing.came(b"POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\na", start);
-        assert!(!framing.has_whole());
-        framing.next();
-        assert_eq!(framing.whole_at(), None);
-        framing.came(b"bPOST / HTTP/1.1\r\nContent-Length: 2\r\n\r\n", start + STEP);
-        assert_eq!((framing.whole_at(), framing.has_whole()), (Some(start + STEP), false));
-        framing.came(b"ab", start + 2 * STEP);
-        assert_eq!((framing.whole_at(), framing.has_whole()), (Some(start + STEP), true));
-        framing.next();
-        assert_eq!(framing.whole_at(), Some(start + 2 * STEP));
+        framing.on_bytes(b"POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\na", start);
+        assert!(!framing.has_complete_next_request());
+        framing.advance();
+        assert_eq!(framing.completed_at(), None);
+        framing.on_bytes(b"bPOST / HTTP/1.1\r\nContent-Length: 2\r\n\r\n", start + STEP);
+        assert_eq!(
+            (framing.completed_at(), framing.has_complete_next_request()),
+            (Some(start + STEP), false)
+        );
+        framing.on_bytes(b"ab", start + 2 * STEP);
+        assert_eq!((framing.completed_at(), framing.has_complete_next_request()), (Some(start + STEP), true));
+        framing.advance();
+        assert_eq!(framing.completed_at(), Some(start + 2 * STEP));
     }
 
-    /// Guards what is waited for: a part of a further request is told from the rest of the one that is read.
+    /// Guards the stall timeout, which treats the rest of a body and a partial next request differently.
     #[test]
-    fn the_rest_of_a_request_is_told_from_a_part_of_the_next() {
+    fn the_rest_of_a_body_is_distinguished_from_the_next_request() {
         let mut framing = Framing::default();
-        let mut comes = |bytes: &[u8], part: bool, rest: bool| {
-            framing.came(bytes, Instant::now());
-            if bytes.ends_with(b"\r\n\r\n") && framing.heads.len() == 1 {
-                framing.next();
+        let mut receive = |bytes: &[u8], is_partial_next: bool, is_body_incomplete: bool| {
+            framing.on_bytes(bytes, Instant::now());
+            if bytes.ends_with(b"\r\n\r\n") && framing.queued.len() == 1 {
+                framing.advance();
             }
-            assert_eq!((framing.has_part(), framing.awaits_body()), (part, rest), "{}", bytes.escape_ascii());
+            assert_eq!(
+                (framing.has_partial_next_request(), framing.is_body_incomplete()),
+                (is_partial_next, is_body_incomplete),
+                "after {}",
+                bytes.escape_ascii()
+            );
         };
-        comes(b"\r\n", false, false);
-        comes(b"P", true, false);
-        comes(b"OST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", false, true);
-        comes(b"1\r\na\r\n0\r\n", false, true);
-        comes(b"\r\n", false, false);
-        comes(b"POST / HTTP/1.1\r\nContent-Length: 2\r\n", true, false);
-        comes(b"\r\n", true, false);
-        comes(b"ab", false, false);
+        receive(b"\r\n", false, false);
+        receive(b"P", true, false);
+        receive(b"OST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", false, true);
+        receive(b"1\r\na\r\n0\r\n", false, true);
+        receive(b"\r\n", false, false);
+        receive(b"POST / HTTP/1.1\r\nContent-Length: 2\r\n", true, false);
+        receive(b"\r\n", true, false);
+        receive(b"ab", false, false);
     }
 
-    /// Guards against being led astray: what can't be read counts as hidden from there on, and nothing panics.
+    /// Guards against request smuggling and panics: after unreadable framing every length counts as hidden.
     #[test]
-    fn where_in_doubt_a_length_is_hidden() {
-        let long = format!("Content-Length:{}5\r\n", " ".repeat(200));
-        for head in ["Content-Length: 5x\r\n", "Content-Length: 5, 5\r\n", "Content-Length: \r\n", &long] {
+    fn unreadable_framing_counts_as_a_hidden_length() {
+        let padded = format!("Content-Length:{}5\r\n", " ".repeat(200));
+        for head in ["Content-Length: 5x\r\n", "Content-Length: 5, 5\r\n", "Content-Length: \r\n", &padded] {
             let mut framing = Framing::default();
-            framing.came(format!("GET / HTTP/1.1\r\n{head}\r\n").as_bytes(), Instant::now());
-            assert!(framing.next(), "{head}");
+            framing.on_bytes(format!("GET / HTTP/1.1\r\n{head}\r\n").as_bytes(), Instant::now());
+            assert!(framing.advance(), "the length must count as hidden after {head:?}");
         }
         for size in ["zz", "", "-1", "ffffffffffffffff", "11111111111111111"] {
             let mut framing = Framing::default();
             let head = format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{size}\r\n");
-            framing.came(head.as_bytes(), Instant::now());
-            assert!(!framing.next());
-            framing.came(b"GET / HTTP/1.1\r\n\r\n", Instant::now());
-            assert!(framing.next(), "{size}");
+            framing.on_bytes(head.as_bytes(), Instant::now());
+            assert!(!framing.advance());
+            framing.on_bytes(b"GET / HTTP/1.1\r\n\r\n", Instant::now());
+            assert!(framing.advance(), "the length must count as hidden after chunk size {size:?}");
         }
         let mut framing = Framing::default();
-        (0..2 * HEADS_MOST).for_each(|_| framing.came(b"G\r\n\r\n", Instant::now()));
-        assert!(framing.next() && framing.heads.is_empty());
+        (0..2 * MAX_QUEUED_HEADS).for_each(|_| framing.on_bytes(b"G\r\n\r\n", Instant::now()));
+        assert!(framing.advance() && framing.queued.is_empty());
     }
 }
--- a/crates/proxy/src/golden_tests.rs
+++ b/crates/proxy/src/golden_tests.rs
@@ -1,6 +1,6 @@
 //! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
 
-use crate::client::Stand;
+use crate::client::ConnectionState;
 use crate::tier::{Shown as Tier, ShownLink, ShownMember as TierMember};
 use crate::wishes::{Done, Shown, ShownMember};
 use maplehook_admission::RejectionReason;
@@ -26,6 +26,7 @@
 fn reasons_and_states_in_the_log_are_as_they_were() {
     let reasons = [RejectionReason::Rate, RejectionReason::Share, RejectionReason::Full];
     assert_eq!(format!("{reasons:?}"), "[Rate, Share, Full]");
-    let states = [Stand::New, Stand::Reading, Stand::Held, Stand::Idle];
+    let states =
+        [ConnectionState::New, ConnectionState::Reading, ConnectionState::Held, ConnectionState::Idle];
     assert_eq!(format!("{states:?}"), "[New, Reading, Held, Idle]");
 }
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -1,5 +1,5 @@
-//! Leaves what this process knows to the next one on the same socket, and takes what the one before has left: a file in
-//! `$TMPDIR`. What of it is taken, `maplehook_hot_restart` decides.
+//! Hot restart: hands the endpoint list and learned state over to the next process on the same socket, in a
+//! file in `$TMPDIR`. `maplehook_hot_restart` decides which parts of the file are still valid.
 
 use maplehook::parts::descriptors::Descriptors;
 use maplehook::parts::discovery::Discovery;
@@ -22,73 +22,74 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::{Instant, sleep};
 
-/// How often the file is written.
-const WRITE_EVERY: Duration = Duration::from_millis(500);
+/// Interval between writes of the file.
+const WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a process before this one may still be there: it is told to leave within 6 s, and has 3.7 s for that.
-const BESIDE: Duration = Duration::from_secs(10);
+/// Time for which the predecessor may still run: it gets its termination signal within 6 s, and then has 3.7
+/// s to end.
+const MAX_OVERLAP: Duration = Duration::from_secs(10);
 
-/// The list as it stands, followed on its way from discovery to the decisions.
-pub struct Remembered {
+/// A source that records the endpoint list on its way from discovery to the balancer.
+pub struct EndpointRecorder {
     discovery: Rc<Discovery>,
-    list: RefCell<BTreeMap<UpstreamId, Entry>>,
+    endpoints: RefCell<BTreeMap<UpstreamId, Entry>>,
 }
 
-impl Remembered {
-    /// A list that begins with this.
-    pub fn new(discovery: Rc<Discovery>, known: &News) -> Rc<Self> {
-        let remembered = Self { discovery, list: RefCell::default() };
-        remembered.take(known);
-        Rc::new(remembered)
+impl EndpointRecorder {
+    /// Creates a recorder whose list starts with `initial`.
+    pub fn new(discovery: Rc<Discovery>, initial: &News) -> Rc<Self> {
+        let recorder = Self { discovery, endpoints: RefCell::default() };
+        recorder.apply(initial);
+        Rc::new(recorder)
     }
 
-    fn take(&self, news: &News) {
-        let list = &mut *self.list.borrow_mut();
-        if matches!(news.scope, UpdateScope::Full | UpdateScope::Cached) {
-            list.clear();
+    fn apply(&self, update: &News) {
+        let endpoints = &mut *self.endpoints.borrow_mut();
+        if matches!(update.scope, UpdateScope::Full | UpdateScope::Cached) {
+            endpoints.clear();
         }
-        for entry in &news.entries {
+        for entry in &update.entries {
             if entry.place.availability == Availability::Removed {
-                list.remove(&entry.id);
+                endpoints.remove(&entry.id);
             } else {
-                list.insert(entry.id, entry.clone());
+                endpoints.insert(entry.id, entry.clone());
             }
         }
     }
 }
 
-impl Source for Remembered {
+impl Source for EndpointRecorder {
     fn fetch(&self) -> Task<'_, News> {
         Box::pin(async {
-            let news = self.discovery.fetch().await;
-            self.take(&news);
-            news
+            let update = self.discovery.fetch().await;
+            self.apply(&update);
+            update
         })
     }
 
-    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(News)) -> Task<'a, ()> {
+    fn watch<'a>(&'a self, on_update: &'a mut dyn FnMut(News)) -> Task<'a, ()> {
         Box::pin(async {
-            let mut tell = |news: News| {
-                self.take(&news);
-                tell(news);
+            let mut record = |update: News| {
+                self.apply(&update);
+                on_update(update);
             };
-            self.discovery.watch(&mut tell).await;
+            self.discovery.watch(&mut record).await;
         })
     }
 }
 
-/// The file, for one process.
-pub struct Handover {
+/// The handover file, as this process reads and writes it.
+pub struct HandoverFile {
     path: PathBuf,
     name: String,
     started_ms: u64,
-    /// When the file that this process wrote last was changed.
-    own: Cell<Option<SystemTime>>,
-    odd: Seldom,
+    /// Modification time of the file that this process wrote last.
+    last_written: Cell<Option<SystemTime>>,
+    write_warnings: Seldom,
 }
 
-/// What the process before has left.
-pub struct Left {
+/// State that the predecessor left in the handover file.
+pub struct PredecessorState {
     snapshot: HotRestartSnapshot,
     age: Duration,
 }
@@ -98,14 +99,14 @@
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
 }
 
-impl Handover {
-    /// The file of the balancer of this name, in `$TMPDIR`; `None` where that is not set.
-    pub fn of(name: &str) -> Option<Self> {
-        let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
-        let file = format!("maplehook-{}.handover", name.chars().map(plain).collect::<String>());
+impl HandoverFile {
+    /// Returns the handover file of the balancer `name`, in `$TMPDIR`; `None` if that variable is not set.
+    pub fn for_balancer(name: &str) -> Option<Self> {
+        let sanitize = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
+        let file = format!("maplehook-{}.handover", name.chars().map(sanitize).collect::<String>());
         let path = PathBuf::from(std::env::var_os("TMPDIR")?).join(file);
-        let (own, odd) = (Cell::new(None), Seldom::default());
-        Some(Self { path, name: name.to_owned(), started_ms: now_ms(), own, odd })
+        let (last_written, write_warnings) = (Cell::new(None), Seldom::default());
+        Some(Self { path, name: name.to_owned(), started_ms: now_ms(), last_written, write_warnings })
     }
 
     fn reader(&self) -> SnapshotReader<'_> {
@@ -118,92 +119,96 @@
         Ok(text)
     }
 
-    /// What the process before this one has left, if that can be taken.
-    pub fn take(&self, names: &IdNames) -> Option<Left> {
+    /// Loads the predecessor's state, if the file has a valid one for the same zones and kinds.
+    pub fn load(&self, names: &IdNames) -> Option<PredecessorState> {
         let text = match self.read() {
             Ok(text) => text,
             Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
             Err(e) => {
-                tracing::warn!("nothing is taken over: {}: {e}", self.path.display());
+                tracing::warn!("hot restart state ignored: {}: {e}", self.path.display());
                 return None;
             }
         };
-        let left = HotRestartSnapshot::decode(&text).and_then(|snapshot| {
+        let loaded = HotRestartSnapshot::decode(&text).and_then(|snapshot| {
             let age = snapshot.check_age(self.reader())?;
-            Ok(Left { snapshot, age })
+            Ok(PredecessorState { snapshot, age })
         });
-        match left {
-            Ok(left) if left.snapshot.zone_and_kind_names == (names.zones.clone(), names.kinds.clone()) => {
-                tracing::info!(age = ?left.age, upstreams = left.snapshot.upstreams.len(), "taken over");
-                Some(left)
+        match loaded {
+            Ok(state) if state.snapshot.zone_and_kind_names == (names.zones.clone(), names.kinds.clone()) => {
+                tracing::info!(age = ?state.age, upstreams = state.snapshot.upstreams.len(), "taken over");
+                Some(state)
             }
             Ok(_) => {
-                tracing::warn!("nothing is taken over: zones or kinds have changed");
+                tracing::warn!("hot restart state ignored: zone or kind names have changed");
                 None
             }
             Err(e) => {
-                tracing::warn!("nothing is taken over: {}: {e}", self.path.display());
+                tracing::warn!("hot restart state ignored: {}: {e}", self.path.display());
                 None
             }
         }
     }
 
-    /// Writes what this process knows, again and again, unless a later process does. While there are two, each has half of
-    /// the `allowed` descriptors: the platform counts them as one balancer's. `follows`: there may be one before this.
-    pub async fn keep(
+    /// Writes this process's state periodically, unless a successor writes the file. While two processes run,
+    /// each may use half of `max_descriptors`, because the platform counts both as one balancer.
+    /// `has_predecessor`: a predecessor may still run.
+    pub async fn write_periodically(
         self,
-        remembered: Rc<Remembered>,
+        recorder: Rc<EndpointRecorder>,
         driver: Rc<Driver>,
         descriptors: Rc<Descriptors>,
-        allowed: usize,
-        follows: bool,
+        max_descriptors: usize,
+        has_predecessor: bool,
     ) {
-        let begun = Instant::now();
-        let mut alone = true;
+        let started_at = Instant::now();
+        let mut was_alone = true;
         loop {
-            let written = descriptors.with_spare(|| self.write(&remembered, &driver));
-            let later = written.unwrap_or_else(|e| {
-                self.odd
-                    .warn(|| format!("nothing is left for the next process: {}: {e}", self.path.display()));
+            let written = descriptors.with_spare(|| self.write(&recorder, &driver));
+            let has_successor = written.unwrap_or_else(|e| {
+                self.write_warnings
+                    .warn(|| format!("cannot write hot restart state: {}: {e}", self.path.display()));
                 false
             });
-            let is_alone = !later && (!follows || begun.elapsed() > BESIDE);
-            if std::mem::replace(&mut alone, is_alone) != is_alone {
-                tracing::info!(is_alone, "the descriptors are shared with another process, or no more");
-                descriptors.allow(if is_alone { allowed } else { allowed / 2 });
+            let is_alone = !has_successor && (!has_predecessor || started_at.elapsed() > MAX_OVERLAP);
+            if std::mem::replace(&mut was_alone, is_alone) != is_alone {
+                tracing::info!(
+                    is_alone,
+                    "descriptor limit changed: halved while another process of this balancer runs"
+                );
+                descriptors.allow(if is_alone { max_descriptors } else { max_descriptors / 2 });
             }
-            sleep(WRITE_EVERY).await;
+            sleep(WRITE_INTERVAL).await;
         }
     }
 
-    /// `true`: a later process writes.
-    fn write(&self, remembered: &Remembered, driver: &Driver) -> io::Result<bool> {
-        let changed = fs::metadata(&self.path).and_then(|file| file.modified()).ok();
-        if changed.is_some()
-            && changed != self.own.get()
+    /// Writes the file once. Returns true, without writing, if a successor writes it.
+    fn write(&self, recorder: &EndpointRecorder, driver: &Driver) -> io::Result<bool> {
+        let modified = fs::metadata(&self.path).and_then(|file| file.modified()).ok();
+        if modified.is_some()
+            && modified != self.last_written.get()
             && self.read().is_ok_and(|text| {
                 HotRestartSnapshot::decode(&text).is_ok_and(|s| s.is_by_successor(self.reader()))
             })
         {
             return Ok(true);
         }
-        let snapshot = self.snapshot(remembered, &driver.heritage());
+        let snapshot = self.snapshot(recorder, &driver.heritage());
         let text =
-            snapshot.encode().ok_or_else(|| io::Error::other("there is more to say than is allowed"))?;
-        let new = self.path.with_extension(format!("{}.new", std::process::id()));
-        let written = fs::write(&new, text).and_then(|()| {
-            self.own.set(fs::metadata(&new)?.modified().ok());
-            fs::rename(&new, &self.path)
+            snapshot.encode().ok_or_else(|| io::Error::other("the snapshot exceeds the maximum size"))?;
+        let temporary_path = self.path.with_extension(format!("{}.new", std::process::id()));
+        let written = fs::write(&temporary_path, text).and_then(|()| {
+            self.last_written.set(fs::metadata(&temporary_path)?.modified().ok());
+            fs::rename(&temporary_path, &self.path)
         });
         if written.is_err() {
-            let _ = fs::remove_file(&new);
+            let _ = fs::remove_file(&temporary_path);
         }
         written.map(|()| false)
     }
 
-    fn snapshot(&self, remembered: &Remembered, heritage: &LearnedState) -> HotRestartSnapshot {
-        let names = remembered.discovery.names();
-        let known = |entry: &Entry| SnapshotEndpoint {
+    fn snapshot(&self, recorder: &EndpointRecorder, learned_state: &LearnedState) -> HotRestartSnapshot {
+        let names = recorder.discovery.names();
+        let to_snapshot = |entry: &Entry| SnapshotEndpoint {
             id: entry.id.0,
             location: (entry.zone.0, entry.kind.0, entry.cell.0),
             weight: entry.weight,
@@ -217,41 +222,41 @@
             started_ms: self.started_ms,
             written_ms: now_ms(),
             zone_and_kind_names: (names.zones.clone(), names.kinds.clone()),
-            rev: remembered.discovery.rev(),
-            upstreams: remembered.list.borrow().values().map(known).collect(),
+            rev: recorder.discovery.rev(),
+            upstreams: recorder.endpoints.borrow().values().map(to_snapshot).collect(),
             rates: Default::default(),
             classes: BTreeMap::new(),
             tenants: BTreeMap::new(),
         };
-        snapshot.set_learned_state(heritage, &names.classes, &names.tenants);
+        snapshot.set_learned_state(learned_state, &names.classes, &names.tenants);
         snapshot
     }
 }
 
-impl Left {
-    /// The list, unless `known` by the configuration is newer.
-    pub fn list(&self, known: News, discovery: &Discovery) -> News {
+impl PredecessorState {
+    /// Returns the predecessor's endpoint list, or `configured` if the configuration's revision is newer.
+    pub fn endpoints(&self, configured: News, discovery: &Discovery) -> News {
         if self.snapshot.rev < discovery.rev() || self.snapshot.upstreams.is_empty() {
-            return known;
+            return configured;
         }
         discovery.resume(self.snapshot.rev);
-        let entry = |known: &SnapshotEndpoint| Entry {
-            id: UpstreamId(known.id),
-            zone: ZoneId(known.location.0),
-            kind: KindId(known.location.1),
-            cell: CellId(known.location.2),
-            weight: known.weight,
+        let to_entry = |endpoint: &SnapshotEndpoint| Entry {
+            id: UpstreamId(endpoint.id),
+            zone: ZoneId(endpoint.location.0),
+            kind: KindId(endpoint.location.1),
+            cell: CellId(endpoint.location.2),
+            weight: endpoint.weight,
             place: Place {
-                endpoint: known.endpoint,
-                availability: known.availability(),
-                boot_ms: known.boot_ms,
+                endpoint: endpoint.endpoint,
+                availability: endpoint.availability(),
+                boot_ms: endpoint.boot_ms,
             },
         };
-        News { scope: UpdateScope::Cached, entries: self.snapshot.upstreams.iter().map(entry).collect() }
+        News { scope: UpdateScope::Cached, entries: self.snapshot.upstreams.iter().map(to_entry).collect() }
     }
 
-    /// What was learned.
-    pub fn heritage(&self, names: &IdNames) -> LearnedState {
+    /// Returns the learned state of the predecessor, aged to the present.
+    pub fn learned_state(&self, names: &IdNames) -> LearnedState {
         self.snapshot.to_learned_state(self.age, &names.classes, &names.tenants)
     }
 }
--- a/crates/proxy/src/inbound.rs
+++ b/crates/proxy/src/inbound.rs
@@ -1,7 +1,8 @@
-//! A client's stream. The HTTP connection reads it; while that does not read, it is read ahead of it, so that the end of
-//! the client's sending is seen as long as a request of it waits, whatever has come behind that request.
+//! The TCP stream of a client connection. While the HTTP connection does not read, the stream is read ahead
+//! of it, so that the end of the client's stream is detected while a request is pending, whatever was
+//! received behind that request.
 
-use crate::client::{Client, Stand};
+use crate::client::{ClientConnection, ConnectionState};
 use bytes::{Buf, BytesMut};
 use maplehook::parts::terms::Presence;
 use socket2::SockRef;
@@ -17,185 +18,191 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// The most that is read ahead of one client, and of all together. The end of a client that has sent more than that behind
-/// a request is seen with the answer: its kernel may not even have told it to ours.
-const AHEAD_MOST: usize = 256 * 1024;
-const AHEAD_OF_ALL: usize = 4 * 1024 * 1024;
-/// The same of a body that streams, beyond what its upstream takes: whether its client has stopped is seen by what comes. More
-/// of those must not keep the ends of other clients from being seen.
-const UPLOAD_AHEAD_MOST: usize = 128 * 1024;
-const UPLOADS_AHEAD_OF_ALL: usize = AHEAD_OF_ALL / 2;
-/// How often it is looked at whether a part of a body that streams waits unread.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// A look at whether anything has come.
-pub const GLANCE: Duration = Duration::from_millis(1);
-/// Read at a time.
-const PIECE: usize = 4096;
-
-/// How many bytes are read ahead of all clients.
-pub type OfAll = Rc<Cell<usize>>;
-
-/// What is read ahead of one client.
-struct Ahead {
+/// Maximum number of bytes read ahead of one client, and of all clients together. The end of a client that
+/// has sent more than that behind a request is detected only with the response: its kernel may not have
+/// transmitted the end at all.
+const MAX_READ_AHEAD_BYTES: usize = 256 * 1024;
+const MAX_TOTAL_READ_AHEAD_BYTES: usize = 4 * 1024 * 1024;
+/// The same limits for streaming bodies, beyond what the upstream accepts: received bytes show that the
+/// client has not stalled. Uploads may use only part of the total, so that the ends of other clients are
+/// still detected.
+const MAX_UPLOAD_READ_AHEAD_BYTES: usize = 128 * 1024;
+const MAX_TOTAL_UPLOAD_READ_AHEAD_BYTES: usize = MAX_TOTAL_READ_AHEAD_BYTES / 2;
+/// Interval of the checks for unread bytes of a streaming body.
+const UNREAD_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time for which the runtime is polled for bytes that were just received.
+pub const POLL_TIMEOUT: Duration = Duration::from_millis(1);
+/// Number of bytes per read.
+const READ_CHUNK_BYTES: usize = 4096;
+
+/// Number of bytes that are read ahead of all clients together.
+pub type TotalReadAhead = Rc<Cell<usize>>;
+
+/// Bytes read ahead of one client, which count towards the total of all clients.
+struct ReadAhead {
     bytes: BytesMut,
-    of_all: OfAll,
+    total: TotalReadAhead,
 }
 
-impl Ahead {
-    fn is_full(&self, most: usize, of_all: usize) -> bool {
-        self.bytes.len() >= most || self.of_all.get() >= of_all
+impl ReadAhead {
+    fn is_full(&self, max_bytes: usize, max_total_bytes: usize) -> bool {
+        self.bytes.len() >= max_bytes || self.total.get() >= max_total_bytes
     }
 
-    fn push(&mut self, piece: &[u8]) {
-        self.bytes.extend_from_slice(piece);
-        self.of_all.set(self.of_all.get() + piece.len());
+    fn push(&mut self, chunk: &[u8]) {
+        self.bytes.extend_from_slice(chunk);
+        self.total.set(self.total.get() + chunk.len());
     }
 
     fn take(&mut self, buf: &mut ReadBuf<'_>) {
         let n = self.bytes.len().min(buf.remaining());
         buf.put_slice(&self.bytes[..n]);
         self.bytes.advance(n);
-        self.of_all.set(self.of_all.get() - n);
+        self.total.set(self.total.get() - n);
     }
 }
 
-impl Drop for Ahead {
+impl Drop for ReadAhead {
     fn drop(&mut self) {
-        self.of_all.set(self.of_all.get() - self.bytes.len());
+        self.total.set(self.total.get() - self.bytes.len());
     }
 }
 
-/// A client's stream and what was read of it ahead.
-pub struct Wire {
-    client: Rc<Client>,
+/// A client's TCP stream with the bytes that were read ahead.
+pub struct ClientStream {
+    client: Rc<ClientConnection>,
     stream: RefCell<TcpStream>,
-    ahead: RefCell<Ahead>,
-    /// Whether the HTTP connection waits for bytes: it sees the end by itself then.
-    wanted: Cell<bool>,
-    /// Whether the client has ended its sending.
-    ended: Cell<bool>,
-    /// Whether our sending is ended.
-    shut: Cell<bool>,
-    /// Whether something is being written that the kernel has not taken whole.
-    writes: Cell<bool>,
+    read_ahead: RefCell<ReadAhead>,
+    /// True if the HTTP connection waits for bytes; it then detects the end of the stream itself.
+    http_awaits_bytes: Cell<bool>,
+    /// True if the client has closed its side of the stream.
+    has_client_eof: Cell<bool>,
+    /// True if the balancer has closed its side of the stream.
+    is_write_shut: Cell<bool>,
+    /// True if the kernel has not yet taken all bytes of the current write.
+    has_pending_write: Cell<bool>,
 }
 
-/// A client's stream that the HTTP connection has left while its client has not ended its sending.
-pub enum Left {
-    /// Our sending is ended.
-    Shut(TcpStream),
-    /// Nothing is being written on it.
-    Quiet(TcpStream),
+/// The stream that remains after the HTTP connection, if the client has not closed its side.
+pub enum RemainingStream {
+    /// The balancer has closed its side.
+    WriteShut(TcpStream),
+    /// Both sides are open and no write is pending.
+    WriteIdle(TcpStream),
 }
 
-impl Wire {
-    /// The stream of this client, one of those who share the room `of_all`.
-    pub fn new(stream: TcpStream, client: Rc<Client>, of_all: OfAll) -> Rc<Self> {
+impl ClientStream {
+    /// Wraps the stream of `client`. `total` counts the bytes read ahead of all clients.
+    pub fn new(stream: TcpStream, client: Rc<ClientConnection>, total: TotalReadAhead) -> Rc<Self> {
         Rc::new(Self {
             client,
             stream: RefCell::new(stream),
-            ahead: RefCell::new(Ahead { bytes: BytesMut::new(), of_all }),
-            wanted: Cell::new(false),
-            ended: Cell::new(false),
-            shut: Cell::new(false),
-            writes: Cell::new(false),
+            read_ahead: RefCell::new(ReadAhead { bytes: BytesMut::new(), total }),
+            http_awaits_bytes: Cell::new(false),
+            has_client_eof: Cell::new(false),
+            is_write_shut: Cell::new(false),
+            has_pending_write: Cell::new(false),
         })
     }
 
-    /// Whose it is.
-    pub fn client(&self) -> &Rc<Client> {
+    /// Returns the connection that the stream belongs to.
+    pub fn client(&self) -> &Rc<ClientConnection> {
         &self.client
     }
 
-    /// Whether its client has ended its sending.
-    pub fn has_ended(&self) -> bool {
-        self.ended.get()
+    /// Returns true if the client was seen to close its side of the stream.
+    pub fn has_client_eof(&self) -> bool {
+        self.has_client_eof.get()
     }
 
-    /// Tells whether its client is still there. It holds on to nothing.
+    /// Returns a handle that reports whether the client is still connected. The handle does not keep the
+    /// stream alive.
     pub fn presence(self: &Rc<Self>) -> Presence {
-        let wire = Rc::downgrade(self);
-        Presence::new(move || wire.upgrade().is_some_and(|wire| !wire.has_left()))
+        let stream = Rc::downgrade(self);
+        Presence::new(move || stream.upgrade().is_some_and(|stream| !stream.is_client_gone()))
     }
 
-    /// Whether its client has ended its sending, as far as that can be seen past bytes that nobody has read.
-    fn has_left(&self) -> bool {
-        let gone = |e: io::Error| e.kind() != io::ErrorKind::WouldBlock;
-        self.ended.get() || self.peek().map_or_else(gone, |has_come| !has_come)
+    /// Returns true if the client has closed its side, as far as that is visible past unread bytes.
+    fn is_client_gone(&self) -> bool {
+        let is_closed = |e: io::Error| e.kind() != io::ErrorKind::WouldBlock;
+        self.has_client_eof.get() || self.peek().map_or_else(is_closed, |has_bytes| !has_bytes)
     }
 
-    /// Whether bytes have come that nobody has read; `false` at the end. The kernel is asked itself: what the runtime knows of
-    /// the stream may be older.
+    /// Returns true if the receive buffer has unread bytes, and false at the end of the stream. Asks the
+    /// kernel directly, because the runtime's readiness state may be stale.
     fn peek(&self) -> io::Result<bool> {
         let (mut byte, stream) = ([MaybeUninit::uninit()], self.stream.borrow());
-        uninterrupted(|| SockRef::from(&*stream).peek(&mut byte)).map(|n| n > 0)
+        retry_on_interrupt(|| SockRef::from(&*stream).peek(&mut byte)).map(|n| n > 0)
     }
 
-    /// Whether its client has gone that is owed an answer. It is polled after the HTTP connection: what that waits for
-    /// is left to it.
-    pub fn poll_gone(&self, cx: &mut Context<'_>) -> Poll<()> {
-        if self.client.stand() != Stand::Held {
+    /// Completes if the client of a pending request has closed its side. Must be polled after the HTTP
+    /// connection, which takes precedence for the bytes that it waits for.
+    pub fn poll_client_gone(&self, cx: &mut Context<'_>) -> Poll<()> {
+        if self.client.state() != ConnectionState::Held {
             return Poll::Pending;
         }
-        if self.client.whole_at().is_some() {
-            self.read_ahead(cx, AHEAD_MOST, AHEAD_OF_ALL);
+        if self.client.request_completed_at().is_some() {
+            self.read_ahead(cx, MAX_READ_AHEAD_BYTES, MAX_TOTAL_READ_AHEAD_BYTES);
         } else if self.client.is_uploading() {
-            self.read_ahead(cx, UPLOAD_AHEAD_MOST, UPLOADS_AHEAD_OF_ALL);
+            self.read_ahead(cx, MAX_UPLOAD_READ_AHEAD_BYTES, MAX_TOTAL_UPLOAD_READ_AHEAD_BYTES);
         }
-        if self.ended.get() { Poll::Ready(()) } else { Poll::Pending }
+        if self.has_client_eof.get() { Poll::Ready(()) } else { Poll::Pending }
     }
 
-    /// Reads what has come while the HTTP connection does not, within these bounds.
-    fn read_ahead(&self, cx: &mut Context<'_>, most: usize, of_all: usize) {
-        while !self.wanted.get() && !self.ended.get() && !self.ahead.borrow().is_full(most, of_all) {
-            let mut piece = [MaybeUninit::uninit(); PIECE];
-            let mut piece = ReadBuf::uninit(&mut piece);
-            if self.poll_stream(cx, &mut piece).is_pending() {
+    /// Reads ahead while the HTTP connection does not read, up to these limits.
+    fn read_ahead(&self, cx: &mut Context<'_>, max_bytes: usize, max_total_bytes: usize) {
+        while !self.http_awaits_bytes.get()
+            && !self.has_client_eof.get()
+            && !self.read_ahead.borrow().is_full(max_bytes, max_total_bytes)
+        {
+            let mut chunk = [MaybeUninit::uninit(); READ_CHUNK_BYTES];
+            let mut chunk = ReadBuf::uninit(&mut chunk);
+            if self.poll_stream(cx, &mut chunk).is_pending() {
                 return;
             }
-            self.ahead.borrow_mut().push(piece.filled());
+            self.read_ahead.borrow_mut().push(chunk.filled());
         }
     }
 
-    /// Reads the stream itself, and takes note of what comes and of the end.
+    /// Reads from the socket, and records received bytes or the end of the stream.
     fn poll_stream(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
+        let filled_before = buf.filled().len();
         let read = ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, buf));
-        let came = &buf.filled()[before..];
-        if came.is_empty() {
-            self.ended.set(true);
+        let received = &buf.filled()[filled_before..];
+        if received.is_empty() {
+            self.has_client_eof.set(true);
         } else {
-            self.client.arrived(came);
+            self.client.on_received(received);
         }
         Poll::Ready(read)
     }
 
     fn poll_read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
-        let ahead = &mut *self.ahead.borrow_mut();
-        if !ahead.bytes.is_empty() {
-            ahead.take(buf);
-        } else if !self.ended.get() {
+        let filled_before = buf.filled().len();
+        let read_ahead = &mut *self.read_ahead.borrow_mut();
+        if !read_ahead.bytes.is_empty() {
+            read_ahead.take(buf);
+        } else if !self.has_client_eof.get() {
             let read = self.poll_stream(cx, buf);
-            self.wanted.set(read.is_pending());
+            self.http_awaits_bytes.set(read.is_pending());
             ready!(read)?;
         }
-        self.client.took(buf.filled().len() - before);
+        self.client.on_consumed(buf.filled().len() - filled_before);
         Poll::Ready(Ok(()))
     }
 
-    /// Waits until the rest of the request that is being read has had its time. What has come by then is looked at first: a
-    /// process that stood still finds its timers before that.
-    pub async fn stops(&self) {
-        let mut looked = false;
-        while let Some(due) = self.client.read_by() {
-            if due > Instant::now() {
-                looked = false;
-                sleep_until(due).await;
-            } else if !looked && self.has_unread() {
-                looked = true;
-                self.client.has_unread();
-                sleep(GLANCE).await;
+    /// Waits until the request that is being read times out. Bytes that were already received are read first,
+    /// because the timers of a process that was suspended expire before it reads them.
+    pub async fn wait_for_request_timeout(&self) {
+        let mut has_checked = false;
+        while let Some(deadline) = self.client.request_deadline() {
+            if deadline > Instant::now() {
+                has_checked = false;
+                sleep_until(deadline).await;
+            } else if !has_checked && self.has_unread_bytes() {
+                has_checked = true;
+                self.client.on_unread_bytes();
+                sleep(POLL_TIMEOUT).await;
             } else {
                 return;
             }
@@ -203,63 +210,66 @@
         pending().await
     }
 
-    /// Whether bytes have come that nobody has read.
-    pub fn has_unread(&self) -> bool {
+    /// Returns true if the receive buffer has unread bytes.
+    pub fn has_unread_bytes(&self) -> bool {
         self.peek().unwrap_or(false)
     }
 
-    /// Watches bodies that stream, as long as it is polled: a client has not stopped of whose bytes some wait unread.
-    pub async fn watches_uploads(&self) {
+    /// Watches streaming bodies for as long as the future is polled: a client with unread bytes has not
+    /// stalled.
+    pub async fn watch_uploads(&self) {
         loop {
             while self.client.is_uploading() {
-                if self.has_unread() {
-                    // Its window may be full, however little that is: it can't be told whether it would send more.
-                    self.client.has_unread();
+                if self.has_unread_bytes() {
+                    // The receive window may be full, however small it is, so the client may be unable to
+                    // send more.
+                    self.client.on_unread_bytes();
                 }
-                sleep(LOOK_EVERY).await;
+                sleep(UNREAD_CHECK_INTERVAL).await;
             }
-            self.client.upload_begins().await;
+            self.client.wait_for_upload().await;
         }
     }
 
-    /// The stream, where its client may still hear of it. `None` as long as the HTTP connection lives, and where an answer
-    /// on it was broken off.
-    pub fn into_left(wire: Rc<Self>) -> Option<Left> {
-        let wire = Rc::into_inner(wire)?;
-        let (ended, shut, writes) = (wire.ended.get(), wire.shut.get(), wire.writes.get());
-        let stream = wire.stream.into_inner();
-        match (ended, shut) {
+    /// Returns the stream if the client can still receive on it. `None` while the HTTP connection exists, and
+    /// after a response that was cut off.
+    pub fn into_remaining(stream: Rc<Self>) -> Option<RemainingStream> {
+        let stream = Rc::into_inner(stream)?;
+        let (has_client_eof, is_write_shut, has_pending_write) =
+            (stream.has_client_eof.get(), stream.is_write_shut.get(), stream.has_pending_write.get());
+        let stream = stream.stream.into_inner();
+        match (has_client_eof, is_write_shut) {
             (true, _) => None,
-            (false, true) => Some(Left::Shut(stream)),
-            (false, false) => Some(Left::Quiet(stream)).filter(|_| !writes),
+            (false, true) => Some(RemainingStream::WriteShut(stream)),
+            (false, false) => Some(RemainingStream::WriteIdle(stream)).filter(|_| !has_pending_write),
         }
     }
 }
 
-/// Makes a call again for as long as a signal interrupts it, which says nothing of the stream.
-fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+/// Repeats a system call while a signal interrupts it; the interruption says nothing about the stream.
+fn retry_on_interrupt<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// The stream as the HTTP connection has it.
-pub struct Inbound(pub Rc<Wire>);
+/// Reader and writer of the client stream for the HTTP connection.
+pub struct HttpIo(pub Rc<ClientStream>);
 
-impl AsyncRead for Inbound {
+impl AsyncRead for HttpIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         self.0.poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for Inbound {
+impl AsyncWrite for HttpIo {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.0.writes.set(true);
+        self.0.has_pending_write.set(true);
         let poll = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write(cx, buf);
-        self.0.client.wrote(poll)
+        self.0.client.on_write(poll)
     }
 
     fn poll_write_vectored(
@@ -267,9 +277,9 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.0.writes.set(true);
+        self.0.has_pending_write.set(true);
         let poll = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write_vectored(cx, bufs);
-        self.0.client.wrote(poll)
+        self.0.client.on_write(poll)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -277,14 +287,14 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The HTTP connection flushes once it has handed on all that it has.
+        // The HTTP connection flushes after it has written everything that it has.
         let flushed = Pin::new(&mut *self.0.stream.borrow_mut()).poll_flush(cx);
-        self.0.writes.set(self.0.writes.get() && flushed.is_pending());
+        self.0.has_pending_write.set(self.0.has_pending_write.get() && flushed.is_pending());
         flushed
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.0.shut.set(true);
+        self.0.is_write_shut.set(true);
         Pin::new(&mut *self.0.stream.borrow_mut()).poll_shutdown(cx)
     }
 }
@@ -293,41 +303,47 @@
 mod tests {
     use super::*;
 
-    /// Guards clients against being taken for gone, or for silent, because a signal came.
+    /// Guards against treating a client as disconnected or stalled because a signal interrupted a system
+    /// call.
     #[test]
-    fn an_interrupted_call_is_made_again() {
+    fn interrupted_calls_are_retried() {
         let mut results =
             vec![Ok(3), Err(io::ErrorKind::Interrupted.into()), Err(io::ErrorKind::Interrupted.into())];
-        assert_eq!(uninterrupted(|| results.pop().unwrap()).unwrap(), 3);
-        let waits = uninterrupted(|| Err::<(), _>(io::ErrorKind::WouldBlock.into()));
-        assert_eq!(waits.unwrap_err().kind(), io::ErrorKind::WouldBlock);
+        assert_eq!(retry_on_interrupt(|| results.pop().unwrap()).unwrap(), 3);
+        let error = retry_on_interrupt(|| Err::<(), _>(io::ErrorKind::WouldBlock.into()));
+        assert_eq!(error.unwrap_err().kind(), io::ErrorKind::WouldBlock);
     }
 
-    /// Guards a client whose upstream takes nothing and whose window is full, however small that is: it has not stopped.
+    /// Guards uploads whose upstream accepts nothing: a client whose receive window is full, however small,
+    /// has not stalled.
     #[tokio::test(flavor = "local", start_paused = true)]
-    async fn a_client_whose_window_is_full_has_not_stopped() {
-        const SILENCE: Duration = Duration::from_millis(2500);
+    async fn uploads_blocked_by_a_full_receive_window_do_not_time_out() {
+        const UPLOAD_IDLE: Duration = Duration::from_millis(2500);
         let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        let any: std::net::SocketAddr = "127.0.0.1:0".parse().unwrap();
-        // What is accepted has this, too.
+        let any_port: std::net::SocketAddr = "127.0.0.1:0".parse().unwrap();
+        // Accepted sockets inherit the buffer size.
         listener.set_recv_buffer_size(4096).unwrap();
-        listener.bind(&any.into()).unwrap();
+        listener.bind(&any_port.into()).unwrap();
         listener.listen(1).unwrap();
         let address = listener.local_addr().unwrap().as_socket().unwrap();
         let mut sender = std::net::TcpStream::connect(address).unwrap();
         let stream = std::net::TcpStream::from(listener.accept().unwrap().0);
         stream.set_nonblocking(true).unwrap();
-        let client = crate::client::tests::alone();
-        let wire = Wire::new(TcpStream::from_std(stream).unwrap(), Rc::clone(&client), OfAll::default());
-        client.arrived(b"POST / HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n");
-        client.reads(maplehook::label::Label::default());
-        client.holds(0, false, Some(SILENCE));
+        let client = crate::client::tests::unobserved_connection();
+        let stream = ClientStream::new(
+            TcpStream::from_std(stream).unwrap(),
+            Rc::clone(&client),
+            TotalReadAhead::default(),
+        );
+        client.on_received(b"POST / HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n");
+        client.on_head(maplehook::label::Label::default());
+        client.on_request(0, false, Some(UPLOAD_IDLE));
         sender.set_nonblocking(true).unwrap();
         while std::io::Write::write(&mut sender, &[b'x'; 4096]).is_ok() {}
         tokio::select! {
-            () = wire.watches_uploads() => {}
-            () = sleep(2 * SILENCE) => {}
+            () = stream.watch_uploads() => {}
+            () = sleep(2 * UPLOAD_IDLE) => {}
         }
-        assert_eq!(client.overdue_for(), None);
+        assert_eq!(client.expiry_reason(), None);
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -19,13 +19,14 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
+mod admission;
 mod client;
 pub mod command;
 pub mod config;
 mod control;
 mod counts;
 mod daemon;
-mod entrance;
+mod failover;
 mod framing;
 #[cfg(test)]
 mod golden_tests;
@@ -34,11 +35,11 @@
 mod inbound;
 pub mod inherited;
 pub mod locality_command;
-mod nearness;
 pub mod places;
 pub mod places_command;
-mod refusals;
+mod rejections;
 mod requests;
+mod responses;
 pub mod retune;
 pub mod rollout;
 pub mod rollout_command;
@@ -52,6 +53,5 @@
 mod versions;
 pub mod whom;
 pub mod wishes;
-mod words;
 
 pub use daemon::Daemon;
--- a/crates/proxy/src/requests.rs
+++ b/crates/proxy/src/requests.rs
@@ -1,4 +1,4 @@
-//! What makes a client's message a request that may be handed to the module, and which requests are open.
+//! Parses and validates clients' requests, and tracks the ids of the open ones.
 
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING};
@@ -23,285 +23,320 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// What is taken off a client's time: the way of the request here and of the answer back, and the timers.
-const ON_THE_WAY: Duration = Duration::from_millis(4);
+/// Time subtracted from a client's deadline for the network in both directions and the timers.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(4);
 
-/// Names the version in force, to upstreams and clients.
-pub const VERSION: HeaderName = HeaderName::from_static("x-maplehook-version");
+/// Header with the active settings version, added to forwarded requests and to responses.
+pub const VERSION_HEADER: HeaderName = HeaderName::from_static("x-maplehook-version");
 
-/// Ids of the requests that are owed their answers. Clients choose them: the hasher is no one's to guess.
-type OpenIds = Rc<RefCell<HashSet<HeaderValue>>>;
+/// Ids of the requests whose responses are pending. Clients choose them, so the set uses a randomly seeded
+/// hasher.
+type OpenRequestIds = Rc<RefCell<HashSet<HeaderValue>>>;
 
-/// The id of an open request; no other may bear it meanwhile.
-pub struct OpenId {
-    ids: OpenIds,
+/// The id of an open request. Dropping the value releases the id; until then no other request may use it.
+pub struct OpenRequestId {
+    ids: OpenRequestIds,
     id: HeaderValue,
 }
 
-impl Drop for OpenId {
+impl Drop for OpenRequestId {
     fn drop(&mut self) {
         self.ids.borrow_mut().remove(&self.id);
     }
 }
 
-/// The head of a request, found fit.
-pub struct Head {
-    fit: Fit,
+/// A valid request head, with the rules it was parsed by.
+pub struct RequestHead {
+    parsed: Fit,
     parts: Parts,
-    book: Rc<Book>,
-    /// Whether it shows that its client is known.
-    pub vouched: bool,
+    rules: Rc<RequestRules>,
+    /// True if the request identifies its client as known.
+    pub is_authenticated: bool,
 }
 
-impl Head {
-    /// Whose it is.
+impl RequestHead {
+    /// Returns the tenant of the request.
     pub fn tenant(&self) -> TenantId {
-        self.fit.tenant
+        self.parsed.tenant
     }
 }
 
-/// A request that may be handed to the module.
-pub struct Ready {
-    /// The request.
-    pub asked: Asked,
-    /// By what a repeat of it is known.
+/// A valid request that may be forwarded.
+pub struct ReadyRequest {
+    /// The request as the balancer takes it.
+    pub request: Asked,
+    /// Identity by which repeats of the request are recognized; `None` if repeats are not.
     pub identity: Option<Identity>,
-    /// Its body, where that streams.
+    /// Progress of a streaming request body; `None` if the body is complete.
     pub upload: Option<Rc<Upload>>,
-    /// Open until this is dropped.
-    pub open: Option<OpenId>,
-    /// The version that it came under, where it is told.
-    pub label: Option<HeaderValue>,
+    /// Keeps the request id reserved until it is dropped.
+    pub open_id: Option<OpenRequestId>,
+    /// Settings version that the request was parsed under, if versions are reported.
+    pub version: Option<HeaderValue>,
 }
 
-/// By what a request shows that its client is known.
+/// Ways for a request to identify its client as known.
 #[derive(Default)]
-pub struct Vouching {
-    /// Tenants whose name is enough.
-    pub tenants: Vec<String>,
-    /// The header that bears a signed word, and who checks it.
+pub struct ClientAuthentication {
+    /// Tenants whose requests count as authenticated by the tenant header alone.
+    pub trusted_tenants: Vec<String>,
+    /// Header that carries a signed token, and the signer that verifies it.
     pub token: Option<(HeaderName, TokenSigner)>,
 }
 
-impl Vouching {
-    fn vouches(&self, account: Option<&str>, headers: &HeaderMap) -> bool {
-        let word = || {
+impl ClientAuthentication {
+    fn is_authenticated(&self, tenant: Option<&str>, headers: &HeaderMap) -> bool {
+        let has_valid_token = || {
             let (name, signer) = self.token.as_ref()?;
-            let word = headers.get(name)?.to_str().ok()?;
+            let token = headers.get(name)?.to_str().ok()?;
             let now = SystemTime::now().duration_since(UNIX_EPOCH).ok()?;
-            let tenant = signer.verify(word, now.as_secs()).map_err(|e| tracing::debug!("token: {e}"));
-            tenant.ok().map(|tenant| Some(tenant) == account)
+            let signed_tenant = signer
+                .verify(token, now.as_secs())
+                .map_err(|e| tracing::debug!("rejected client token: {e}"));
+            signed_tenant.ok().map(|signed| Some(signed) == tenant)
         };
-        account.is_some_and(|name| self.tenants.iter().any(|known| known == name)) || word() == Some(true)
+        tenant.is_some_and(|name| self.trusted_tenants.iter().any(|trusted| trusted == name))
+            || has_valid_token() == Some(true)
     }
 }
 
-/// What requests are made of: a request is read by the one that stood when its head came.
-struct Book {
-    rules: Rules,
+/// The rules for requests. Each request is processed by the rules that were active when its head was
+/// received.
+struct RequestRules {
+    classifier: Rules,
     passages: Vec<Rc<Passage>>,
-    /// Clients of which nothing is taken.
-    refused: NetworkSet,
-    /// The version in force, where it is told.
-    label: Option<HeaderValue>,
+    /// Networks whose clients' requests are rejected.
+    rejected_networks: NetworkSet,
+    /// Active settings version, if versions are reported.
+    version: Option<HeaderValue>,
 }
 
-impl Book {
-    fn platform(tuned: &ActiveSettings, before: Option<&Rules>) -> Self {
-        let classes = tuned.classes().map(|(id, name, class)| (id, name, class.effect, class.deadline));
+impl RequestRules {
+    fn platform(settings: &ActiveSettings, previous: Option<&Rules>) -> Self {
+        let classes = settings.classes().map(|(id, name, class)| (id, name, class.effect, class.deadline));
         let passage = Rc::new(Passage::platform());
         Self {
-            rules: Rules::platform(classes, tuned.tenants(), before),
-            // By number, those of the vanished among them.
-            passages: vec![passage; tuned.current().settings.classes.len()],
-            refused: NetworkSet::default(),
-            label: None,
+            classifier: Rules::platform(classes, settings.tenants(), previous),
+            // Indexed by class id, including the ids of removed classes.
+            passages: vec![passage; settings.current().settings.classes.len()],
+            rejected_networks: NetworkSet::default(),
+            version: None,
         }
     }
 }
 
-/// Reads requests.
-pub struct Requests {
-    book: RefCell<Rc<Book>>,
-    /// Everything is refused.
-    refuses: Cell<bool>,
+/// Parses requests by the active rules.
+pub struct RequestReader {
+    rules: RefCell<Rc<RequestRules>>,
+    /// True if all requests are rejected.
+    rejects_all: Cell<bool>,
     forwarding: Forwarding,
-    fronts: Vec<Network>,
-    room: Room,
-    open: OpenIds,
-    vouching: Vouching,
+    trusted_proxies: Vec<Network>,
+    body_memory: Room,
+    open_ids: OpenRequestIds,
+    authentication: ClientAuthentication,
 }
 
-impl Requests {
-    /// A reader of the platform's requests.
-    pub fn platform(tuned: &ActiveSettings, vouching: Vouching, room: Room) -> Self {
+impl RequestReader {
+    /// Creates a reader with the platform's settings.
+    pub fn platform(
+        settings: &ActiveSettings,
+        authentication: ClientAuthentication,
+        body_memory: Room,
+    ) -> Self {
         Self {
-            book: RefCell::new(Rc::new(Book::platform(tuned, None))),
-            refuses: Cell::new(false),
+            rules: RefCell::new(Rc::new(RequestRules::platform(settings, None))),
+            rejects_all: Cell::new(false),
             forwarding: Forwarding::platform(),
-            fronts: Vec::new(),
-            room,
-            open: OpenIds::default(),
-            vouching,
+            trusted_proxies: Vec::new(),
+            body_memory,
+            open_ids: OpenRequestIds::default(),
+            authentication,
         }
     }
 
-    /// A reader of the requests that an operator's file describes.
-    pub fn of(proxy: &Proxy, fronts: Vec<Network>, vouching: Vouching, room: Room) -> Self {
+    /// Creates a reader for the requests that the balancer's configuration file describes.
+    pub fn from_file(
+        proxy: &Proxy,
+        trusted_proxies: Vec<Network>,
+        authentication: ClientAuthentication,
+        body_memory: Room,
+    ) -> Self {
         Self {
-            book: RefCell::new(Rc::new(Book {
-                rules: proxy.rules(),
+            rules: RefCell::new(Rc::new(RequestRules {
+                classifier: proxy.rules(),
                 passages: proxy.passages.iter().cloned().map(Rc::new).collect(),
-                refused: proxy.clients.refused.clone(),
-                label: None,
+                rejected_networks: proxy.clients.refused.clone(),
+                version: None,
             })),
-            refuses: Cell::new(false),
+            rejects_all: Cell::new(false),
             forwarding: proxy.forwarding.clone(),
-            fronts,
-            room,
-            open: OpenIds::default(),
-            vouching,
+            trusted_proxies,
+            body_memory,
+            open_ids: OpenRequestIds::default(),
+            authentication,
         }
     }
 
-    /// Whether they are the platform's, which closes on what is unfit.
+    /// Returns true for the platform's requests, which are parsed strictly: an invalid one closes the
+    /// connection.
     pub fn is_strict(&self) -> bool {
-        self.book.borrow().rules.is_strict()
+        self.rules.borrow().classifier.is_strict()
     }
 
-    /// The platform's settings have changed.
-    pub fn retune(&self, tuned: &ActiveSettings) {
-        let before = Rc::clone(&self.book.borrow());
-        *self.book.borrow_mut() = Rc::new(Book::platform(tuned, Some(&before.rules)));
+    /// Applies changed platform settings.
+    pub fn update_settings(&self, settings: &ActiveSettings) {
+        let previous = Rc::clone(&self.rules.borrow());
+        *self.rules.borrow_mut() = Rc::new(RequestRules::platform(settings, Some(&previous.classifier)));
     }
 
-    /// Another version is in force; requests whose heads have come keep the one that they came under.
-    pub fn replace(&self, rules: Rules, passages: Vec<Passage>, refused: NetworkSet, label: Option<&str>) {
-        let label = label.and_then(|label| HeaderValue::from_str(label).ok());
+    /// Activates another version. Requests whose heads were already parsed keep the rules of their version.
+    pub fn replace_rules(
+        &self,
+        classifier: Rules,
+        passages: Vec<Passage>,
+        rejected_networks: NetworkSet,
+        version: Option<&str>,
+    ) {
+        let version = version.and_then(|version| HeaderValue::from_str(version).ok());
         let passages = passages.into_iter().map(Rc::new).collect();
-        *self.book.borrow_mut() = Rc::new(Book { rules, passages, refused, label });
+        *self.rules.borrow_mut() = Rc::new(RequestRules { classifier, passages, rejected_networks, version });
     }
 
-    /// Whether everything is refused from now on.
-    pub fn refuse(&self, refuses: bool) {
-        self.refuses.set(refuses);
+    /// Sets whether all requests are rejected.
+    pub fn set_reject_all(&self, rejects_all: bool) {
+        self.rejects_all.set(rejects_all);
     }
 
-    /// The version in force, where it is told.
-    pub fn label(&self) -> Option<HeaderValue> {
-        self.book.borrow().label.clone()
+    /// Returns the active settings version, if versions are reported.
+    pub fn version(&self) -> Option<HeaderValue> {
+        self.rules.borrow().version.clone()
     }
 
-    /// What the client calls a request with this head.
-    pub fn label_of(&self, headers: &HeaderMap) -> Label {
-        headers.get(&self.book.borrow().rules.headers().id).map(Label::from).unwrap_or_default()
+    /// Returns the label of a request: the id that the client sent in its headers.
+    pub fn request_label(&self, headers: &HeaderMap) -> Label {
+        headers.get(&self.rules.borrow().classifier.headers().id).map(Label::from).unwrap_or_default()
     }
 
-    /// Reads a head, from a client at this address. `hides_a_length`: whether its bytes name a length that it does not show.
-    pub fn head(&self, mut parts: Parts, peer: IpAddr, hides_a_length: bool) -> Result<Head, Unfit> {
-        let bad = |why| Unfit::new(StatusCode::BAD_REQUEST, why);
-        if self.refuses.get() {
-            return Err(Unfit::new(StatusCode::SERVICE_UNAVAILABLE, "no word from the other balancers"));
+    /// Parses a request head from the client at `peer`. `has_hidden_length`: the received bytes have a
+    /// `Content-Length` that the parsed headers lack.
+    pub fn parse_head(
+        &self,
+        mut parts: Parts,
+        peer: IpAddr,
+        has_hidden_length: bool,
+    ) -> Result<RequestHead, Unfit> {
+        let bad_request = |reason| Unfit::new(StatusCode::BAD_REQUEST, reason);
+        if self.rejects_all.get() {
+            return Err(Unfit::new(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "not accepting requests: no contact with the other balancers",
+            ));
         }
-        let book = Rc::clone(&self.book.borrow());
-        if book.refused.contains(peer) {
-            return Err(Unfit::new(StatusCode::FORBIDDEN, "this client is refused"));
+        let rules = Rc::clone(&self.rules.borrow());
+        if rules.rejected_networks.contains(peer) {
+            return Err(Unfit::new(
+                StatusCode::FORBIDDEN,
+                "requests from this client address are not allowed",
+            ));
         }
         let headers = &mut parts.headers;
-        // Two lengths hide a second request in the body of the first from one of the two that read it.
-        if hides_a_length && headers.contains_key(TRANSFER_ENCODING) {
-            return Err(bad("Content-Length beside Transfer-Encoding").closing());
+        // Two lengths allow request smuggling: the balancer and an upstream could disagree about where the
+        // body ends.
+        if has_hidden_length && headers.contains_key(TRANSFER_ENCODING) {
+            return Err(bad_request("Content-Length beside Transfer-Encoding").closing());
         }
-        if !book.rules.is_strict() {
-            // RFC 9112, section 3.2: a request has one Host, but for one of HTTP/1.0.
+        if !rules.classifier.is_strict() {
+            // RFC 9112, section 3.2: a request has exactly one Host header, which only HTTP/1.0 may omit.
             match headers.get_all(HOST).iter().count() {
                 1 => {}
                 0 if parts.version == Version::HTTP_10 => {
                     headers.insert(HOST, HeaderValue::from_static(""));
                 }
-                _ => return Err(bad("not one Host")),
+                _ => return Err(bad_request("exactly one Host header is required")),
             }
             if parts.method == Method::CONNECT {
-                return Err(Unfit::new(StatusCode::NOT_IMPLEMENTED, "no tunnels are made"));
+                return Err(Unfit::new(StatusCode::NOT_IMPLEMENTED, "CONNECT is not supported"));
             }
         }
-        let fit = book.rules.read(&parts.method, &parts.uri, &parts.headers)?;
-        let account = parts.headers.get(&book.rules.headers().tenant).and_then(|name| name.to_str().ok());
-        let vouched = self.vouching.vouches(account, &parts.headers);
-        Ok(Head { fit, parts, vouched, book })
+        let parsed = rules.classifier.read(&parts.method, &parts.uri, &parts.headers)?;
+        let tenant =
+            parts.headers.get(&rules.classifier.headers().tenant).and_then(|name| name.to_str().ok());
+        let is_authenticated = self.authentication.is_authenticated(tenant, &parts.headers);
+        Ok(RequestHead { parsed, parts, is_authenticated, rules })
     }
 
-    /// Reads the rest of a request, unless it streams; from then on it is open. `whole_at` tells, once it is read whole, when
-    /// its last byte came.
-    pub async fn rest(
+    /// Reads the body of a request, unless the body streams, and reserves the request's id. `completed_at`
+    /// returns when the last byte of the request was received; called after the body was read.
+    pub async fn read_body(
         &self,
-        head: Head,
+        head: RequestHead,
         body: Incoming,
         peer: IpAddr,
-        whole_at: impl FnOnce() -> Option<Instant>,
-    ) -> Result<Ready, Unfit> {
-        let Head { fit, parts, book, .. } = head;
-        let passage = &book.passages[usize::from(fit.class.0)];
-        let wait = fit.wait.saturating_sub(ON_THE_WAY);
-        let body = take_in(body, passage, &self.room, wait).await.map_err(at_fault)?;
-        let strict = book.rules.is_strict();
-        if strict && parts.method == Method::GET && !body.is_empty() {
-            return Err(Unfit::new(StatusCode::BAD_REQUEST, "a GET with a body"));
+        completed_at: impl FnOnce() -> Option<Instant>,
+    ) -> Result<ReadyRequest, Unfit> {
+        let RequestHead { parsed, parts, rules, .. } = head;
+        let passage = &rules.passages[usize::from(parsed.class.0)];
+        let wait = parsed.wait.saturating_sub(DEADLINE_MARGIN);
+        let body = take_in(body, passage, &self.body_memory, wait).await.map_err(body_fault_response)?;
+        let is_strict = rules.classifier.is_strict();
+        if is_strict && parts.method == Method::GET && !body.is_empty() {
+            return Err(Unfit::new(StatusCode::BAD_REQUEST, "a GET request must not have a body"));
         }
-        let open = match &fit.id {
-            Some(id) if strict => Some(self.open(id)?),
+        let open_id = match &parsed.id {
+            Some(id) if is_strict => Some(self.claim_id(id)?),
             _ => None,
         };
         let mut headers = parts.headers;
-        if fit.id.is_none() {
-            book.rules.mint(&mut headers, fastrand::u128(..));
+        if parsed.id.is_none() {
+            rules.classifier.mint(&mut headers, fastrand::u128(..));
         }
-        let trusted = self.fronts.iter().any(|front| front.contains(peer));
+        let trusted = self.trusted_proxies.iter().any(|network| network.contains(peer));
         let peer = Peer { address: peer, trusted, tls: false };
         self.forwarding
             .request(&mut headers, &parts.uri, Some(peer))
-            .map_err(|why| Unfit::new(StatusCode::BAD_REQUEST, why))?;
-        if let Some(label) = &book.label {
-            headers.insert(VERSION, label.clone());
+            .map_err(|reason| Unfit::new(StatusCode::BAD_REQUEST, reason))?;
+        if let Some(version) = &rules.version {
+            headers.insert(VERSION_HEADER, version.clone());
         }
-        if let Some((name, _)) = &self.vouching.token {
-            // It is for this door alone.
+        if let Some((name, _)) = &self.authentication.token {
+            // The token authenticates the client to the balancer only.
             headers.remove(name);
         }
         let target = parts.uri.path_and_query().map(|p| hyper::Uri::from(p.clone())).unwrap_or_default();
         let upload = body.upload();
-        // A request's time counts from its last byte: a client that writes slowly waits no less, and one that has sent it
-        // behind another has waited since.
-        let (since, streams) = match upload {
+        // A request's deadline counts from its last byte, so slow senders get the full time, and the time
+        // that a pipelined request waits behind another one counts.
+        let (started_at, streaming_time) = match upload {
             Some(_) => (None, passage.patience().1),
-            None => (whole_at(), Duration::ZERO),
+            None => (completed_at(), Duration::ZERO),
         };
-        let deadline = since.unwrap_or_else(Instant::now) + wait + streams;
-        let identity = fit.identity().filter(|_| !strict);
-        let identity = identity.map(|id| Identity { tenant: fit.tenant.0, class: fit.class.0, id });
+        let deadline = started_at.unwrap_or_else(Instant::now) + wait + streaming_time;
+        let identity = parsed.identity().filter(|_| !is_strict);
+        let identity = identity.map(|id| Identity { tenant: parsed.tenant.0, class: parsed.class.0, id });
         let outgoing = Outgoing { method: parts.method, target, headers, body, passage: Rc::clone(passage) };
-        let Fit { class, tenant, work_ms, repeat, .. } = fit;
-        // What its connection knows of it, that adds.
+        let Fit { class, tenant, work_ms, repeat, .. } = parsed;
+        // The connection's task fills these in.
         let (label, presence) = (Label::default(), None);
-        let asked = Asked { class, tenant, deadline, work_ms, repeat, outgoing, label, presence };
-        Ok(Ready { asked, identity, upload, open, label: book.label.clone() })
+        let request = Asked { class, tenant, deadline, work_ms, repeat, outgoing, label, presence };
+        Ok(ReadyRequest { request, identity, upload, open_id, version: rules.version.clone() })
     }
 
-    fn open(&self, id: &HeaderValue) -> Result<OpenId, Unfit> {
-        // An upstream would take the second one for a repeat of the first, or the other way round.
-        if !self.open.borrow_mut().insert(id.clone()) {
-            return Err(Unfit::new(StatusCode::CONFLICT, "a request with this id is open"));
+    fn claim_id(&self, id: &HeaderValue) -> Result<OpenRequestId, Unfit> {
+        // An upstream could take one of the two requests for a repeat of the other.
+        if !self.open_ids.borrow_mut().insert(id.clone()) {
+            return Err(Unfit::new(StatusCode::CONFLICT, "another request with this id is in progress"));
         }
-        Ok(OpenId { ids: Rc::clone(&self.open), id: id.clone() })
+        Ok(OpenRequestId { ids: Rc::clone(&self.open_ids), id: id.clone() })
     }
 }
 
-/// The answer to a client whose request's body came to no good end.
-pub fn at_fault(fault: Fault) -> Unfit {
-    let unfit = match fault {
-        Fault::TooLong => Unfit::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"),
-        Fault::BrokeOff => Unfit::new(StatusCode::BAD_REQUEST, "the body broke off"),
-        Fault::Slow => Unfit::new(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
+/// Returns the response to a request whose body could not be read.
+pub fn body_fault_response(fault: Fault) -> Unfit {
+    let response = match fault {
+        Fault::TooLong => Unfit::new(StatusCode::PAYLOAD_TOO_LARGE, "the request body is too large"),
+        Fault::BrokeOff => Unfit::new(StatusCode::BAD_REQUEST, "the request body ended early"),
+        Fault::Slow => Unfit::new(StatusCode::REQUEST_TIMEOUT, "the request body was not received in time"),
     };
-    unfit.closing()
+    response.closing()
 }
--- a/crates/proxy/src/words.rs
+++ b/crates/proxy/src/responses.rs
@@ -1,6 +1,7 @@
-//! The words for final answers: an upstream's, or our own, which can be told apart.
+//! Final responses: those of an upstream, and the balancer's own, which can be distinguished from an
+//! upstream's.
 
-use crate::client::{Client, Question};
+use crate::client::{ClientConnection, MessageKind};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::CONNECTION;
@@ -13,20 +14,20 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// An answer of our own.
-pub fn own(response: Response<&'static str>) -> Response<AnswerBody> {
+/// Turns one of the balancer's own responses into one with a body that hyper can send.
+pub fn own_response(response: Response<&'static str>) -> Response<AnswerBody> {
     response.map(|text| AnswerBody::Whole(Bytes::from_static(text.as_bytes())))
 }
 
-/// An answer without any word on who gives it.
-pub fn plain(status: StatusCode, text: &'static str) -> Response<AnswerBody> {
+/// Creates a response without the header that marks the balancer's own responses.
+pub fn plain_response(status: StatusCode, text: &'static str) -> Response<AnswerBody> {
     let mut response = Response::new(text);
     *response.status_mut() = status;
-    own(response)
+    own_response(response)
 }
 
-/// An answer of our own as bytes, for a connection that ends with it.
-pub fn raw(response: &Response<&'static str>) -> Vec<u8> {
+/// Serializes one of the balancer's own responses for a connection that closes after it.
+pub fn response_bytes(response: &Response<&'static str>) -> Vec<u8> {
     let (status, body) = (response.status(), *response.body());
     let mut bytes = format!("HTTP/1.1 {status}\r\n").into_bytes();
     for (name, value) in response.headers().iter().filter(|(name, _)| *name != CONNECTION) {
@@ -35,13 +36,13 @@
         bytes.extend_from_slice(value.as_bytes());
         bytes.extend_from_slice(b"\r\n");
     }
-    let rest = format!("connection: close\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-    bytes.extend_from_slice(rest.as_bytes());
+    let head_end_and_body = format!("connection: close\r\ncontent-length: {}\r\n\r\n{body}", body.len());
+    bytes.extend_from_slice(head_end_and_body.as_bytes());
     bytes
 }
 
-/// A final answer.
-pub fn worded(answer: Answer, words: Own) -> Response<AnswerBody> {
+/// Turns the outcome of a request into the final response.
+pub fn final_response(answer: Answer, own: Own) -> Response<AnswerBody> {
     match answer {
         Answer::Served(Served { status, headers, body }) => {
             let mut response = Response::new(body);
@@ -49,37 +50,37 @@
             *response.headers_mut() = headers;
             response
         }
-        Answer::Refused(retry_after) => own(words.refused(retry_after)),
-        Answer::Failed => own(words.failed()),
+        Answer::Refused(retry_after) => own_response(own.refused(retry_after)),
+        Answer::Failed => own_response(own.failed()),
     }
 }
 
-/// The body of an answer on its way to its client.
-pub struct Tail {
+/// The body of a final response, which reports the end of a streaming response to the client's connection.
+pub struct TrackedBody {
     body: AnswerBody,
-    /// Told at the end of one that streams.
-    client: Option<Rc<Client>>,
+    /// The connection to notify when a streaming body is dropped; `None` for a complete body.
+    client: Option<Rc<ClientConnection>>,
 }
 
-impl Tail {
-    /// This body, for this client.
-    pub fn new(body: AnswerBody, client: &Rc<Client>) -> Self {
+impl TrackedBody {
+    /// Wraps the body of a response to `client`.
+    pub fn new(body: AnswerBody, client: &Rc<ClientConnection>) -> Self {
         let client = matches!(body, AnswerBody::Stream(_)).then(|| Rc::clone(client));
         Self { body, client }
     }
 }
 
-impl Drop for Tail {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
         if let Some(client) = self.client.take()
-            && client.answered(Question::Request)
+            && client.on_response(MessageKind::Request)
         {
-            client.end();
+            client.request_close();
         }
     }
 }
 
-impl Body for Tail {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = Failure;
 
--- a/crates/proxy/src/retune.rs
+++ b/crates/proxy/src/retune.rs
@@ -1,8 +1,8 @@
 //! SIGHUP: the platform's file is read anew. Discovery's address and the settings are taken from it, whole or not at all.
 
+use crate::admission::AdmissionController;
 use crate::config::Config;
-use crate::entrance::Entrance;
-use crate::requests::Requests;
+use crate::requests::RequestReader;
 use maplehook::parts::descriptors::Descriptors;
 use maplehook::parts::discovery::Discovery;
 use maplehook::parts::driver::Driver;
@@ -35,9 +35,9 @@
     /// The connections to the list.
     pub discovery: Rc<Discovery>,
     /// The reader of requests.
-    pub requests: Rc<Requests>,
+    pub requests: Rc<RequestReader>,
     /// The door.
-    pub entrance: Rc<Entrance>,
+    pub admission: Rc<AdmissionController>,
     /// A descriptor for the file.
     pub descriptors: Rc<Descriptors>,
     /// How long a process stays after SIGTERM.
@@ -78,9 +78,9 @@
         driver.retune(site.settings.clone(), tuned.removed_tenants());
         counting.name(&site.names.classes);
         let guarantees: Vec<f64> = site.settings.tenants.iter().map(|t| t.allowance_per_s).collect();
-        self.entrance.guarantee(&guarantees);
+        self.admission.set_tenant_guarantees(&guarantees);
         self.discovery.rename(site.names.clone());
         self.grace.set((self.grace_by)(tuned));
-        self.requests.retune(tuned);
+        self.requests.update_settings(tuned);
     }
 }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -7,12 +7,12 @@
 pub use file::by_file;
 pub use platform::on_platform;
 
-use crate::client::Allowance;
+use crate::client::ClientTimeouts;
 use crate::command;
 use crate::hearsay::Hearsay;
-use crate::requests::{Requests, Vouching};
+use crate::requests::{ClientAuthentication, RequestReader};
 use crate::retune::Grace;
-use crate::server::{Phase, Server};
+use crate::server::{Server, ShutdownPhase};
 use crate::supervised::{Supervised, Tried};
 use hyper::header::HeaderName;
 use maplehook::ledger::Bounds;
@@ -68,7 +68,7 @@
     room: Room,
     forwarding: Forwarding,
     own: bool,
-    allowance: Allowance,
+    client_timeouts: ClientTimeouts,
     /// From SIGTERM until the end.
     grace: Grace,
     operator: Operator,
@@ -95,7 +95,7 @@
 async fn serve(
     plan: Plan,
     parts: Parts,
-    requests: Rc<Requests>,
+    requests: Rc<RequestReader>,
     (source, known): (Rc<dyn Source>, News),
     begun: impl FnOnce(Rc<Driver>, Rc<Counting>),
     registrar: Option<Registrar>,
@@ -106,7 +106,7 @@
         listener,
         descriptors,
         upstreams,
-        entrance,
+        admission,
         balancer,
         board,
         shared,
@@ -133,9 +133,9 @@
     let counting = Counting::new(Arc::clone(&board.tally), &plan.classes);
     let desk = Desk::new(Rc::clone(&driver), Rc::clone(&counting), Bounds::default(), plan.seed)?;
     begun(Rc::clone(&driver), counting);
-    let (phase, phases) = watch::channel(Phase::Serving);
+    let (phase, phases) = watch::channel(ShutdownPhase::Serving);
     let words = Own { signed: plan.own };
-    let server = Server::new(desk, requests, entrance, Rc::clone(&descriptors), words, phases);
+    let server = Server::new(desk, requests, admission, Rc::clone(&descriptors), words, phases);
     let (ready_to, knowing) = (Arc::clone(&board.ready), Rc::clone(&driver));
     let ready = spawn_local(async move {
         knowing.knows_a_list().await;
@@ -202,12 +202,12 @@
     ready.abort();
     board.ready.store(false, Ordering::Release);
     let until_idle_end = if shared { IDLE_AFTER_TERM } else { ACCEPT_AFTER_TERM };
-    phase.send_replace(if shared { Phase::Draining } else { Phase::Leaving });
+    phase.send_replace(if shared { ShutdownPhase::Draining } else { ShutdownPhase::NotReady });
     if timeout(until_idle_end, &mut accepting).await.is_err() {
-        phase.send_replace(Phase::Closing);
+        phase.send_replace(ShutdownPhase::Closing);
         let rest = grace.saturating_sub(until_idle_end + LAST_WORDS);
         if timeout(rest, &mut accepting).await.is_err() {
-            phase.send_replace(Phase::Stopped);
+            phase.send_replace(ShutdownPhase::Stopped);
             driver.cut_off();
             let _ = timeout(LAST_WORDS, &mut accepting).await;
         }
@@ -218,7 +218,10 @@
 }
 
 /// By what clients show that they are known; a tenant that there is not is a slip worth a word.
-fn vouching(operator: &Operator, tenants: &[String]) -> Result<Vouching, Box<dyn Error>> {
+fn client_authentication(
+    operator: &Operator,
+    tenants: &[String],
+) -> Result<ClientAuthentication, Box<dyn Error>> {
     if let Some(name) = operator.known_tenants.iter().find(|name| !tenants.contains(name)) {
         return Err(format!("admission.known_tenants: there is no tenant {name:?}").into());
     }
@@ -226,5 +229,5 @@
         let signer = command::signer(&token.secret_file).map_err(|e| format!("token.secret_file: {e}"))?;
         Ok::<_, Box<dyn Error>>((HeaderName::try_from(&token.header)?, signer))
     });
-    Ok(Vouching { tenants: operator.known_tenants.clone(), token: token.transpose()? })
+    Ok(ClientAuthentication { trusted_tenants: operator.known_tenants.clone(), token: token.transpose()? })
 }
--- a/crates/proxy/src/serve/file.rs
+++ b/crates/proxy/src/serve/file.rs
@@ -1,12 +1,12 @@
 //! A balancer as the operator's file alone describes it.
 
 use super::parts::Parts;
-use super::{KILL_AFTER_DEADLINE, Plan, Told, block_on, serve, vouching};
-use crate::client::Allowance;
-use crate::counts::{self, Counts};
+use super::{KILL_AFTER_DEADLINE, Plan, Told, block_on, client_authentication, serve};
+use crate::client::ClientTimeouts;
+use crate::counts::{self, IntervalCounts};
+use crate::failover::FailoverAgent;
 use crate::inherited;
-use crate::nearness::Part;
-use crate::requests::Requests;
+use crate::requests::RequestReader;
 use crate::supervised::{self, Led, Supervised};
 use crate::versions::Versions;
 use maplehook::lists::Lists;
@@ -50,7 +50,7 @@
     let longest = proxy.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
     let mut plan = Plan {
         listen: proxy.listen,
-        inherited: inherited::fit(inherited, proxy.listen),
+        inherited: inherited::matching_listener(inherited, proxy.listen),
         supervised,
         control: operator.control,
         control_told: "operator_listen",
@@ -61,20 +61,21 @@
         room: Room::new(proxy.bodies),
         forwarding: proxy.forwarding.clone(),
         own: proxy.own,
-        allowance: Allowance { silence: SILENCE, unread: proxy.stall },
+        client_timeouts: ClientTimeouts { request_idle: SILENCE, response_unread: proxy.stall },
         grace: Rc::new(Cell::new(longest.max(proxy.drain) + KILL_AFTER_DEADLINE)),
         operator,
         file,
         told,
     };
     block_on(async move {
-        let vouching = vouching(&plan.operator, &proxy.tenants)?;
+        let client_authentication = client_authentication(&plan.operator, &proxy.tenants)?;
         let mut hangup = signal(SignalKind::hangup())?;
         let mut parts = Parts::new(&mut plan, Some(&proxy))?;
         let fronts = plan.operator.admission.fronts.clone();
-        let requests = Rc::new(Requests::of(&proxy, fronts, vouching, plan.room.clone()));
-        requests.refuse(refuses);
-        parts.entrance.know(proxy.clients.known.clone());
+        let requests =
+            Rc::new(RequestReader::from_file(&proxy, fronts, client_authentication, plan.room.clone()));
+        requests.set_reject_all(refuses);
+        parts.admission.set_known_networks(proxy.clients.known.clone());
         parts.board.refuses.store(refuses, Ordering::Release);
         let lists = Rc::new(Lists::new(Fixed::listed(proxy.listed(|zone| zone)).into_entries()));
         let known = News { scope: UpdateScope::Cached, ..lists.news() };
@@ -105,41 +106,43 @@
         };
         let agreeing = parts.agreeing.take();
         // The thread of places ends when this does, and hears of versions as long as this lives.
-        let (taking, mut of, follow) = match parts.places.take() {
-            Some(Part { taking, of, follow }) => (Some(taking), Some(of), Some(follow)),
+        let (agent, mut notifier, serving_side) = match parts.places.take() {
+            Some(FailoverAgent { agent, notifier, serving }) => (Some(agent), Some(notifier), Some(serving)),
             None => (None, None, None),
         };
         let mut taking_stages = parts.staging.take();
         let serving = taking_stages.as_mut().and_then(|taking| taking.serving.take());
-        let names = of.as_ref().map(|of| of.names.subscribe());
-        let stages =
-            serving.zip(names).map(|(serving, names)| counts::Part { serving, counts: Counts::new(names) });
+        let names = notifier.as_ref().map(|notifier| notifier.names.subscribe());
+        let stages = serving
+            .zip(names)
+            .map(|(channels, names)| counts::RolloutLink { channels, counts: IntervalCounts::new(names) });
         let counts = stages.as_ref().map(|part| {
-            let serving = &part.serving;
-            (Rc::clone(&part.counts), serving.counts.clone(), serving.counted.clone())
-        });
-        let versions = agreeing.as_ref().zip(of.take_if(|_| agreeing.is_some())).map(|(agreeing, of)| {
-            let lists = proxy.eureka.is_none().then_some(lists);
-            let mut versions = Versions::new(
-                &proxy,
-                lists,
-                Rc::clone(&requests),
-                Rc::clone(&parts.entrance),
-                Rc::clone(&parts.upstreams),
-                Arc::clone(&parts.board.refuses),
-                of,
-            );
-            versions.stages = stages;
-            (versions, agreeing.active_version.clone(), agreeing.applied_epoch.clone())
+            let channels = &part.channels;
+            (Rc::clone(&part.counts), channels.counts.clone(), channels.counted.clone())
         });
+        let versions =
+            agreeing.as_ref().zip(notifier.take_if(|_| agreeing.is_some())).map(|(agreeing, notifier)| {
+                let lists = proxy.eureka.is_none().then_some(lists);
+                let mut versions = Versions::new(
+                    &proxy,
+                    lists,
+                    Rc::clone(&requests),
+                    Rc::clone(&parts.admission),
+                    Rc::clone(&parts.upstreams),
+                    Arc::clone(&parts.board.refuses),
+                    notifier,
+                );
+                versions.stages = stages;
+                (versions, agreeing.active_version.clone(), agreeing.applied_epoch.clone())
+            });
         let beside = parts.led.as_ref().map(Led::beside);
         let settings = plan.settings.clone();
         let begun = |driver: Rc<Driver>, counting| {
             if let Some((counts, each, counted)) = counts {
                 spawn_local(counts.run(each, counted, Rc::clone(&counting)));
             }
-            if let Some(follow) = follow {
-                spawn_local(follow.run(Rc::clone(&driver)));
+            if let Some(serving_side) = serving_side {
+                spawn_local(serving_side.run(Rc::clone(&driver)));
             }
             spawn_local(async move {
                 while hangup.recv().await.is_some() {
@@ -152,9 +155,9 @@
                 spawn_local(supervised::follow(settings, beside, driver));
             }
         };
-        let rest = move || drop((taking, taking_stages, agreeing));
+        let rest = move || drop((agent, taking_stages, agreeing));
         let served = serve(plan, parts, requests, (source, known), begun, registrar, rest).await;
-        drop(of);
+        drop(notifier);
         served
     })
 }
--- a/crates/proxy/src/serve/parts.rs
+++ b/crates/proxy/src/serve/parts.rs
@@ -1,9 +1,9 @@
 //! What is there before anybody is let in.
 
 use super::Plan;
+use crate::admission::AdmissionController;
 use crate::control::{self, Board, Late};
-use crate::entrance::Entrance;
-use crate::nearness::{self, Begin};
+use crate::failover::{self, FailoverOptions};
 use crate::places::Desk;
 use crate::rollout;
 use crate::signed::Seal;
@@ -32,7 +32,7 @@
     pub(super) listener: TcpListener,
     pub(super) descriptors: Rc<Descriptors>,
     pub(super) upstreams: Rc<Upstreams>,
-    pub(super) entrance: Rc<Entrance>,
+    pub(super) admission: Rc<AdmissionController>,
     pub(super) balancer: Balancer,
     pub(super) board: Board,
     /// Whether others accept on the listener too.
@@ -42,7 +42,7 @@
     /// Its part in agreeing on versions.
     pub(super) agreeing: Option<ConsensusService>,
     /// Its part in places.
-    pub(super) places: Option<nearness::Part>,
+    pub(super) places: Option<failover::FailoverAgent>,
     /// Its part in changes in stages.
     pub(super) staging: Option<Taking>,
     /// The way from its supervisor.
@@ -64,7 +64,7 @@
         let agrees = plan.operator.tier.as_ref().is_some_and(|tier| tier.agreement.is_some());
         // A version may bring places, where versions are agreed on.
         let proxy = proxy.filter(|proxy| agrees || proxy.places.is_some());
-        let near = if proxy.is_some() { nearness::DESCRIPTORS } else { 0 };
+        let near = if proxy.is_some() { failover::DESCRIPTORS } else { 0 };
         let aside = operators + near + plan.operator.tier.as_ref().map_or(0, tier::descriptors);
         let descriptors = Descriptors::new(plan.sockets, aside, plan.operator.descriptors.upstream_share)?;
         let handed = plan.inherited.as_ref().map(std::net::TcpListener::try_clone).transpose()?;
@@ -105,7 +105,7 @@
         }
         let places = proxy.map(|proxy| {
             let tier = plan.operator.tier.as_ref();
-            let begin = Begin {
+            let options = FailoverOptions {
                 name: tier.map_or_else(|| "balancer".into(), |tier| tier.name.to_string()),
                 proxy,
                 ready: Arc::clone(&board.ready),
@@ -113,10 +113,10 @@
                 balancers: tier.map_or(1, |tier| tier.peers.len() + 1),
                 history: plan.operator.history.clone(),
             };
-            nearness::Part::begin(begin, agreeing.as_mut())
+            failover::FailoverAgent::start(options, agreeing.as_mut())
         });
         let places = places.transpose()?;
-        board.places = places.as_ref().map(|part| Desk::new(part.taking.board.clone(), seal));
+        board.places = places.as_ref().map(|part| Desk::new(part.agent.board.clone(), seal));
         let mut led = None;
         if let Some(supervised) = supervised {
             let handed = handed.ok_or("a supervisor's balancer needs the socket that it inherits")?;
@@ -144,14 +144,14 @@
         let clients = descriptors.of(DescriptorClass::Clients);
         let admission =
             ConnectionAdmission::new(plan.operator.admission.clone(), clients, &guarantees, plan.seed);
-        let entrance = Entrance::new(admission, plan.allowance);
-        share_descriptors(&descriptors, &upstreams, &entrance);
+        let admission = AdmissionController::new(admission, plan.client_timeouts);
+        share_descriptors(&descriptors, &upstreams, &admission);
         Ok(Self {
             term,
             listener,
             descriptors,
             upstreams,
-            entrance,
+            admission,
             balancer,
             board,
             shared,
@@ -201,15 +201,19 @@
 
 /// Who gives descriptors up, and who has to know that there are fewer: an idle connection to an upstream
 /// costs less than a client.
-fn share_descriptors(descriptors: &Rc<Descriptors>, upstreams: &Rc<Upstreams>, entrance: &Rc<Entrance>) {
+fn share_descriptors(
+    descriptors: &Rc<Descriptors>,
+    upstreams: &Rc<Upstreams>,
+    admission: &Rc<AdmissionController>,
+) {
     let idle = Rc::clone(upstreams);
     descriptors.relieved_by(move || idle.close_oldest());
-    let clients = Rc::clone(entrance);
-    descriptors.relieved_by(move || clients.shed());
-    let (of, upstreams, entrance) = (Rc::downgrade(descriptors), Rc::clone(upstreams), Rc::clone(entrance));
+    let clients = Rc::clone(admission);
+    descriptors.relieved_by(move || clients.evict_one());
+    let (of, upstreams, admission) = (Rc::downgrade(descriptors), Rc::clone(upstreams), Rc::clone(admission));
     descriptors.tells(move || {
         if let Some(descriptors) = of.upgrade() {
-            entrance.resize(descriptors.of(DescriptorClass::Clients));
+            admission.set_capacity(descriptors.of(DescriptorClass::Clients));
             upstreams.resized();
         }
     });
--- a/crates/proxy/src/serve/platform.rs
+++ b/crates/proxy/src/serve/platform.rs
@@ -1,12 +1,12 @@
 //! A balancer as the platform describes it.
 
 use super::parts::Parts;
-use super::{KILL_AFTER_DEADLINE, KILL_DEADLINE_MOST, Plan, Told, block_on, serve, vouching};
-use crate::client::Allowance;
+use super::{KILL_AFTER_DEADLINE, KILL_DEADLINE_MOST, Plan, Told, block_on, client_authentication, serve};
+use crate::client::ClientTimeouts;
 use crate::config::Config;
-use crate::handover::{Handover, Remembered};
+use crate::handover::{EndpointRecorder, HandoverFile};
 use crate::inherited;
-use crate::requests::Requests;
+use crate::requests::RequestReader;
 use crate::retune::Retuner;
 use maplehook::parts::discovery::{Discovery, Patience};
 use maplehook::parts::driver::Driver;
@@ -32,7 +32,7 @@
     inherited: Option<std::io::Result<std::net::TcpListener>>,
     told: Option<Told>,
 ) -> Result<(), Box<dyn Error>> {
-    let inherited = inherited::fit(inherited, config.listen);
+    let inherited = inherited::matching_listener(inherited, config.listen);
     if operator.tier.take().is_some() {
         tracing::warn!("[tier] has no effect on the platform, which says who speaks to whom");
     }
@@ -49,7 +49,7 @@
         room: Room::new(config.long_answers()),
         forwarding: Forwarding::platform(),
         own: false,
-        allowance: Allowance { silence: SENDER_IDLE, unread: STALL },
+        client_timeouts: ClientTimeouts { request_idle: SENDER_IDLE, response_unread: STALL },
         grace: Rc::new(Cell::new(platform_grace(&config.tuned))),
         settings,
         operator,
@@ -57,7 +57,8 @@
         told,
     };
     block_on(async move {
-        let vouching = vouching(&plan.operator, &config.tuned.current().names.tenants)?;
+        let client_authentication =
+            client_authentication(&plan.operator, &config.tuned.current().names.tenants)?;
         let hangup = signal(SignalKind::hangup())?;
         let mut plan = plan;
         let parts = Parts::new(&mut plan, None)?;
@@ -71,36 +72,44 @@
         }
         let mut known = discovery.known(&config.known);
         // Only then may another process of this balancer run before, beside or after this one.
-        let handover = if parts.shared { Handover::of(&config.name) } else { None };
-        let left = handover.as_ref().and_then(|handover| handover.take(&discovery.names()));
-        let (follows, allowed) = (left.is_some(), plan.sockets);
-        let heritage = left.as_ref().map(|left| left.heritage(&discovery.names()));
-        if let Some(left) = left {
-            known = left.list(known, &discovery);
+        let handover = if parts.shared { HandoverFile::for_balancer(&config.name) } else { None };
+        let predecessor = handover.as_ref().and_then(|handover| handover.load(&discovery.names()));
+        let (has_predecessor, max_descriptors) = (predecessor.is_some(), plan.sockets);
+        let learned_state =
+            predecessor.as_ref().map(|predecessor| predecessor.learned_state(&discovery.names()));
+        if let Some(predecessor) = predecessor {
+            known = predecessor.endpoints(known, &discovery);
         }
-        let remembered = handover.is_some().then(|| Remembered::new(Rc::clone(&discovery), &known));
-        let source = match &remembered {
-            Some(remembered) => Rc::clone(remembered) as Rc<dyn Source>,
+        let recorder = handover.is_some().then(|| EndpointRecorder::new(Rc::clone(&discovery), &known));
+        let source = match &recorder {
+            Some(recorder) => Rc::clone(recorder) as Rc<dyn Source>,
             None => Rc::clone(&discovery) as Rc<dyn Source>,
         };
         tracing::info!(limits = ?config.limits, "configured by the platform");
-        let requests = Rc::new(Requests::platform(&config.tuned, vouching, plan.room.clone()));
+        let requests =
+            Rc::new(RequestReader::platform(&config.tuned, client_authentication, plan.room.clone()));
         let descriptors = Rc::clone(&parts.descriptors);
         let retuner = Retuner {
             config,
             discovery,
             requests: Rc::clone(&requests),
-            entrance: Rc::clone(&parts.entrance),
+            admission: Rc::clone(&parts.admission),
             descriptors: Rc::clone(&parts.descriptors),
             grace: Rc::clone(&plan.grace),
             grace_by: platform_grace,
         };
         let begun = |driver: Rc<Driver>, counting| {
-            if let Some(heritage) = heritage {
-                driver.inherit(heritage);
+            if let Some(learned_state) = learned_state {
+                driver.inherit(learned_state);
             }
-            if let (Some(handover), Some(remembered)) = (handover, remembered) {
-                spawn_local(handover.keep(remembered, Rc::clone(&driver), descriptors, allowed, follows));
+            if let (Some(handover), Some(recorder)) = (handover, recorder) {
+                spawn_local(handover.write_periodically(
+                    recorder,
+                    Rc::clone(&driver),
+                    descriptors,
+                    max_descriptors,
+                    has_predecessor,
+                ));
             }
             spawn_local(retuner.run(hangup, driver, counting));
         };
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -1,15 +1,15 @@
-//! The clients' side: accepts connections, reads requests, writes final answers.
+//! The client side: accepts connections, reads requests and writes final responses.
 
 mod connection;
 mod ended;
 mod respond;
 
-pub use ended::End;
+pub use ended::EndReason;
 
-use crate::entrance::Entrance;
-use crate::inbound::OfAll;
-use crate::refusals::Refusals;
-use crate::requests::Requests;
+use crate::admission::AdmissionController;
+use crate::inbound::TotalReadAhead;
+use crate::rejections::PendingRejections;
+use crate::requests::RequestReader;
 use maplehook::parts::descriptors::{Descriptors, PAUSE, out_of_descriptors};
 use maplehook::parts::desk::Desk;
 use maplehook::parts::seldom::Seldom;
@@ -24,99 +24,100 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::sleep;
 
-/// How far the end of this process has come.
+/// Phases of the shutdown of this process, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
-    /// Not at all.
+pub enum ShutdownPhase {
+    /// The process is not shutting down.
     Serving,
-    /// Not ready any more; connections end with their next answer.
-    Leaving,
-    /// Nothing new is accepted: others do that. Connections end with their next answer, idle ones stay.
+    /// Readiness checks fail, and each connection closes with its next response.
+    NotReady,
+    /// Only other processes accept connections. Each connection closes with its next response; idle ones stay
+    /// open.
     Draining,
-    /// Nothing new is accepted; connections end between requests.
+    /// No connections are accepted, and each connection closes between requests.
     Closing,
-    /// Nothing is sent on any more: what comes or is still being read is refused.
+    /// Requests are no longer forwarded. Incomplete and further requests are rejected.
     Stopped,
 }
 
-/// What clients reach.
+/// Accepts and serves client connections.
 pub struct Server {
-    desk: Rc<Desk>,
-    requests: Rc<Requests>,
-    entrance: Rc<Entrance>,
+    dispatcher: Rc<Desk>,
+    requests: Rc<RequestReader>,
+    admission: Rc<AdmissionController>,
     descriptors: Rc<Descriptors>,
-    words: Own,
-    refusals: Refusals,
-    read_ahead: OfAll,
-    phase: watch::Receiver<Phase>,
-    odd: Seldom,
-    refused: Seldom,
-    cut_short: Seldom,
+    own_responses: Own,
+    rejections: PendingRejections,
+    total_read_ahead: TotalReadAhead,
+    phase: watch::Receiver<ShutdownPhase>,
+    accept_warnings: Seldom,
+    rejection_warnings: Seldom,
+    stall_warnings: Seldom,
 }
 
 impl Server {
-    /// A server that hands requests to `desk` and lets clients in by `entrance`.
+    /// Creates a server that passes requests to `dispatcher` and admits clients by `admission`.
     pub fn new(
-        desk: Rc<Desk>,
-        requests: Rc<Requests>,
-        entrance: Rc<Entrance>,
+        dispatcher: Rc<Desk>,
+        requests: Rc<RequestReader>,
+        admission: Rc<AdmissionController>,
         descriptors: Rc<Descriptors>,
-        words: Own,
-        phase: watch::Receiver<Phase>,
+        own_responses: Own,
+        phase: watch::Receiver<ShutdownPhase>,
     ) -> Rc<Self> {
         Rc::new(Self {
-            desk,
+            dispatcher,
             requests,
-            entrance,
+            admission,
             descriptors,
-            words,
-            refusals: Refusals::default(),
-            read_ahead: OfAll::default(),
+            own_responses,
+            rejections: PendingRejections::default(),
+            total_read_ahead: TotalReadAhead::default(),
             phase,
-            odd: Seldom::default(),
-            refused: Seldom::default(),
-            cut_short: Seldom::default(),
+            accept_warnings: Seldom::default(),
+            rejection_warnings: Seldom::default(),
+            stall_warnings: Seldom::default(),
         })
     }
 
-    /// Accepts clients until the process is closing; returns when the last of them has gone. An accept never
-    /// waits for a place: whoever comes is let in or refused at once.
+    /// Accepts clients until the process is closing, and returns when the last connection is closed.
+    /// Accepting never waits for a free slot: each connection is admitted or rejected at once.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         let mut phase = self.phase.clone();
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                _ = phase.wait_for(|p| *p >= Phase::Draining) => break,
+                _ = phase.wait_for(|phase| *phase >= ShutdownPhase::Draining) => break,
             };
             match accepted {
                 Ok((stream, peer)) => {
                     if self.admit(stream, peer.ip()) {
-                        // Whoever was told to end does so before the next one comes.
+                        // An evicted connection closes before the next one is accepted.
                         yield_now().await;
                     }
                 }
-                Err(e) if out_of_descriptors(&e) => self.starved(&listener).await,
-                // One that has gone again before it was accepted.
+                Err(e) if out_of_descriptors(&e) => self.accept_without_descriptor(&listener).await,
+                // The client closed the connection before it was accepted.
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) => {
-                    self.odd.warn(|| format!("accept: {e}"));
+                    self.accept_warnings.warn(|| format!("accept: {e}"));
                     sleep(PAUSE).await;
                 }
             }
         }
-        // While draining others accept on the same socket.
-        if *self.phase.borrow() >= Phase::Closing {
-            self.accept_waiting(listener);
+        // While this process drains, other processes accept on the same socket.
+        if *self.phase.borrow() >= ShutdownPhase::Closing {
+            self.accept_backlog(listener);
         } else {
             drop(listener);
         }
-        self.entrance.is_empty().await;
-        self.refusals.are_read().await;
+        self.admission.wait_until_empty().await;
+        self.rejections.wait_until_read().await;
     }
 
-    /// Accepts those that wait: with the listener they would be reset.
-    fn accept_waiting(self: &Rc<Self>, listener: TcpListener) {
-        // The kernel is asked itself: what the runtime knows of it may be older.
+    /// Accepts the connections in the listener's backlog, which closing the listener would reset.
+    fn accept_backlog(self: &Rc<Self>, listener: TcpListener) {
+        // Asks the kernel directly, because the runtime's readiness state may be stale.
         let Ok(listener) = listener.into_std() else { return };
         loop {
             match listener.accept() {
@@ -133,34 +134,35 @@
         }
     }
 
-    /// Lets a client in or refuses it; `true`: another was told to end for it.
+    /// Admits or rejects a client. Returns true if another connection was asked to close for it.
     fn admit(self: &Rc<Self>, stream: TcpStream, address: IpAddr) -> bool {
-        match self.entrance.arrive(address) {
-            Ok((client, ends)) => {
-                spawn_local(Rc::clone(self).connection(client, stream, address));
-                ends
+        match self.admission.admit(address) {
+            Ok((client, has_evicted)) => {
+                spawn_local(Rc::clone(self).serve_connection(client, stream, address));
+                has_evicted
             }
-            Err(refusal) => {
-                self.desk.tally().clients_refused.count(refusal.reason.name());
-                self.refused.warn(|| format!("{address} refused at the door: {:?}", refusal.reason));
-                self.refusals.refuse(stream, &refusal);
+            Err(rejection) => {
+                self.dispatcher.tally().clients_refused.count(rejection.reason.name());
+                self.rejection_warnings
+                    .warn(|| format!("{address}: connection rejected: {:?}", rejection.reason));
+                self.rejections.reject(stream, &rejection);
                 false
             }
         }
     }
 
-    /// There was no descriptor to accept with, which the kernel says whether or not anybody waits. Whoever does
-    /// is accepted on the spare one, and stays if another descriptor can be freed in its stead; else it is
-    /// told that trying again is harmless. Accepting goes on.
-    async fn starved(self: &Rc<Self>, listener: &TcpListener) {
+    /// Handles an accept that failed for lack of a descriptor, which the kernel reports whether or not a
+    /// client waits. A waiting client is accepted on the spare descriptor. It is served if another descriptor
+    /// can be freed in its place; otherwise it gets a rejection that permits a retry.
+    async fn accept_without_descriptor(self: &Rc<Self>, listener: &TcpListener) {
         self.descriptors.lend_spare();
-        // Only a look: the loop's own wait is told of the next one.
-        let mut look = Context::from_waker(Waker::noop());
-        if let Poll::Ready(Ok((stream, peer))) = listener.poll_accept(&mut look) {
+        // Polls once without a waker; the accept loop registers its own for the next connection.
+        let mut poll_context = Context::from_waker(Waker::noop());
+        if let Poll::Ready(Ok((stream, peer))) = listener.poll_accept(&mut poll_context) {
             if self.descriptors.starved("accept") {
                 self.admit(stream, peer.ip());
             } else {
-                self.refusals.refuse(stream, &self.entrance.refuse(RejectionReason::Full));
+                self.rejections.reject(stream, &self.admission.reject(RejectionReason::Full));
             }
             sleep(PAUSE).await;
         }
