--- a/crates/proxy/src/server/connection.rs
+++ b/crates/proxy/src/server/connection.rs
@@ -1,11 +1,11 @@
-//! The life of one client's connection: how it is served, when it ends, and how it is closed.
+//! The life cycle of one client connection: serving requests, ending, and closing the socket.
 
-use super::{End, Phase, Server};
-use crate::client::{Client, Stand};
-use crate::inbound::{GLANCE, Inbound, Left, Wire};
-use crate::refusals::{CLIENT_MORE_MOST, empty, linger};
-use crate::requests::at_fault;
-use crate::words::raw;
+use super::{EndReason, Server, ShutdownPhase};
+use crate::client::{ClientConnection, ConnectionState};
+use crate::inbound::{ClientStream, HttpIo, POLL_TIMEOUT, RemainingStream};
+use crate::rejections::{MAX_DISCARDED_CLIENT_BYTES, discard_available, linger};
+use crate::requests::body_fault_response;
+use crate::responses::response_bytes;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
@@ -23,198 +23,222 @@
 #[cfg(test)]
 mod tests;
 
-/// How long a connection that is to end may take over the rest of an answer.
-const ANSWER_MOST: Duration = Duration::from_secs(2);
-/// Looks at bytes that have come and are not read, until the connection is given up all the same.
-const LOOKS_MOST: u32 = 20;
-/// The same at a client that has only just connected: whoever does has a request to send.
-const NEWCOMER: Duration = Duration::from_millis(100);
-/// How often it is looked at meanwhile.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// Size of a connection's buffer, the longest head.
-const BUFFER: usize = 32 * 1024;
+/// Time that a closing connection has to deliver the rest of a response.
+const MAX_CLOSE_DELAY: Duration = Duration::from_secs(2);
+/// Number of checks that find unread bytes before a connection that timed out is closed anyway.
+const MAX_UNREAD_CHECKS: u32 = 20;
+/// Time that a new connection gets for its first request at a shutdown: a client connects to send a request.
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(100);
+/// Interval between checks of a closing connection.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Size of a connection's read buffer, which limits the length of a request head.
+const MAX_HEAD_BYTES: usize = 32 * 1024;
 
 impl Server {
-    /// Serves a client until its connection has ended.
-    pub(super) async fn connection(self: Rc<Self>, client: Rc<Client>, stream: TcpStream, peer: IpAddr) {
-        // An unset option costs time, not truth.
-        let _ = stream.set_nodelay(true);
-        let wire = Wire::new(stream, Rc::clone(&client), Rc::clone(&self.read_ahead));
-        let end = self.converse(&wire, peer).await;
-        self.tell_end(&client, peer, end);
-        match Wire::into_left(wire) {
-            Some(Left::Shut(stream)) if !client.has_rested() => close(&client, stream).await,
-            Some(Left::Quiet(stream)) if end == End::Stopped => {
-                self.tell_stopped(&client, &stream);
-                close(&client, stream).await;
+    /// Serves a client until its connection has ended, and then closes the socket.
+    pub(super) async fn serve_connection(
+        self: Rc<Self>,
+        client: Rc<ClientConnection>,
+        tcp: TcpStream,
+        peer: IpAddr,
+    ) {
+        // Without the option the connection is slower, but still correct.
+        let _ = tcp.set_nodelay(true);
+        let stream = ClientStream::new(tcp, Rc::clone(&client), Rc::clone(&self.total_read_ahead));
+        let reason = self.serve_requests(&stream, peer).await;
+        self.record_end(&client, peer, reason);
+        match ClientStream::into_remaining(stream) {
+            Some(RemainingStream::WriteShut(tcp)) if !client.has_read_response() => close(&client, tcp).await,
+            Some(RemainingStream::WriteIdle(tcp)) if reason == EndReason::RequestStalled => {
+                self.write_timeout_response(&client, &tcp);
+                close(&client, tcp).await;
             }
             _ => {}
         }
-        client.leaves();
+        client.on_close();
     }
 
-    /// Tells a client that its request did not come in time. Its connection is between answers.
-    fn tell_stopped(&self, client: &Client, stream: &TcpStream) {
-        client.is_cut_short();
-        let unfit = at_fault(Fault::Slow);
-        self.count_unfit(&unfit);
-        // A client that takes nothing of it sees the end.
-        let _ = stream.try_write(&raw(&self.words.unfit(&unfit)));
+    /// Notifies a client that its request timed out. The connection must not have a response in progress.
+    fn write_timeout_response(&self, client: &ClientConnection, stream: &TcpStream) {
+        client.mark_timeout_reported();
+        let response = body_fault_response(Fault::Slow);
+        self.count_invalid(&response);
+        // A client that does not receive the response sees the connection close.
+        let _ = stream.try_write(&response_bytes(&self.own_responses.unfit(&response)));
     }
 
-    /// Tells the log and the figures why a connection ends.
-    fn tell_end(&self, client: &Client, peer: IpAddr, end: End) {
-        self.desk.tally().clients_ended.count(end.name());
-        let (reason, stand, silent) = (end.name(), client.stand(), client.silence());
-        let (came, label) = (client.came_since_answer(), client.label());
-        tracing::debug!(%peer, reason, ?stand, ?silent, came, %label, "a client's connection ends");
-        if matches!(end, End::Stopped | End::Unread) {
-            self.cut_short.warn(|| {
-                format!("client {peer} ended: {reason} as {stand:?}, silent for {silent:?}, {came} bytes came, last request {label}")
+    /// Logs and counts the end of a connection.
+    fn record_end(&self, client: &ClientConnection, peer: IpAddr, end_reason: EndReason) {
+        self.dispatcher.tally().clients_ended.count(end_reason.name());
+        let (reason, state, silent) = (end_reason.name(), client.state(), client.time_since_received());
+        let (received_bytes, label) = (client.bytes_since_response(), client.label());
+        tracing::debug!(%peer, reason, ?state, ?silent, received_bytes, %label, "client connection ended");
+        if matches!(end_reason, EndReason::RequestStalled | EndReason::ResponseUnread) {
+            self.stall_warnings.warn(|| {
+                format!("client {peer}: connection ended: {reason} in state {state:?}, silent for {silent:?}, {received_bytes} bytes received, last request {label}")
             });
         }
     }
 
-    /// Serves requests until no more is to come; what the client then still has to read is the kernel's. Returns why it ends.
-    async fn converse(self: &Rc<Self>, wire: &Rc<Wire>, peer: IpAddr) -> End {
-        let (client, mut phase) = (wire.client(), self.phase.clone());
-        let (server, on) = (Rc::clone(self), Rc::clone(wire));
+    /// Serves requests until the connection ends, and returns the reason. The rest of the last response may
+    /// still be in the kernel's send buffer.
+    async fn serve_requests(self: &Rc<Self>, stream: &Rc<ClientStream>, peer: IpAddr) -> EndReason {
+        let (client, mut phase) = (stream.client(), self.phase.clone());
+        let (server, http_stream) = (Rc::clone(self), Rc::clone(stream));
         let service = service_fn(move |request| {
-            let (server, wire) = (Rc::clone(&server), Rc::clone(&on));
-            async move { Ok::<_, Infallible>(server.respond(&wire, peer, request).await) }
+            let (server, stream) = (Rc::clone(&server), Rc::clone(&http_stream));
+            async move { Ok::<_, Infallible>(server.respond(&stream, peer, request).await) }
         });
-        let mut builder = http1::Builder::new();
-        // The head's time is the client's own affair, see `Client::overdue`.
-        builder.header_read_timeout(None).max_buf_size(BUFFER);
-        let connection = builder.serve_connection(TokioIo::new(Inbound(Rc::clone(wire))), service);
+        let mut http = http1::Builder::new();
+        // `ClientConnection::wait_for_expiry` times out incomplete heads.
+        http.header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
+        let connection = http.serve_connection(TokioIo::new(HttpIo(Rc::clone(stream))), service);
         tokio::pin!(connection);
-        let mut looks = 0;
-        let end = loop {
-            let leaving = tokio::select! {
-                ended = attended(connection.as_mut(), wire) => return by_itself(wire, &ended),
-                () = client.is_to_end() => false,
-                () = wire.watches_uploads() => false,
-                _ = phase.wait_for(|p| *p >= Phase::Closing) => true,
+        let mut unread_checks = 0;
+        let reason = loop {
+            let is_shutdown = tokio::select! {
+                ended = or_client_gone(connection.as_mut(), stream) => return end_reason_of(stream, &ended),
+                () = client.wait_for_close() => false,
+                () = stream.watch_uploads() => false,
+                _ = phase.wait_for(|p| *p >= ShutdownPhase::Closing) => true,
             };
-            if leaving {
-                break End::Leaving;
+            if is_shutdown {
+                break EndReason::Shutdown;
             }
-            if client.is_told() {
-                break End::Displaced;
+            if client.is_close_requested() {
+                break EndReason::Evicted;
             }
-            // One whose time is over: what has just come may not have been looked at.
-            if let Ok(ended) = timeout(GLANCE, attended(connection.as_mut(), wire)).await {
-                return by_itself(wire, &ended);
+            // The connection timed out, but bytes that have just been received may not be processed yet.
+            if let Ok(ended) = timeout(POLL_TIMEOUT, or_client_gone(connection.as_mut(), stream)).await {
+                return end_reason_of(stream, &ended);
             }
-            match client.overdue_for() {
-                // While a request is held its upstream may be what is slow to read.
-                Some(_) if client.stand() != Stand::Held && looks < LOOKS_MOST && wire.has_unread() => {
-                    looks += 1
+            match client.expiry_reason() {
+                // While a response is pending, the upstream may be the slow reader.
+                Some(_)
+                    if client.state() != ConnectionState::Held
+                        && unread_checks < MAX_UNREAD_CHECKS
+                        && stream.has_unread_bytes() =>
+                {
+                    unread_checks += 1
                 }
-                Some(end) => break end,
-                None => looks = 0,
+                Some(reason) => break reason,
+                None => unread_checks = 0,
             }
         };
-        if matches!(end, End::Silent | End::Stopped | End::Unread) {
-            return end;
+        if matches!(
+            reason,
+            EndReason::NothingReceived | EndReason::RequestStalled | EndReason::ResponseUnread
+        ) {
+            return reason;
         }
-        let unread = || wire.has_unread();
-        match settle(client, end == End::Leaving, unread, attended(connection.as_mut(), wire)).await {
+        let has_unread_bytes = || stream.has_unread_bytes();
+        match wait_for_responses(
+            client,
+            reason == EndReason::Shutdown,
+            has_unread_bytes,
+            or_client_gone(connection.as_mut(), stream),
+        )
+        .await
+        {
             Ok(true) => {
                 connection.as_mut().graceful_shutdown();
-                // What is left to be written is owed; how it ends changes nothing of why.
-                let _ = finish(client, attended(connection, wire)).await;
+                // The rest of the response must be delivered; an error does not change the reason.
+                let _ = finish_response(client, or_client_gone(connection, stream)).await;
             }
-            Ok(false) if client.has_stopped() => return End::Stopped,
+            Ok(false) if client.has_stalled_request() => return EndReason::RequestStalled,
             Ok(false) => {}
             Err(e) => tracing::debug!("client: {e}"),
         }
-        end
+        reason
     }
 }
 
-/// Why a connection has ended of which nobody here wanted that.
-fn by_itself(wire: &Wire, ended: &hyper::Result<()>) -> End {
+/// Returns why a connection has ended that the balancer did not close.
+fn end_reason_of(stream: &ClientStream, ended: &hyper::Result<()>) -> EndReason {
     match ended {
         Err(e) => {
             tracing::debug!("client: {e}");
-            if wire.has_ended() { End::Left } else { End::Broken }
+            if stream.has_client_eof() { EndReason::ClosedByClient } else { EndReason::ConnectionFailed }
         }
-        Ok(()) if wire.client().was_cut_short() => End::Stopped,
-        Ok(()) if wire.has_ended() => End::Left,
-        Ok(()) => End::Answered,
+        Ok(()) if stream.client().is_timeout_reported() => EndReason::RequestStalled,
+        Ok(()) if stream.has_client_eof() => EndReason::ClosedByClient,
+        Ok(()) => EndReason::ClosedWithResponse,
     }
 }
 
-/// A connection that ends also when its client has gone while it is owed an answer.
-async fn attended<C>(mut connection: Pin<&mut C>, wire: &Wire) -> hyper::Result<()>
+/// Polls a connection, and also completes if the client closes its side while a response is pending.
+async fn or_client_gone<C>(mut connection: Pin<&mut C>, stream: &ClientStream) -> hyper::Result<()>
 where
     C: Future<Output = hyper::Result<()>>,
 {
     poll_fn(|cx| match connection.as_mut().poll(cx) {
         Poll::Ready(ended) => Poll::Ready(ended),
-        Poll::Pending => wire.poll_gone(cx).map(Ok),
+        Poll::Pending => stream.poll_client_gone(cx).map(Ok),
     })
     .await
 }
 
-/// Lets what was taken on a connection that is to end have its answer first. Where the process is `leaving`, what is
-/// being written comes whole too, at its pace. `unread` asks the kernel whether bytes have come that nobody has read: a
-/// process that stood still finds its timers before those. `true`: the connection is between requests then; `false`: it has
-/// ended, or is given up.
-async fn settle(
-    client: &Client,
-    leaving: bool,
-    unread: impl Fn() -> bool,
+/// Waits until the connection is between requests, so that accepted requests get their responses. If
+/// `is_shutdown`, requests that are being received are completed too, at the client's pace.
+/// `has_unread_bytes` asks the kernel for unread bytes, because the timers of a process that was suspended
+/// expire before it reads them. Returns true if the connection is between requests, and false if it has ended
+/// or is given up.
+async fn wait_for_responses(
+    client: &ClientConnection,
+    is_shutdown: bool,
+    has_unread_bytes: impl Fn() -> bool,
     connection: impl Future<Output = hyper::Result<()>>,
 ) -> hyper::Result<bool> {
-    let (mut connection, since) = (pin!(connection), Instant::now());
-    let mut look = match client.stand() {
-        _ if !leaving => Duration::ZERO,
-        Stand::New => NEWCOMER,
-        // What has just come may not have been looked at.
-        _ => GLANCE,
+    let (mut connection, started) = (pin!(connection), Instant::now());
+    let mut poll_time = match client.state() {
+        _ if !is_shutdown => Duration::ZERO,
+        ConnectionState::New => FIRST_REQUEST_GRACE,
+        // Bytes that have just been received may not be processed yet.
+        _ => POLL_TIMEOUT,
     };
     loop {
-        if !look.is_zero()
-            && let Ok(ended) = timeout(look, connection.as_mut()).await
+        if !poll_time.is_zero()
+            && let Ok(ended) = timeout(poll_time, connection.as_mut()).await
         {
             return ended.map(|()| false);
         }
-        match client.stand() {
-            // Whoever does not read its answer can tell that it is not whole.
-            Stand::Held if client.is_stalled() => return Ok(false),
-            Stand::Held => {}
-            _ if since.elapsed() < ANSWER_MOST && unread() => {
-                look = GLANCE;
+        match client.state() {
+            // A client that does not read its response can detect that it is incomplete.
+            ConnectionState::Held if client.has_stalled_response() => return Ok(false),
+            ConnectionState::Held => {}
+            _ if started.elapsed() < MAX_CLOSE_DELAY && has_unread_bytes() => {
+                poll_time = POLL_TIMEOUT;
                 continue;
             }
-            // Part of a request at most: nothing was taken.
-            _ if client.has_stopped() => return Ok(false),
-            Stand::New | Stand::Reading if !leaving => return Ok(false),
-            Stand::Idle if !leaving && since.elapsed() > ANSWER_MOST => return Ok(false),
-            _ if client.has_whole() || (leaving && client.is_writing()) => {}
+            // The client has sent at most part of a request, so none was accepted.
+            _ if client.has_stalled_request() => return Ok(false),
+            ConnectionState::New | ConnectionState::Reading if !is_shutdown => return Ok(false),
+            ConnectionState::Idle if !is_shutdown && started.elapsed() > MAX_CLOSE_DELAY => return Ok(false),
+            _ if client.has_complete_pipelined_request() || (is_shutdown && client.is_sending_request()) => {}
             _ => return Ok(true),
         }
-        look = LOOK_EVERY;
+        poll_time = CHECK_INTERVAL;
     }
 }
 
-/// Waits for an answer that is on its way to a client who reads slowly. Between requests a connection that shuts down
-/// ends at once.
-async fn finish(client: &Client, connection: impl Future<Output = hyper::Result<()>>) -> hyper::Result<()> {
-    let (mut connection, mut answered) = (pin!(connection), None);
+/// Waits for a response to a client that reads slowly. Between requests a connection that shuts down ends at
+/// once.
+async fn finish_response(
+    client: &ClientConnection,
+    connection: impl Future<Output = hyper::Result<()>>,
+) -> hyper::Result<()> {
+    let (mut connection, mut answered_at) = (pin!(connection), None);
     loop {
-        if let Ok(ended) = timeout(LOOK_EVERY, connection.as_mut()).await {
+        if let Ok(ended) = timeout(CHECK_INTERVAL, connection.as_mut()).await {
             return ended;
         }
-        match client.stand() {
-            Stand::Held if client.is_stalled() => return Ok(()),
-            Stand::Held => {}
-            // Part of a request at most: nothing was taken.
-            Stand::New | Stand::Reading => return Ok(()),
-            Stand::Idle => {
-                if answered.get_or_insert_with(Instant::now).elapsed() > ANSWER_MOST {
+        match client.state() {
+            ConnectionState::Held if client.has_stalled_response() => return Ok(()),
+            ConnectionState::Held => {}
+            // The client has sent at most part of a request, so none was accepted.
+            ConnectionState::New | ConnectionState::Reading => return Ok(()),
+            ConnectionState::Idle => {
+                if answered_at.get_or_insert_with(Instant::now).elapsed() > MAX_CLOSE_DELAY {
                     return Ok(());
                 }
             }
@@ -222,16 +246,16 @@
     }
 }
 
-/// Closes a stream on which our sending has ended. With bytes unread that would be a reset, which takes along what the
-/// client has not read yet: what comes is read away until the client ends too, for a while, and as long as nobody else
-/// needs the place.
-async fn close(client: &Client, stream: TcpStream) {
-    if client.is_told() {
-        empty(&stream);
+/// Closes a stream whose write side is closed. Closing it with unread bytes would reset the connection and
+/// destroy response bytes that the client has not read yet. So received bytes are discarded for a while,
+/// until the client closes too or another connection needs the slot.
+async fn close(client: &ClientConnection, stream: TcpStream) {
+    if client.is_close_requested() {
+        discard_available(&stream);
         return;
     }
     tokio::select! {
-        () = linger(stream, CLIENT_MORE_MOST) => {}
-        () = client.told() => {}
+        () = linger(stream, MAX_DISCARDED_CLIENT_BYTES) => {}
+        () = client.wait_for_close_request() => {}
     }
 }
--- a/crates/proxy/src/server/connection/tests.rs
+++ b/crates/proxy/src/server/connection/tests.rs
@@ -1,102 +1,135 @@
-//! The end of a connection without its socket.
+//! Closing of connections, without sockets.
 
 use super::*;
-use crate::client::Question;
+use crate::client::MessageKind;
 use maplehook::label::Label;
 use std::cell::Cell;
 use std::future::pending;
 use tokio::time::sleep;
 
-/// A client whose last request has its answer, which may still be on its way.
-fn answered() -> Rc<Client> {
-    let client = crate::client::tests::alone();
-    client.reads(Label::default());
-    client.holds(0, false, None);
-    client.answered(Question::Request);
+/// Returns a connection whose last request was answered; the client may not have read the response yet.
+fn idle_connection() -> Rc<ClientConnection> {
+    let client = crate::client::tests::unobserved_connection();
+    client.on_head(Label::default());
+    client.on_request(0, false, None);
+    client.on_response(MessageKind::Request);
     client
 }
 
-/// No bytes wait unread.
-fn nothing() -> bool {
+/// Reports that no bytes are unread.
+fn no_unread_bytes() -> bool {
     false
 }
 
-/// Guards an answer on its way to a client who reads slowly: the end of its connection waits for it.
+/// Guards responses to clients that read slowly: closing the connection waits for such a response.
 #[tokio::test(flavor = "local")]
-async fn an_answer_on_its_way_is_finished() {
-    let (client, whole) = (answered(), Cell::new(false));
-    let slow = async {
+async fn slow_responses_are_finished_before_the_connection_closes() {
+    let (client, is_complete) = (idle_connection(), Cell::new(false));
+    let slow_response = async {
         sleep(Duration::from_millis(750)).await;
-        whole.set(true);
+        is_complete.set(true);
         Ok(())
     };
-    finish(&client, slow).await.unwrap();
-    assert!(whole.get());
-    // One that never comes to an end is given up.
-    finish(&client, pending()).await.unwrap();
+    finish_response(&client, slow_response).await.unwrap();
+    assert!(is_complete.get());
+    // A response that never ends is given up.
+    finish_response(&client, pending()).await.unwrap();
 }
 
-/// Guards a request that has come whole behind the one that is answered, where its connection is to make room: it was
-/// taken, and has its answer before the end; a part of one has not, and holds up nobody.
+/// Guards a complete pipelined request on a connection that is evicted: it was accepted, so it is answered
+/// first. A partial request must not delay the eviction.
 #[tokio::test(flavor = "local")]
-async fn only_what_was_taken_holds_up_who_needs_the_place() {
-    let client = answered();
-    client.arrived(b"GET /look HTTP/1.1\r\nHost: a\r\n");
-    assert!(settle(&client, false, nothing, pending()).await.unwrap(), "a part of a request");
-    client.arrived(b"\r\n");
-    let served = Cell::new(false);
-    let serves = async {
-        client.reads(Label::default());
-        client.holds(0, false, None);
-        sleep(2 * LOOK_EVERY).await;
-        client.answered(Question::Request);
-        served.set(true);
+async fn only_complete_pipelined_requests_delay_an_eviction() {
+    let client = idle_connection();
+    client.on_received(b"GET /look HTTP/1.1\r\nHost: a\r\n");
+    assert!(
+        wait_for_responses(&client, false, no_unread_bytes, pending()).await.unwrap(),
+        "a partial request does not delay the close"
+    );
+    client.on_received(b"\r\n");
+    let is_served = Cell::new(false);
+    let connection = async {
+        client.on_head(Label::default());
+        client.on_request(0, false, None);
+        sleep(2 * CHECK_INTERVAL).await;
+        client.on_response(MessageKind::Request);
+        is_served.set(true);
         pending().await
     };
-    assert!(settle(&client, false, nothing, serves).await.unwrap());
-    assert!(served.get());
+    assert!(wait_for_responses(&client, false, no_unread_bytes, connection).await.unwrap());
+    assert!(is_served.get());
 }
 
-/// Guards whoever has only just connected when the process ends: its request is on its way, and has a moment to come. One
-/// that rests between requests has none.
+/// Guards clients that connect just before a shutdown: their first request gets a short grace period. An idle
+/// connection gets none.
 #[tokio::test(flavor = "local")]
-async fn a_newcomer_has_a_moment_for_its_request() {
-    let asks = |after| async move {
-        sleep(after).await;
+async fn new_connections_get_time_for_a_request_at_shutdown() {
+    let connection_ending_after = |delay| async move {
+        sleep(delay).await;
         Ok(())
     };
-    let newcomer = crate::client::tests::alone();
+    let new_connection = crate::client::tests::unobserved_connection();
+    assert!(
+        !wait_for_responses(
+            &new_connection,
+            true,
+            no_unread_bytes,
+            connection_ending_after(FIRST_REQUEST_GRACE / 2)
+        )
+        .await
+        .unwrap(),
+        "the connection ends with the response to its request"
+    );
+    assert!(
+        wait_for_responses(
+            &new_connection,
+            true,
+            no_unread_bytes,
+            connection_ending_after(2 * FIRST_REQUEST_GRACE)
+        )
+        .await
+        .unwrap()
+    );
     assert!(
-        !settle(&newcomer, true, nothing, asks(NEWCOMER / 2)).await.unwrap(),
-        "served, and ended with that"
+        wait_for_responses(
+            &idle_connection(),
+            true,
+            no_unread_bytes,
+            connection_ending_after(FIRST_REQUEST_GRACE / 2)
+        )
+        .await
+        .unwrap()
     );
-    assert!(settle(&newcomer, true, nothing, asks(2 * NEWCOMER)).await.unwrap());
-    assert!(settle(&answered(), true, nothing, asks(NEWCOMER / 2)).await.unwrap());
 }
 
-/// Guards a request that came while the process stood still: the connection is not shut over it, whatever its timers say, and
-/// neither is that of a client which has to make room.
+/// Guards requests received while the process was suspended: neither a shutdown nor an eviction may close the
+/// connection before they are read.
 #[tokio::test(flavor = "local")]
-async fn a_connection_is_not_shut_over_what_nobody_has_read() {
-    for leaving in [true, false] {
-        let (client, looks) = (answered(), Cell::new(0));
-        let unread = || client.stand() == Stand::Idle && looks.replace(looks.get() + 1) < 3;
-        // The request is read some looks later than the timers fire.
-        let serves = async {
-            while looks.get() < 3 {
-                sleep(GLANCE).await;
+async fn connections_with_unread_bytes_are_not_closed() {
+    for is_shutdown in [true, false] {
+        let (client, checks) = (idle_connection(), Cell::new(0));
+        let has_unread_bytes =
+            || client.state() == ConnectionState::Idle && checks.replace(checks.get() + 1) < 3;
+        // The request is read several checks after the timers expire.
+        let connection = async {
+            while checks.get() < 3 {
+                sleep(POLL_TIMEOUT).await;
             }
-            client.reads(Label::default());
-            client.holds(0, false, None);
-            sleep(2 * LOOK_EVERY).await;
-            client.answered(Question::Request);
+            client.on_head(Label::default());
+            client.on_request(0, false, None);
+            sleep(2 * CHECK_INTERVAL).await;
+            client.on_response(MessageKind::Request);
             pending().await
         };
-        assert!(settle(&client, leaving, unread, serves).await.unwrap());
-        assert_eq!((client.stand(), looks.get()), (Stand::Idle, 4), "leaving: {leaving}");
+        assert!(wait_for_responses(&client, is_shutdown, has_unread_bytes, connection).await.unwrap());
+        assert_eq!(
+            (client.state(), checks.get()),
+            (ConnectionState::Idle, 4),
+            "with is_shutdown {is_shutdown}, the request is answered after 4 checks for unread bytes"
+        );
     }
-    // What never comes to be read does not keep the connection for ever.
-    let since = Instant::now();
-    assert!(settle(&answered(), true, || true, pending()).await.unwrap());
-    assert!(since.elapsed() >= ANSWER_MOST);
+    // Bytes that are never read delay the close only for a limited time.
+    let started_at = Instant::now();
+    assert!(wait_for_responses(&idle_connection(), true, || true, pending()).await.unwrap());
+    assert!(started_at.elapsed() >= MAX_CLOSE_DELAY);
 }
--- a/crates/proxy/src/server/ended.rs
+++ b/crates/proxy/src/server/ended.rs
@@ -1,41 +1,41 @@
-//! Why the connections of clients end, for the log and the figures.
+//! Reasons for the end of client connections, as reported in the log and in metrics.
 
-/// Why a client's connection ends.
+/// Reason for the end of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Its client has ended it.
-    Left,
-    /// It was said with the last answer that it would end.
-    Answered,
-    /// What came on it can't be read, or the network broke it.
-    Broken,
-    /// Its client has asked for nothing more for long.
-    Rested,
-    /// Its client has never sent anything.
-    Silent,
-    /// Its client has sent a part of a request and then nothing, or too little, of the rest.
-    Stopped,
-    /// Its client has left an answer unread for too long.
-    Unread,
-    /// Another connection needs its place.
-    Displaced,
-    /// The process ends.
-    Leaving,
+pub enum EndReason {
+    /// The client closed the connection.
+    ClosedByClient,
+    /// The last response announced that the connection would close.
+    ClosedWithResponse,
+    /// The client sent bytes that are not HTTP, or the network connection failed.
+    ConnectionFailed,
+    /// The client sent no further request before the idle timeout.
+    Idle,
+    /// The client never sent a byte.
+    NothingReceived,
+    /// The client sent part of a request, and then the rest too slowly or not at all.
+    RequestStalled,
+    /// The client left a response unread for too long.
+    ResponseUnread,
+    /// The connection was closed to free its slot for another one.
+    Evicted,
+    /// The process is shutting down.
+    Shutdown,
 }
 
-impl End {
-    /// What figures and the log call it.
+impl EndReason {
+    /// Returns the name of the reason in metrics and in the log.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Left => "left",
-            Self::Answered => "answered",
-            Self::Broken => "broken",
-            Self::Rested => "rested",
-            Self::Silent => "silent",
-            Self::Stopped => "stopped",
-            Self::Unread => "unread",
-            Self::Displaced => "displaced",
-            Self::Leaving => "leaving",
+            Self::ClosedByClient => "left",
+            Self::ClosedWithResponse => "answered",
+            Self::ConnectionFailed => "broken",
+            Self::Idle => "rested",
+            Self::NothingReceived => "silent",
+            Self::RequestStalled => "stopped",
+            Self::ResponseUnread => "unread",
+            Self::Evicted => "displaced",
+            Self::Shutdown => "leaving",
         }
     }
 }
--- a/crates/proxy/src/server/respond.rs
+++ b/crates/proxy/src/server/respond.rs
@@ -1,10 +1,10 @@
-//! What is answered to one request.
+//! Produces the response to one request.
 
-use super::{Phase, Server};
-use crate::client::{Client, Question};
-use crate::inbound::Wire;
-use crate::requests::{Ready, VERSION, at_fault};
-use crate::words::{Tail, own, plain, worded};
+use super::{Server, ShutdownPhase};
+use crate::client::{ClientConnection, MessageKind};
+use crate::inbound::ClientStream;
+use crate::requests::{ReadyRequest, VERSION_HEADER, body_fault_response};
+use crate::responses::{TrackedBody, final_response, own_response, plain_response};
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
@@ -18,110 +18,125 @@
 use std::task::Poll;
 use tokio::task::spawn_local;
 
-/// A request that is not handed to the desk, whose sender is told that trying again is harmless.
-const TOO_LATE: Unfit = Unfit::new(StatusCode::SERVICE_UNAVAILABLE, "nothing is sent on any more");
+/// Response to a request that is not forwarded; it permits a retry.
+const NOT_FORWARDED: Unfit =
+    Unfit::new(StatusCode::SERVICE_UNAVAILABLE, "shutting down: requests are no longer forwarded");
 
 impl Server {
-    /// The final answer to a request.
+    /// Returns the final response to a request.
     pub(super) async fn respond(
         &self,
-        wire: &Rc<Wire>,
+        stream: &Rc<ClientStream>,
         peer: IpAddr,
         request: Request<Incoming>,
-    ) -> Response<Tail> {
-        let client = wire.client();
-        let leaving = || *self.phase.borrow() != Phase::Serving;
-        client.reads(self.requests.label_of(request.headers()));
-        let mut question = Question::Request;
+    ) -> Response<TrackedBody> {
+        let client = stream.client();
+        let is_shutting_down = || *self.phase.borrow() != ShutdownPhase::Serving;
+        client.on_head(self.requests.request_label(request.headers()));
+        let mut kind = MessageKind::Request;
         let mut response = match request.uri().path() {
             "/health/ready" | "/health/live" if request.body().is_end_stream() => {
-                question = Question::Health;
-                if leaving() && request.uri().path() == "/health/ready" {
-                    plain(StatusCode::SERVICE_UNAVAILABLE, "leaving")
+                kind = MessageKind::Health;
+                if is_shutting_down() && request.uri().path() == "/health/ready" {
+                    plain_response(StatusCode::SERVICE_UNAVAILABLE, "leaving")
                 } else {
-                    plain(StatusCode::OK, "ok")
+                    plain_response(StatusCode::OK, "ok")
                 }
             }
-            _ => match self.read_in_time(wire, peer, request).await {
-                Ok(ready) => self.answer(client, ready).await,
+            _ => match self.read_before_shutdown(stream, peer, request).await {
+                Ok(ready) => self.dispatch(client, ready).await,
                 Err(unfit) => {
-                    question = Question::Unfit;
-                    self.count_unfit(&unfit);
+                    kind = MessageKind::Invalid;
+                    self.count_invalid(&unfit);
                     if unfit.status == StatusCode::REQUEST_TIMEOUT {
-                        client.is_cut_short();
+                        client.mark_timeout_reported();
                     }
                     let label = client.label();
-                    tracing::debug!(%peer, %label, status = unfit.status.as_u16(), "unfit: {}", unfit.why);
-                    let mut answer = own(self.words.unfit(&unfit));
+                    tracing::debug!(
+                        %peer, %label, status = unfit.status.as_u16(), "invalid request: {}", unfit.why
+                    );
+                    let mut response = own_response(self.own_responses.unfit(&unfit));
                     if unfit.status == StatusCode::SERVICE_UNAVAILABLE {
-                        answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
+                        response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
                     }
-                    tell(&mut answer, self.requests.label());
-                    answer
+                    add_version_header(&mut response, self.requests.version());
+                    response
                 }
             },
         };
-        let streams = matches!(response.body(), AnswerBody::Stream(_));
-        let close = (!streams && client.answered(question)) || client.is_told();
-        // A request that stands behind this one has been read, or will be with the rest: it has its answer first.
-        if (close && !client.has_whole()) || (leaving() && !client.has_more()) {
+        let is_streaming = matches!(response.body(), AnswerBody::Stream(_));
+        let should_close = (!is_streaming && client.on_response(kind)) || client.is_close_requested();
+        // A pipelined request has been read or will be, and gets its response before the connection closes.
+        if (should_close && !client.has_complete_pipelined_request())
+            || (is_shutting_down() && !client.has_pipelined_bytes())
+        {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        // An answer that streams is owed until its end.
-        response.map(|body| Tail::new(body, client))
+        // A streaming response is pending until its body ends.
+        response.map(|body| TrackedBody::new(body, client))
     }
 
-    /// Counts what is answered as no fit request.
-    pub(super) fn count_unfit(&self, unfit: &Unfit) {
-        self.desk.tally().unfit.count(unfit.status.canonical_reason().unwrap_or("other"));
+    /// Counts a response to an invalid request.
+    pub(super) fn count_invalid(&self, unfit: &Unfit) {
+        self.dispatcher.tally().unfit.count(unfit.status.canonical_reason().unwrap_or("other"));
     }
 
-    async fn answer(&self, client: &Client, ready: Ready) -> Response<AnswerBody> {
-        let Ready { asked, identity, upload, open, label } = ready;
-        let (answer, _) = self.desk.ask(asked, identity).await;
-        client.has_answer();
-        drop(open);
+    async fn dispatch(&self, client: &ClientConnection, ready: ReadyRequest) -> Response<AnswerBody> {
+        let ReadyRequest { request, identity, upload, open_id, version } = ready;
+        let (answer, _) = self.dispatcher.ask(request, identity).await;
+        client.on_upstream_response();
+        drop(open_id);
         upload.iter().for_each(Upload::answered);
         let mut response = match (answer, upload.and_then(|upload| upload.fault())) {
-            // It came to nothing by its client's fault: that is what its client hears.
+            // The client caused the failure, so the response reports that fault.
             (Answer::Refused(_) | Answer::Failed, Some(fault)) => {
                 if fault == Fault::Slow {
-                    client.is_cut_short();
+                    client.mark_timeout_reported();
                 }
-                own(self.words.unfit(&at_fault(fault)))
+                own_response(self.own_responses.unfit(&body_fault_response(fault)))
             }
-            (answer, _) => worded(answer, self.words),
+            (answer, _) => final_response(answer, self.own_responses),
         };
-        tell(&mut response, label);
+        add_version_header(&mut response, version);
         response
     }
 
-    /// Reads a request that may still be sent on: not once the process has stopped, nor when its client has gone.
-    async fn read_in_time(
+    /// Reads a request for forwarding, unless the process stops forwarding or the client disconnects
+    /// meanwhile.
+    async fn read_before_shutdown(
         &self,
-        wire: &Rc<Wire>,
+        stream: &Rc<ClientStream>,
         peer: IpAddr,
         request: Request<Incoming>,
-    ) -> Result<Ready, Unfit> {
+    ) -> Result<ReadyRequest, Unfit> {
         let mut phase = self.phase.clone();
         let mut ready = tokio::select! {
             biased;
-            read = self.read(wire.client(), peer, request) => read?,
-            () = wire.stops() => return Err(at_fault(Fault::Slow)),
-            _ = phase.wait_for(|phase| *phase == Phase::Stopped) => return Err(TOO_LATE),
+            result = self.read_request(stream.client(), peer, request) => result?,
+            () = stream.wait_for_request_timeout() => return Err(body_fault_response(Fault::Slow)),
+            _ = phase.wait_for(|phase| *phase == ShutdownPhase::Stopped) => return Err(NOT_FORWARDED),
         };
-        ready.asked.label = wire.client().label();
-        // What is known by its identity goes on without its client.
-        ready.asked.presence = ready.identity.is_none().then(|| wire.presence());
-        // One that was pipelined behind another may have been left by now.
-        let gone = poll_fn(|cx| Poll::Ready(wire.poll_gone(cx).is_ready())).await;
-        if gone || *self.phase.borrow() == Phase::Stopped { Err(TOO_LATE) } else { Ok(ready) }
+        ready.request.label = stream.client().label();
+        // A request whose repeats are recognized continues without its client.
+        ready.request.presence = ready.identity.is_none().then(|| stream.presence());
+        // The client of a pipelined request may have disconnected by now.
+        let is_client_gone = poll_fn(|cx| Poll::Ready(stream.poll_client_gone(cx).is_ready())).await;
+        if is_client_gone || *self.phase.borrow() == ShutdownPhase::Stopped {
+            Err(NOT_FORWARDED)
+        } else {
+            Ok(ready)
+        }
     }
 
-    /// Reads a request, its body included where that does not stream.
-    async fn read(&self, client: &Client, peer: IpAddr, request: Request<Incoming>) -> Result<Ready, Unfit> {
+    /// Reads a request, including its body unless that streams.
+    async fn read_request(
+        &self,
+        client: &ClientConnection,
+        peer: IpAddr,
+        request: Request<Incoming>,
+    ) -> Result<ReadyRequest, Unfit> {
         let (parts, body) = request.into_parts();
-        let head = match self.requests.head(parts, peer, client.hides_a_length()) {
+        let head = match self.requests.parse_head(parts, peer, client.has_hidden_length()) {
             Ok(head) => head,
             Err(unfit) => {
                 if !self.requests.is_strict() {
@@ -130,16 +145,20 @@
                 return Err(unfit);
             }
         };
-        let (tenant, vouched) = (head.tenant(), head.vouched);
-        let read = self.requests.rest(head, body, peer, || client.whole_at()).await?;
-        client.holds(tenant.0, vouched, read.upload.as_ref().map(|upload| upload.sender_most()));
-        Ok(read)
+        let (tenant, is_authenticated) = (head.tenant(), head.is_authenticated);
+        let ready = self.requests.read_body(head, body, peer, || client.request_completed_at()).await?;
+        client.on_request(
+            tenant.0,
+            is_authenticated,
+            ready.upload.as_ref().map(|upload| upload.sender_most()),
+        );
+        Ok(ready)
     }
 }
 
-/// Names the version that an answer was given under.
-fn tell(response: &mut Response<AnswerBody>, label: Option<HeaderValue>) {
-    if let Some(label) = label {
-        response.headers_mut().insert(VERSION, label);
+/// Adds the version that the request was handled under to the response.
+fn add_version_header(response: &mut Response<AnswerBody>, version: Option<HeaderValue>) {
+    if let Some(version) = version {
+        response.headers_mut().insert(VERSION_HEADER, version);
     }
 }
--- a/crates/proxy/src/versions.rs
+++ b/crates/proxy/src/versions.rs
@@ -3,10 +3,10 @@
 //! A class, a tenant and a zone have one number for the life of the process, so that a request under way means the same before
 //! and after. Learned state, tokens and connections stay.
 
-use crate::counts::Part;
-use crate::entrance::Entrance;
-use crate::nearness::Names;
-use crate::requests::Requests;
+use crate::admission::AdmissionController;
+use crate::counts::RolloutLink;
+use crate::failover::NamesById;
+use crate::requests::RequestReader;
 use crate::supervised;
 use maplehook::lists::Lists;
 use maplehook::parts::driver::Driver;
@@ -36,9 +36,9 @@
     /// The list, where it is the file's.
     pub lists: Option<Rc<Lists>>,
     /// The reader of requests.
-    pub requests: Rc<Requests>,
+    pub requests: Rc<RequestReader>,
     /// The door.
-    pub entrance: Rc<Entrance>,
+    pub admission: Rc<AdmissionController>,
     /// The connections.
     pub upstreams: Rc<Upstreams>,
     /// Whether everything is refused, as operators hear.
@@ -46,7 +46,7 @@
     /// The places of the version in force, and the names that numbers have.
     pub places: PlacesOf,
     /// Changes in stages, where there are any.
-    pub stages: Option<Part>,
+    pub stages: Option<RolloutLink>,
 }
 
 /// Whoever has a part in places hears of versions by these.
@@ -54,13 +54,13 @@
     /// What places rest on.
     pub config: watch::Sender<Option<Arc<Config>>>,
     /// Names of classes, tenants and zones.
-    pub names: watch::Sender<Names>,
+    pub names: watch::Sender<NamesById>,
 }
 
 impl PlacesOf {
     /// A version is in force from now on, or a file from the start on.
     pub fn tell(&self, proxy: &Proxy, numbered: &ResolvedRules) {
-        let names = Names::of(numbered);
+        let names = NamesById::from_rules(numbered);
         self.names.send_if_modified(|before| {
             let news = *before != names;
             *before = names;
@@ -80,15 +80,15 @@
     pub fn new(
         began_with: &Proxy,
         lists: Option<Rc<Lists>>,
-        requests: Rc<Requests>,
-        entrance: Rc<Entrance>,
+        requests: Rc<RequestReader>,
+        admission: Rc<AdmissionController>,
         upstreams: Rc<Upstreams>,
         refuses: Arc<AtomicBool>,
         places: PlacesOf,
     ) -> Self {
         let mut numbers = StableIds::default();
         places.tell(began_with, &numbers.assign(began_with));
-        Self { numbers, two: false, lists, requests, entrance, upstreams, refuses, places, stages: None }
+        Self { numbers, two: false, lists, requests, admission, upstreams, refuses, places, stages: None }
     }
 
     /// Follows what is to be acted on, as long as the process lives.
@@ -101,7 +101,7 @@
         mut beside: Option<watch::Receiver<bool>>,
     ) {
         let mut present: Option<Present> = None;
-        let mut staged = self.stages.as_ref().map(|part| part.serving.staged.clone());
+        let mut staged = self.stages.as_ref().map(|part| part.channels.staged.clone());
         // A list that was set acts once the decisions have been told it, and only then is the step acted on.
         let mut told = driver.lists();
         let mut waits: Option<u64> = None;
@@ -153,7 +153,7 @@
         let Some(part) = &self.stages else { return };
         let side = acts.map_or(Side::Old, |stage| stage.side);
         let acked = told.map(|stage| Acked { number: stage.number, step: stage.step, side });
-        part.serving.acked.send_if_modified(|before| std::mem::replace(before, acked) != acked);
+        part.channels.acked.send_if_modified(|before| std::mem::replace(before, acked) != acked);
     }
 
     /// The decisions come first: no request may come by a class or tenant that they do not know. Whether the list is another
@@ -171,21 +171,23 @@
         self.places.tell(proxy, &numbered);
         let guarantees: Vec<f64> = numbered.settings.tenants.iter().map(|t| t.allowance_per_s).collect();
         if let Some(part) = &self.stages {
-            part.counts.aim(numbered.settings.classes.iter().map(|class| class.latency_objective).collect());
+            part.counts.set_latency_objectives(
+                numbered.settings.classes.iter().map(|class| class.latency_objective).collect(),
+            );
         }
         let entries = Fixed::listed(proxy.listed(|zone| numbered.zone_id(zone))).into_entries();
         driver.retune(supervised::halved(numbered.settings, self.two), numbered.removed_tenants);
         counting.name(&numbered.class_names);
-        self.entrance.guarantee(&guarantees);
-        self.entrance.know(proxy.clients.known.clone());
+        self.admission.set_tenant_guarantees(&guarantees);
+        self.admission.set_known_networks(proxy.clients.known.clone());
         let listed = self.lists.as_ref().is_some_and(|lists| lists.set(entries));
         let label = proxy.version.then(|| match stage.map(|stage| stage.side) {
             Some(Side::New) => acting.label_for(mode) + ";new",
             Some(Side::Old) | None => acting.label_for(mode),
         });
         let refused = proxy.clients.refused.clone();
-        self.requests.replace(numbered.rules, numbered.passages, refused, label.as_deref());
-        self.requests.refuse(mode == EnforcementMode::RejectAll);
+        self.requests.replace_rules(numbered.rules, numbered.passages, refused, label.as_deref());
+        self.requests.set_reject_all(mode == EnforcementMode::RejectAll);
         self.refuses.store(mode == EnforcementMode::RejectAll, Ordering::Release);
         match mode {
             EnforcementMode::Current => {
--- a/crates/proxy/tests/operation/replacement.rs
+++ b/crates/proxy/tests/operation/replacement.rs
@@ -107,7 +107,8 @@
     let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
     let connected = TcpStream::connect(elsewhere.local_addr().unwrap()).unwrap();
     let file = std::fs::File::open("/dev/null").unwrap();
-    for (inherits, says) in [(file.into(), "is no socket"), (connected.into(), "no TCP socket that listens")]
+    for (inherits, says) in
+        [(file.into(), "is not a socket"), (connected.into(), "not a listening TCP socket")]
     {
         let mut setup = operated(&[upstream.address]);
         setup.inherits = Some(inherits);
@@ -184,7 +185,7 @@
         let mut setup = operated(&[upstream.address]);
         (setup.inherits, setup.tmp) = (Some(socket.into()), Some(folder.0.clone()));
         let node = setup.start();
-        assert!(node.has_logged("nothing is taken over") && node.has_logged(says), "{says}");
+        assert!(node.has_logged("hot restart state ignored") && node.has_logged(says), "{says}");
         assert_eq!(node.connect().exchange(&look_as("a")).status(), 200);
         until("it is written anew", || std::fs::read(folder.file()).unwrap().len() > 100);
     }
@@ -192,7 +193,7 @@
     let mut setup = operated(&[upstream.address]);
     (setup.inherits, setup.tmp) = (Some(socket.into()), Some(folder.0.join("nowhere")));
     let node = setup.start();
-    until("it says so", || node.has_logged("nothing is left for the next process"));
+    until("it says so", || node.has_logged("cannot write hot restart state"));
     assert_eq!(node.connect().exchange(&look_as("a")).status(), 200);
 }
 
