--- a/crates/proxy/src/requests.rs
+++ b/crates/proxy/src/requests.rs
@@ -63,7 +63,7 @@
 
 /// A valid request that may be forwarded.
 pub struct ReadyRequest {
-    /// The request as the balancer takes it.
+    /// Request to pass to the dispatcher.
     pub request: Asked,
     /// Identity by which repeats of the request are recognized; `None` if repeats are not.
     pub identity: Option<Identity>,
--- a/crates/proxy/src/server/connection.rs
+++ b/crates/proxy/src/server/connection.rs
@@ -203,7 +203,7 @@
             return ended.map(|()| false);
         }
         match client.state() {
-            // A client that does not read its response can detect that it is incomplete.
+            // A client that does not read its response can detect that the response is incomplete.
             ConnectionState::Held if client.has_stalled_response() => return Ok(false),
             ConnectionState::Held => {}
             _ if started.elapsed() < MAX_CLOSE_DELAY && has_unread_bytes() => {
