--- a/crates/engine/src/parts/body.rs
+++ b/crates/engine/src/parts/body.rs
@@ -72,9 +72,9 @@
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::TooLong => "the request body is too long",
-            Self::BrokeOff => "the request body is incomplete or malformed",
-            Self::Slow => "the request body was not received in time",
+            Self::TooLong => "the body is too long",
+            Self::BrokeOff => "the body broke off",
+            Self::Slow => "the body did not come in time",
         })
     }
 }
