--- a/crates/core/benches/decision.rs
+++ b/crates/core/benches/decision.rs
@@ -1,4 +1,5 @@
-//! Cost of a decision by number of upstreams: one request that is admitted, sent and answered, and one tick.
+//! Measures the time that a balancer takes for one request and for one tick, with 10 to 10,000 upstreams.
+//! Each request is admitted, sent to an upstream and answered.
 //!
 //! `cargo bench --bench decision`
 
@@ -10,7 +11,7 @@
 
 const FLEET_SIZES: [u64; 4] = [10, 120, 4000, 10_000];
 
-/// Returns a balancer after a second of traffic, with its current time and its last request id.
+/// Returns a balancer that has handled traffic for one second, the current time, and the last request id.
 fn busy_balancer(upstreams: u64) -> (Balancer, Duration, u32) {
     let settings = Settings {
         classes: vec![Class { late_value: 0.5, effect: Effect::Idempotent, ..Class::default() }],
@@ -86,7 +87,7 @@
                 run_request(&mut balancer, now, &mut id, &mut actions);
                 count += 1;
                 if count % 1000 == 0 {
-                    // 40,000 requests a second, so that the bucket has tokens.
+                    // 40,000 requests per second are within the allowance, so the token bucket never empties.
                     now += Duration::from_millis(25);
                     run_tick(&mut balancer, now, &mut actions);
                 }
@@ -100,7 +101,7 @@
         let mut actions = Vec::new();
         group.bench_function(BenchmarkId::from_parameter(upstreams), |bencher| {
             bencher.iter(|| {
-                // The requests of one tick at 10,000 a second.
+                // 25 requests per tick of 25 ms are 1,000 per second.
                 for _ in 0..25 {
                     run_request(&mut balancer, now, &mut id, &mut actions);
                 }
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -17,8 +17,8 @@
     (1..=n).map(endpoint).collect()
 }
 
-/// With 1,000 balancers, each one's share of an allowance is less than one request a second. None of them may
-/// reject its tenants' requests forever.
+/// With 1,000 balancers, the share of one balancer in an allowance is less than one request per second. A
+/// balancer must still admit the requests of tenants that are within their allowances.
 #[test]
 fn admits_all_requests_within_the_allowance_at_a_low_rate() {
     let mut harness = Harness::new(settings(1000, &[600.0, 500.0, 400.0]), &fleet(60));
@@ -36,8 +36,8 @@
     assert_eq!(rejected, 0, "two requests a second are far below the total allowance of 1,500");
 }
 
-/// A tenant far above its allowance must not use up the guarantee of another tenant, which still gets about 9
-/// in 10 of its requests admitted.
+/// A tenant far above its allowance must not use up the guarantee of another tenant. At least 9 in 10
+/// requests of the other tenant must be admitted.
 #[test]
 fn a_surging_tenant_does_not_use_up_the_guarantee_of_another() {
     let mut harness = Harness::new(settings(1, &[20.0, 20.0]), &fleet(2));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn unknown_classes_fail_and_unknown_tenants_are_served() {
+fn requests_of_unknown_classes_fail_and_those_of_unknown_tenants_are_served() {
     let mut harness = Harness::new(settings(1, &[20.0]), &fleet(2));
     let id = harness.send_request(9, 0, ms(1000));
     assert_eq!(harness.results.get(&id), Some(&"failed"));
@@ -101,9 +101,9 @@
     }
 }
 
-/// A new bucket starts full: one second of the guarantee is admitted at once, before any refill.
+/// A new balancer admits about one second of the guarantee at once, before any refill of its token bucket.
 #[test]
-fn a_new_bucket_starts_full() {
+fn a_new_token_bucket_is_full() {
     let mut harness = Harness::new(settings(1, &[20.0]), &fleet(4));
     let sent = (0..40)
         .filter(|_| {
@@ -114,7 +114,7 @@
     assert_eq!(sent, 23);
 }
 
-/// A balancer without settings cannot make decisions: it fails each request and does not panic.
+/// A default balancer has no settings to decide by. It must fail each request and not panic.
 #[test]
 fn a_default_balancer_fails_requests_without_a_panic() {
     let mut harness = Harness::new(settings(1, &[20.0]), &fleet(1));
@@ -124,9 +124,10 @@
     assert_eq!(harness.results.get(&id), Some(&"failed"));
 }
 
-/// When every attempt times out, there is no capacity left, and the guarantee is cut as well.
+/// When every attempt times out, the upstreams have no capacity, so requests within the guarantee are
+/// rejected too.
 #[test]
-fn cuts_the_guarantee_when_every_attempt_times_out() {
+fn reduces_the_guarantee_when_every_attempt_times_out() {
     let mut harness = Harness::new(settings(1, &[100.0]), &fleet(4));
     harness.run_traffic(200, ms(10), |_| Some(Outcome::Ok));
     let (mut in_flight, mut sent) = (Vec::new(), 0);
@@ -148,9 +149,9 @@
     assert!(sent > 0, "some requests are sent to detect a recovery");
 }
 
-/// Servers of another zone must not stay idle while the local zone rejects requests for lack of capacity. The
-/// cross-zone price keeps the remote servers out of normal rotation, so they receive requests only while
-/// requests are rejected, and none once the local zone has capacity again.
+/// Upstreams of another zone must not stay idle while requests are rejected because the local zone lacks
+/// capacity. The cross-zone price keeps remote upstreams out of normal rotation: they receive requests only
+/// while requests are rejected, and none once the local zone has capacity again.
 #[test]
 fn spills_into_another_zone_only_while_the_local_zone_lacks_capacity() {
     let prices = Prices { cross_zone: 0.08, ..Prices::default() };
@@ -159,11 +160,11 @@
         &(1..=8).map(|id| Endpoint { zone: ZoneId(u8::from(id > 2)), ..endpoint(id) }).collect::<Vec<_>>(),
     );
     harness.advance(ms(100));
-    // Each server handles one request at a time and takes 200 ms for it: two local servers handle ten a
-    // second.
+    // Each upstream serves one request at a time, in 200 ms, so the two local upstreams serve ten requests
+    // per second.
     let mut free_at = std::collections::BTreeMap::new();
     let mut in_flight: Vec<(std::time::Duration, RequestId)> = Vec::new();
-    let mut run_load = |harness: &mut Harness, gap: u64, count: usize| {
+    let mut run_load = |harness: &mut Harness, gap_ms: u64, count: usize| {
         let (mut rejected, mut remote) = (0, 0);
         for _ in 0..count {
             let id = harness.send_request(0, 0, ms(1000));
@@ -177,7 +178,7 @@
                 }
                 None => rejected += 1,
             }
-            harness.advance(ms(gap));
+            harness.advance(ms(gap_ms));
             in_flight.sort();
             while in_flight.first().is_some_and(|(done_at, _)| *done_at <= harness.now) {
                 let (_, id) = in_flight.remove(0);
@@ -188,15 +189,15 @@
         }
         (rejected, remote)
     };
-    // At five requests a second, the local servers handle all of them.
+    // At five requests per second, the local upstreams serve all requests.
     assert_eq!(run_load(&mut harness, 200, 50), (0, 0));
-    // At twenty requests a second, all eight servers together have the capacity: they can handle forty.
+    // Twenty requests per second overload the local upstreams, but all eight upstreams together serve forty.
     run_load(&mut harness, 50, 200);
     let (rejected, remote) = run_load(&mut harness, 50, 200);
     assert!(
         remote > 40 && rejected < 60,
-        "{rejected} requests were rejected and {remote} sent to the other zone"
+        "{rejected} of 200 requests were rejected and {remote} were sent to the other zone"
     );
     run_load(&mut harness, 200, 100);
-    assert_eq!(run_load(&mut harness, 200, 50).1, 0, "no request leaves the zone once it has capacity again");
+    assert_eq!(run_load(&mut harness, 200, 50).1, 0, "no request leaves the local zone once it has capacity");
 }
--- a/crates/core/tests/bounded_state.rs
+++ b/crates/core/tests/bounded_state.rs
@@ -1,4 +1,4 @@
-//! The state of a balancer stays bounded, and a balancer recovers after it has admitted nothing.
+//! Bounds on the state of a balancer, admission after timeouts, and admission in large fleets.
 
 mod common;
 use common::*;
@@ -14,8 +14,8 @@
     }
 }
 
-/// Replaces the whole fleet again and again. State of removed upstreams must be dropped, and listed upstreams
-/// must keep receiving requests.
+/// The complete fleet is replaced 199 times. The balancer must drop the state of removed upstreams, and send
+/// requests to listed upstreams only.
 #[test]
 fn replaced_fleets_leave_no_state_behind() {
     let mut harness = Harness::new(settings(), &(1..=4).map(endpoint).collect::<Vec<_>>());
@@ -45,19 +45,19 @@
     assert!(entries <= 20, "{entries} state entries remain after 2,000 finished requests");
 }
 
-/// A period in which every attempt times out stops admission. The balancer must recover once upstreams answer
-/// again.
+/// When every attempt times out, the balancer stops admitting requests. It must admit them again once
+/// upstreams answer.
 #[test]
 fn admits_again_after_a_period_of_timeouts() {
     let mut settings = settings();
     settings.balancers = 500;
     settings.tenants = vec![Tenant { allowance_per_s: 1000.0 }];
     let mut harness = Harness::new(settings, &(1..=40).map(endpoint).collect::<Vec<_>>());
-    let mut run_phase = |outcome: Outcome, latency: u64, rounds: usize| {
+    let mut run_phase = |outcome: Outcome, latency_ms: u64, rounds: usize| {
         let (mut attempts, mut served) = (0, 0);
         for _ in 0..rounds {
             let id = harness.send_request(0, 0, ms(1000));
-            harness.advance(ms(latency));
+            harness.advance(ms(latency_ms));
             let mut k = 0;
             while harness.upstream_of(id, k).is_some() {
                 harness.end_attempt(id, k, outcome);
@@ -76,11 +76,11 @@
     assert!(served >= 40, "{served} of 50 requests were served after the recovery");
 }
 
-/// A tick evaluates only a part of a large fleet, which must not change decisions: at the same overload for
-/// each upstream, a large fleet rejects the same share of requests as a small one, and a new upstream gets no
-/// more than a few requests at once.
+/// A tick evaluates only part of a large fleet, which must not affect decisions. At the same overload per
+/// upstream, a large fleet must reject about the same share of its requests as a small one, and a new
+/// upstream must receive at most 3 of 200 requests.
 #[test]
-fn a_large_fleet_rejects_the_same_share_as_a_small_one() {
+fn a_large_fleet_rejects_the_same_share_of_requests_as_a_small_one() {
     let rejected_share = |n: u64, gap_us: u64| {
         let tenants = vec![Tenant { allowance_per_s: 0.1 * 1e6 / gap_us as f64 }];
         let fleet: Vec<_> = (1..=n).map(endpoint).collect();
@@ -89,7 +89,8 @@
         let mut due = Duration::ZERO;
         let count = Duration::from_secs(4).as_micros() as u64 / gap_us;
         for k in 0..count {
-            // Answers take 20 ms in the first half, and almost the latency objective of 400 ms in the second.
+            // Latency is 20 ms in the first half of the run. In the second half it is 390 ms, just below the
+            // latency objective of 400 ms.
             let id = harness.send_request(0, 0, ms(1000));
             if harness.upstream_of(id, 0).is_some() {
                 in_flight.push_back((harness.now + ms(if k > count / 2 { 390 } else { 20 }), id));
@@ -113,11 +114,11 @@
         assert!(received <= 3, "a new upstream among {n} received {received} of 200 requests");
         rejected as f64 / requests as f64
     };
-    // 400 and 3,200 upstreams with the same load for each upstream.
-    let (small, large) = (rejected_share(400, 400), rejected_share(3200, 50));
-    assert!(small > 0.02, "the small fleet is overloaded and rejects requests: {small}");
+    // 400 and 3,200 upstreams; the request rate per upstream is the same.
+    let (small_fleet_share, large_fleet_share) = (rejected_share(400, 400), rejected_share(3200, 50));
+    assert!(small_fleet_share > 0.02, "share of requests that the small fleet rejects: {small_fleet_share}");
     assert!(
-        (small - large).abs() < 0.1,
-        "the small fleet rejects {small} of its requests, the large one {large}"
+        (small_fleet_share - large_fleet_share).abs() < 0.1,
+        "share of rejected requests: small fleet {small_fleet_share}, large fleet {large_fleet_share}"
     );
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A harness that drives one balancer in emulated time and records its actions for each request.
+//! A harness that drives one balancer in emulated time and records the attempts and results of requests.
 #![allow(dead_code)]
 
 use maplehook_core::*;
@@ -25,7 +25,7 @@
     }
 }
 
-/// Returns settings with a class for each effect, and one class whose answers are streams.
+/// Returns settings with a class for each effect and deduplication group, and a class with streamed answers.
 pub fn settings_with_all_effects(
     hedging: bool,
     many_balancers: bool,
@@ -44,7 +44,7 @@
             class(150, 1500, deduplicated(DedupGroup::All, 60)),
             streamed,
         ],
-        tenants: [900.0, 2000.0, 0.0].map(|a| Tenant { allowance_per_s: a }).to_vec(),
+        tenants: [900.0, 2000.0, 0.0].map(|allowance| Tenant { allowance_per_s: allowance }).to_vec(),
         has_endpoint_discovery: many_balancers,
         can_hedge: hedging,
         can_cancel: cancelling,
@@ -56,7 +56,7 @@
     }
 }
 
-/// A balancer with an emulated clock, its pending timers, and the attempts and results it produced.
+/// A balancer with an emulated clock, its pending timers, and a record of its attempts and their results.
 pub struct Harness {
     pub balancer: Balancer,
     pub now: Duration,
@@ -86,8 +86,8 @@
         harness
     }
 
-    /// Passes one event to the balancer and records the resulting actions. `actions` holds the actions of
-    /// this event only.
+    /// Passes one event to the balancer and records the resulting actions. Afterwards, `actions` holds only
+    /// the actions that this event caused.
     pub fn handle(&mut self, event: Event<'_>) {
         self.actions.clear();
         self.balancer.handle(self.now, event, &mut self.actions);
@@ -138,7 +138,8 @@
         id
     }
 
-    /// Returns the upstream that an attempt was sent to.
+    /// Returns the upstream that the attempt with this index was sent to, or `None` if there is no such
+    /// attempt.
     pub fn upstream_of(&self, id: RequestId, attempt: usize) -> Option<UpstreamId> {
         self.attempts.get(&id).and_then(|s| s.get(attempt)).map(|s| s.1)
     }
@@ -160,8 +161,8 @@
         });
     }
 
-    /// Sends `count` requests, one every `gap`. `outcome_of` returns the outcome of an attempt at an
-    /// upstream; an attempt without one stays in flight.
+    /// Sends `count` requests, one every `gap`. `outcome_of` returns the outcome of attempts at an upstream,
+    /// or `None` if they stay in flight.
     pub fn run_traffic(
         &mut self,
         count: usize,
--- a/crates/core/tests/common/scenario.rs
+++ b/crates/core/tests/common/scenario.rs
@@ -1,18 +1,19 @@
-//! Random scenarios for many balancers: their settings, their traffic, and the upstreams that start.
+//! Random scenarios with many balancers: settings, traffic, and upstreams that start during the scenario.
 #![allow(dead_code)]
 
 use super::common::{class, ms};
 use maplehook_core::*;
 
-/// Time at which the starting upstreams start, in seconds.
+/// Seconds from the beginning of a scenario until some of its upstreams start.
 pub const START_TIME_S: f64 = 6.0;
-/// Highest request rate of a scenario; higher rates take longer to simulate and test nothing else.
+/// Highest request rate of all balancers together. Higher rates take longer to simulate and cover no further
+/// cases.
 const MAX_RATE_PER_S: f64 = 900.0;
-/// Lowest average request rate of one balancer.
+/// Lowest request rate of a balancer, averaged over all balancers.
 const MIN_BALANCER_RATE_PER_S: f64 = 0.2;
-/// Longest service time of a request that is served alone, in seconds.
+/// Longest time that an idle upstream takes to serve one request, in seconds.
 const MAX_SERVICE_TIME_S: f64 = 0.3;
-/// Number of values from 0 to 1 that determine a scenario.
+/// Number of parameters of a scenario, each from 0 to 1.
 pub const PARAMETER_COUNT: usize = 31;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +29,7 @@
 pub struct Outage {
     pub start_s: f64,
     pub duration_s: f64,
-    /// Outcome of all attempts; with `TimedOut`, attempts get no answer.
+    /// Outcome of every attempt during the outage; with `TimedOut`, attempts get no answer.
     pub outcome: Outcome,
 }
 
@@ -48,36 +49,36 @@
     pub balancers: usize,
     pub upstreams: usize,
     pub settings: Settings,
-    /// Requests a second that an upstream of size 1 serves at full capacity.
+    /// Requests per second that an upstream of size 1 serves at full capacity.
     pub capacity_per_s: f64,
-    /// Seconds that an upstream takes to serve one request.
+    /// Average time that an idle upstream takes to serve one request at full capacity, in seconds.
     pub service_time_s: f64,
-    /// True if requests take longer during slow start; otherwise the upstream only serves fewer at a time.
+    /// True if requests take longer during slow start; false if only fewer of them are served per second.
     pub has_longer_latency_in_slow_start: bool,
     /// Seconds of work that an upstream queues before it rejects requests.
     pub queue_limit_s: f64,
-    /// Requests a second over all balancers, outside the burst.
+    /// Requests per second to all balancers together, outside of the burst.
     pub rate_per_s: f64,
-    /// Start and length, in seconds, of a burst with one and a half times the rate.
+    /// Start and duration, in seconds, of a burst with 1.5 times the request rate.
     pub burst: (f64, f64),
-    /// Number of upstreams that start; they have the lowest indexes.
+    /// Number of upstreams that start at `START_TIME_S`; these have the lowest indexes.
     pub starting_count: usize,
     pub start_kind: StartKind,
     /// Seconds for which restarting upstreams are unreachable before they start.
     pub downtime_s: f64,
-    /// Class whose requests the starting upstreams never answer.
+    /// Index of a class whose requests the starting upstreams never answer.
     pub unanswered_class: Option<usize>,
-    /// Longest delay, in seconds, until a balancer is notified of the start.
-    pub max_delay_s: f64,
-    /// True if balancers are notified by a full list rather than by the changed endpoints.
+    /// Longest time from the start of the upstreams until a balancer is notified, in seconds.
+    pub max_notification_delay_s: f64,
+    /// True if the notification lists all endpoints; false if it lists only the changed ones.
     pub uses_full_updates: bool,
-    /// True if the list holds the start time of new upstreams.
+    /// True if endpoint updates include the start time of new upstreams, as they do for restarted ones.
     pub has_start_times: bool,
-    /// Share of the balancers that restart at the same time without learned state.
+    /// Share of the balancers that restart at `START_TIME_S` without learned state.
     pub restart_share: f64,
-    /// Share of the balancers that restart at the same time with the learned state of their predecessors.
+    /// Share of the balancers that restart at `START_TIME_S` with the learned state of their predecessors.
     pub handover_share: f64,
-    /// Outage of all upstreams; random scenarios have none.
+    /// Outage of all upstreams. Random scenarios have an outage of zero length, which tests may replace.
     pub outage: Outage,
     pub duration_s: f64,
     sizes: Vec<f64>,
@@ -110,20 +111,22 @@
 }
 
 impl Scenario {
-    /// Returns the scenario of a seed.
+    /// Creates a scenario whose parameters are drawn from a generator with this seed.
     pub fn from_seed(balancers: usize, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         Self::from_parameters(balancers, seed, &std::array::from_fn(|_| rng.f64()))
     }
 
-    /// Returns the scenario that the parameters `x`, each from 0 to 1, determine.
+    /// Creates a scenario from the parameters `x`, each from 0 to 1. `seed` determines the sizes of upstreams
+    /// and the traffic shares of balancers and tenants.
     pub fn from_parameters(balancers: usize, seed: u64, x: &[f64; PARAMETER_COUNT]) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let upstreams = interpolate_log(x[0], 3.0, 200.0) as usize;
         let load = interpolate(x[2], 0.2, 1.1);
         let sizes: Vec<f64> =
             (0..upstreams).map(|_| if x[3] < 0.5 { 1.0 } else { f64::from(1 << rng.u32(0..3)) }).collect();
-        // The rate is low enough for a fast simulation, and high enough for each balancer to get requests.
+        // The request rate is low enough for a fast simulation, and high enough for each balancer to receive
+        // requests.
         let cores = interpolate_log(x[1], 1.0, 16.0);
         let offered_load = load * sizes.iter().sum::<f64>();
         let capacity_per_s =
@@ -131,14 +134,14 @@
         let capacity_per_s = capacity_per_s.max(MIN_BALANCER_RATE_PER_S * balancers as f64 / offered_load);
         let service_time_s = (cores / capacity_per_s).min(f64::max(MAX_SERVICE_TIME_S, 1.0 / capacity_per_s));
         let rate_per_s = capacity_per_s * offered_load;
-        let classes = 1 + (x[4] * 3.0) as usize;
+        let class_count = 1 + (x[4] * 3.0) as usize;
         let effects = [
             Effect::Idempotent,
             Effect::AtMostOnce,
             Effect::Deduplicated { group: DedupGroup::All, ttl: ms(2000) },
         ];
         let max_objective_ms = interpolate(x[6], 3.0, 20.0) * service_time_s * 1e3;
-        let classes = (0..classes).map(|k| {
+        let classes = (0..class_count).map(|k| {
             let objective_ms = (max_objective_ms * (1.0 - 0.3 * k as f64)).max(60.0);
             class(
                 objective_ms as u64,
@@ -148,11 +151,12 @@
         });
         let classes: Vec<Class> = classes.collect();
         // The allowances and the traffic of tenants are drawn independently.
-        let tenants = if x[8] < 0.1 { 0 } else { 1 + (x[8] * 5.0) as usize };
+        let tenant_count = if x[8] < 0.1 { 0 } else { 1 + (x[8] * 5.0) as usize };
         let total_allowance_per_s = interpolate(x[9], 0.45, 1.1) * rate_per_s / load;
-        let tenant_weights: Vec<f64> = (0..tenants).map(|_| 0.1 + rng.f64()).collect();
-        let sum: f64 = tenant_weights.iter().sum();
-        let allowance = |weight: &f64| Tenant { allowance_per_s: total_allowance_per_s * weight / sum };
+        let tenant_weights: Vec<f64> = (0..tenant_count).map(|_| 0.1 + rng.f64()).collect();
+        let total_weight: f64 = tenant_weights.iter().sum();
+        let allowance =
+            |weight: &f64| Tenant { allowance_per_s: total_allowance_per_s * weight / total_weight };
         let starting_share = [0.0, 0.1, 0.3, 0.6][(x[10] * 3.999) as usize];
         let settings = Settings {
             balancers: balancers as u32,
@@ -186,10 +190,10 @@
             start_kind: if x[24] < 0.5 { StartKind::New } else { StartKind::Restarted },
             downtime_s: interpolate(x[25], 0.05, 1.5),
             unanswered_class: (x[26] > 0.8).then_some(0),
-            max_delay_s: interpolate(x[27], 0.0, 2.0),
+            max_notification_delay_s: interpolate(x[27], 0.0, 2.0),
             uses_full_updates: x[28] < 0.5,
-            // A balancer that starts without learned state recognizes new upstreams only by a listed start
-            // time.
+            // A balancer that starts without learned state recognizes new upstreams only by their start
+            // times.
             has_start_times: x[28] * 4.0 % 1.0 < 0.5 || x[29] >= 0.5,
             restart_share: if x[29] < 0.5 { 0.0 } else { interpolate(x[29], -0.5, 0.9) },
             handover_share: if x[30] < 0.5 { 0.0 } else { interpolate(x[30], -0.1, 0.1) },
@@ -199,7 +203,7 @@
             balancer_shares: cumulative_shares(
                 (0..balancers).map(|_| (skew * 2.0 * (rng.f64() - 0.5) * 2.0).exp()),
             ),
-            tenant_shares: cumulative_shares((0..tenants.max(1)).map(|_| 0.1 + rng.f64())),
+            tenant_shares: cumulative_shares((0..tenant_count.max(1)).map(|_| 0.1 + rng.f64())),
             settings,
             sizes,
         }
@@ -213,20 +217,20 @@
         self.sizes[j]
     }
 
-    pub fn id(&self, j: usize) -> UpstreamId {
+    pub fn upstream_id(&self, j: usize) -> UpstreamId {
         UpstreamId((j as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15))
     }
 
     pub fn index_of(&self, id: UpstreamId) -> usize {
-        (0..self.upstreams).find(|j| self.id(*j) == id).expect("the upstream is listed")
+        (0..self.upstreams).find(|j| self.upstream_id(*j) == id).expect("the upstream is listed")
     }
 
-    pub fn endpoint(&self, j: usize, knows_start: bool) -> Endpoint {
-        let is_starting = knows_start && j < self.starting_count;
+    pub fn endpoint(&self, j: usize, is_after_start: bool) -> Endpoint {
+        let is_starting = is_after_start && j < self.starting_count;
         let started = (is_starting && (self.has_start_times || self.start_kind == StartKind::Restarted))
             .then(|| std::time::Duration::from_secs_f64(START_TIME_S));
         Endpoint {
-            id: self.id(j),
+            id: self.upstream_id(j),
             zone: ZoneId((j % self.zones) as u8),
             kind: KindId(0),
             cell: CellId(0),
@@ -249,29 +253,30 @@
         self.tenant_shares.partition_point(|s| *s < x).min(self.tenant_shares.len() - 1)
     }
 
-    /// Returns the share of its full capacity that an upstream has `age` seconds after its start.
-    pub fn capacity_share(&self, age: f64) -> f64 {
+    /// Returns the fraction of its full capacity that an upstream has `age_s` seconds after its start.
+    pub fn capacity_share(&self, age_s: f64) -> f64 {
         let min_share = self.settings.slow_start_min_share;
-        min_share + (1.0 - min_share) * (age / self.settings.slow_start_window.as_secs_f64()).clamp(0.0, 1.0)
+        min_share
+            + (1.0 - min_share) * (age_s / self.settings.slow_start_window.as_secs_f64()).clamp(0.0, 1.0)
     }
 
-    /// Returns the requests that an upstream would receive during slow start if traffic were proportional to
-    /// capacity.
+    /// Returns the number of requests that upstream `j` would receive during slow start if its share of the
+    /// traffic equalled its share of the capacity.
     pub fn fair_request_count(&self, j: usize) -> f64 {
         let slow_start_s = self.settings.slow_start_window.as_secs_f64().min(self.duration_s - START_TIME_S);
         let requests_per_s = self.rate_per_s * self.upstream_size(j) / self.sizes.iter().sum::<f64>();
         requests_per_s * slow_start_s * 0.5 * (self.capacity_share(0.0) + self.capacity_share(slow_start_s))
     }
 
-    /// Returns the number of requests that overload an upstream in a window that begins `age` seconds after its
-    /// start.
-    pub fn overload_bound(&self, j: usize, age: f64) -> f64 {
+    /// Returns the highest number of requests that upstream `j` may receive in an overload window that begins
+    /// `age_s` seconds after its start.
+    pub fn overload_bound(&self, j: usize, age_s: f64) -> f64 {
         let (window_s, slow_start_s) =
             (self.settings.overload_window.as_secs_f64(), self.settings.slow_start_window.as_secs_f64());
-        // The mean of the capacity share, which rises linearly until slow start ends and is constant
-        // afterwards.
-        let rise_s = (slow_start_s - age).clamp(0.0, window_s);
-        let mean_share = (rise_s * 0.5 * (self.capacity_share(age) + self.capacity_share(age + rise_s))
+        // Mean capacity share over the window. The share rises linearly until slow start ends, and is
+        // constant afterwards.
+        let rise_s = (slow_start_s - age_s).clamp(0.0, window_s);
+        let mean_share = (rise_s * 0.5 * (self.capacity_share(age_s) + self.capacity_share(age_s + rise_s))
             + (window_s - rise_s))
             / window_s;
         let requests = self.settings.overload_multiple
--- a/crates/core/tests/common/simulation.rs
+++ b/crates/core/tests/common/simulation.rs
@@ -6,22 +6,23 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Seconds until a balancer receives a rejection, a connection failure or the end of a cancelled attempt.
-const NOTIFICATION_DELAY_S: f64 = 0.001;
-/// Requests received without progress after which a balancer counts as stalled.
-/// Seconds without progress after which a balancer counts as stalled.
+/// Seconds until a balancer is notified of a rejection, a failed connection or a cancelled attempt.
+const FAILURE_DELAY_S: f64 = 0.001;
+/// Fewest requests without progress that count as a stall, if they span `MIN_STALL_S`.
 const MIN_STALL_REQUESTS: u32 = 15;
+/// Shortest time without progress that counts as a stall, in seconds.
 const MIN_STALL_S: f64 = 4.0;
 
-enum Scheduled {
+enum SimEvent {
     Arrival,
-    /// The upstreams that are going to restart stop.
+    /// The upstreams that restart in this scenario go down.
     Stop,
-    /// The upstreams of the scenario start.
+    /// The starting upstreams become ready.
     Start,
-    /// A balancer is notified of the start.
+    /// The balancer with this index is notified that upstreams have started.
     StartNotification(usize),
     Timer(usize, TimerId),
+    /// Index of the balancer, request, index of the attempt, and outcome.
     AttemptEnd(usize, RequestId, usize, Outcome),
 }
 
@@ -30,24 +31,24 @@
     deadline: f64,
     class: usize,
     is_answered: bool,
-    attempts: Vec<(usize, f64, bool)>, // upstream, time of the attempt, whether the attempt has ended
+    attempts: Vec<(usize, f64, bool)>, // upstream index, send time, has ended
 }
 
-/// Counts the requests that a balancer has received since its last progress.
+/// Counts the requests of a balancer since its last progress: an attempt, or a served request.
 #[derive(Default)]
 struct StallDetector {
     requests: u32,
-    since: f64,
+    counting_since: f64,
 }
 
 impl StallDetector {
-    /// Counts a request. Returns true, and restarts the count, if the balancer has stalled since `from`.
-    fn record_request(&mut self, now: f64, from: f64) -> bool {
-        if self.requests == 0 || self.since < from {
-            (self.requests, self.since) = (0, now);
+    /// Counts a request received after `count_from`. Returns true and restarts the count in case of a stall.
+    fn record_request(&mut self, now: f64, count_from: f64) -> bool {
+        if self.requests == 0 || self.counting_since < count_from {
+            (self.requests, self.counting_since) = (0, now);
         }
         self.requests += 1;
-        let is_stalled = self.requests >= MIN_STALL_REQUESTS && now - self.since >= MIN_STALL_S;
+        let is_stalled = self.requests >= MIN_STALL_REQUESTS && now - self.counting_since >= MIN_STALL_S;
         if is_stalled {
             self.requests = 0;
         }
@@ -55,7 +56,7 @@
     }
 }
 
-/// A balancer with its requests in flight.
+/// A balancer, its requests in flight, and the number of its restarts (`generation`).
 struct SimulatedBalancer {
     balancer: Balancer,
     generation: u32,
@@ -65,25 +66,25 @@
     service_stall: StallDetector,
 }
 
-/// An upstream, which serves requests one after another.
+/// An upstream that serves the requests of its queue in order.
 struct SimulatedUpstream {
-    free_at: f64,
-    utilization: f64, // share of time in use, decaying exponentially
-    utilization_at: f64,
+    free_at: f64,        // time at which the queue is empty
+    utilization: f64,    // exponential average with a time constant of 1 s
+    utilization_at: f64, // time of the last update of `utilization`
 }
 
-/// Attempts at starting upstreams, and stalls of balancers, in one simulation.
+/// Results of one simulation: attempts at starting upstreams, and stalls of balancers.
 #[derive(Default)]
 pub struct Measurements {
-    /// Times, in order, of attempts at each starting upstream by balancers that were notified of the start.
+    /// For each starting upstream, the times of attempts by balancers that were notified of the start.
     pub notified_attempts: Vec<Vec<f64>>,
-    /// Attempts at starting upstreams by balancers that were not yet notified.
+    /// Number of attempts at starting upstreams by balancers that were not yet notified.
     pub unnotified_attempts: usize,
-    /// Requests received and requests served since the start of the upstreams.
-    pub requests: usize,
-    pub served: usize,
-    /// Stalls without any attempt, and stalls without any served request, outside of outages.
+    pub requests_after_start: usize,
+    pub served_after_start: usize,
+    /// Number of stalls without an attempt, after the start and after the outage.
     pub attempt_stalls: usize,
+    /// Number of stalls without a served request, after the start and after the outage.
     pub service_stalls: usize,
 }
 
@@ -91,7 +92,7 @@
     scenario: &'a Scenario,
     now: f64,
     next_id: u64,
-    events: BTreeMap<(u64, u64), (u32, Scheduled)>,
+    events: BTreeMap<(u64, u64), (u32, SimEvent)>,
     balancers: Vec<SimulatedBalancer>,
     upstreams: Vec<SimulatedUpstream>,
     rng: fastrand::Rng,
@@ -99,7 +100,6 @@
     actions: Vec<Action>,
 }
 
-/// Simulates a scenario.
 pub fn simulate(scenario: &Scenario) -> Measurements {
     let mut simulation = Simulation::new(scenario);
     simulation.run();
@@ -138,11 +138,11 @@
             let known = simulation.known_endpoints(index);
             simulation.handle(index, Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &known });
         }
-        simulation.schedule(0.0, 0, Scheduled::Arrival);
+        simulation.schedule(0.0, 0, SimEvent::Arrival);
         if scenario.start_kind == StartKind::Restarted {
-            simulation.schedule(START_TIME_S - scenario.downtime_s, 0, Scheduled::Stop);
+            simulation.schedule(START_TIME_S - scenario.downtime_s, 0, SimEvent::Stop);
         }
-        simulation.schedule(START_TIME_S, 0, Scheduled::Start);
+        simulation.schedule(START_TIME_S, 0, SimEvent::Start);
         simulation
     }
 
@@ -151,7 +151,7 @@
         Balancer::new(settings, self.rng.u64(..)).expect("the settings are valid")
     }
 
-    fn schedule(&mut self, when: f64, generation: u32, event: Scheduled) {
+    fn schedule(&mut self, when: f64, generation: u32, event: SimEvent) {
         self.next_id += 1;
         self.events.insert(((when.max(self.now) * 1e9) as u64, self.next_id), (generation, event));
     }
@@ -163,14 +163,14 @@
                 return;
             }
             match event {
-                Scheduled::Arrival => self.receive_request(),
-                Scheduled::Stop => self.stop_upstreams(),
-                Scheduled::Start => self.start_upstreams(),
-                Scheduled::StartNotification(b) => self.notify_balancer(b, generation),
-                Scheduled::Timer(b, timer) if self.balancers[b].generation == generation => {
+                SimEvent::Arrival => self.receive_request(),
+                SimEvent::Stop => self.stop_upstreams(),
+                SimEvent::Start => self.start_upstreams(),
+                SimEvent::StartNotification(b) => self.notify_balancer(b, generation),
+                SimEvent::Timer(b, timer) if self.balancers[b].generation == generation => {
                     self.handle(b, Event::Timer { timer });
                 }
-                Scheduled::AttemptEnd(b, id, k, outcome) if self.balancers[b].generation == generation => {
+                SimEvent::AttemptEnd(b, id, k, outcome) if self.balancers[b].generation == generation => {
                     self.end_attempt(b, id, k, outcome);
                 }
                 _ => {}
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Returns the endpoints that a balancer knows at this time.
+    /// Returns the endpoints that a balancer currently knows.
     fn known_endpoints(&self, index: usize) -> Vec<Endpoint> {
         let is_notified = self.balancers[index].is_notified;
         let known = |j: &usize| {
@@ -192,7 +192,7 @@
     fn receive_request(&mut self) {
         let rate_per_s = self.scenario.rate_at(self.now);
         let gap = -self.rng.f64().max(1e-12).ln() / rate_per_s;
-        self.schedule(self.now + gap, 0, Scheduled::Arrival);
+        self.schedule(self.now + gap, 0, SimEvent::Arrival);
         let b = self.scenario.pick_balancer(self.rng.f64());
         let tenant = self.scenario.pick_tenant(self.rng.f64());
         let class = self.rng.usize(..self.scenario.settings.classes.len());
@@ -210,7 +210,7 @@
         let from = START_TIME_S.max(self.scenario.outage.end_s());
         self.measurements.attempt_stalls += usize::from(state.attempt_stall.record_request(self.now, from));
         self.measurements.service_stalls += usize::from(state.service_stall.record_request(self.now, from));
-        self.measurements.requests += usize::from(self.now >= START_TIME_S);
+        self.measurements.requests_after_start += usize::from(self.now >= START_TIME_S);
         let (class, tenant) = (ClassId(class as u16), TenantId(tenant as u32));
         self.handle(b, Event::Request { id, class, tenant, time_left, work_ms: None, is_repeat: false });
     }
@@ -231,13 +231,13 @@
                 self.schedule(
                     self.now,
                     self.balancers[b].generation,
-                    Scheduled::AttemptEnd(b, id, k, Outcome::Reset),
+                    SimEvent::AttemptEnd(b, id, k, Outcome::Reset),
                 );
             }
         }
     }
 
-    /// Starts the upstreams. Some balancers restart too, without state or with that of their predecessor.
+    /// Starts the upstreams, and restarts some balancers with or without the state of their predecessors.
     fn start_upstreams(&mut self) {
         self.upstreams[..self.scenario.starting_count].iter_mut().for_each(|s| s.free_at = self.now);
         for b in 0..self.balancers.len() {
@@ -245,7 +245,7 @@
             if draw < self.scenario.restart_share + self.scenario.handover_share {
                 let learned_state =
                     (draw >= self.scenario.restart_share).then(|| self.balancers[b].balancer.learned_state());
-                let previous = self.known_endpoints(b);
+                let previous_endpoints = self.known_endpoints(b);
                 let balancer = self.new_balancer(b);
                 let state = &mut self.balancers[b];
                 state.balancer = balancer;
@@ -254,7 +254,7 @@
                 if let Some(learned_state) = &learned_state {
                     self.handle(
                         b,
-                        Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &previous },
+                        Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &previous_endpoints },
                     );
                     self.handle(b, Event::LearnedStateRestored { learned: learned_state });
                 } else {
@@ -264,8 +264,8 @@
                 }
             }
             let (generation, delay_s) =
-                (self.balancers[b].generation, self.scenario.max_delay_s * self.rng.f64());
-            self.schedule(self.now + delay_s, generation, Scheduled::StartNotification(b));
+                (self.balancers[b].generation, self.scenario.max_notification_delay_s * self.rng.f64());
+            self.schedule(self.now + delay_s, generation, SimEvent::StartNotification(b));
         }
     }
 
@@ -290,12 +290,12 @@
         for action in actions.drain(..) {
             match action {
                 Action::Timer { after, timer } => {
-                    self.schedule(self.now + after.as_secs_f64(), generation, Scheduled::Timer(b, timer));
+                    self.schedule(self.now + after.as_secs_f64(), generation, SimEvent::Timer(b, timer));
                 }
                 Action::Attempt { id, upstream, timeout } => self.record_attempt(b, id, upstream, timeout),
                 Action::Cancel { id, attempt } => {
-                    let ended = Scheduled::AttemptEnd(b, id, usize::from(attempt.0), Outcome::Cancelled);
-                    self.schedule(self.now + NOTIFICATION_DELAY_S, generation, ended);
+                    let ended = SimEvent::AttemptEnd(b, id, usize::from(attempt.0), Outcome::Cancelled);
+                    self.schedule(self.now + FAILURE_DELAY_S, generation, ended);
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
                     if let Some(request) = self.balancers[b].requests.get_mut(&id) {
@@ -328,16 +328,16 @@
         }
         let (when, outcome) = self.serve(j, class, is_starting);
         let (when, outcome) = if when > end { (end, Outcome::TimedOut) } else { (when, outcome) };
-        self.schedule(when, generation, Scheduled::AttemptEnd(b, id, k, outcome));
+        self.schedule(when, generation, SimEvent::AttemptEnd(b, id, k, outcome));
     }
 
-    /// Returns the time and the outcome of an attempt at an upstream.
+    /// Returns the end time and the outcome of an attempt at upstream `j`.
     fn serve(&mut self, j: usize, class: usize, is_starting: bool) -> (f64, Outcome) {
         let scenario = self.scenario;
         let is_down = scenario.start_kind == StartKind::Restarted
             && (START_TIME_S - scenario.downtime_s..START_TIME_S).contains(&self.now);
         if is_starting && is_down {
-            return (self.now + NOTIFICATION_DELAY_S, Outcome::ConnectFailed);
+            return (self.now + FAILURE_DELAY_S, Outcome::ConnectFailed);
         }
         if is_starting && self.now >= START_TIME_S && scenario.unanswered_class == Some(class) {
             return (f64::INFINITY, Outcome::TimedOut);
@@ -345,7 +345,7 @@
         if scenario.outage.is_active(self.now) {
             return match scenario.outage.outcome {
                 Outcome::TimedOut => (f64::INFINITY, Outcome::TimedOut),
-                outcome => (self.now + NOTIFICATION_DELAY_S, outcome),
+                outcome => (self.now + FAILURE_DELAY_S, outcome),
             };
         }
         let capacity_share = if is_starting { scenario.capacity_share(self.now - START_TIME_S) } else { 1.0 };
@@ -354,7 +354,7 @@
         upstream.utilization *= (upstream.utilization_at - self.now).exp();
         upstream.utilization_at = self.now;
         if upstream.free_at - self.now > scenario.queue_limit_s {
-            return (self.now + NOTIFICATION_DELAY_S, Outcome::Rejected);
+            return (self.now + FAILURE_DELAY_S, Outcome::Rejected);
         }
         upstream.utilization += 1.0 / rate_per_s;
         upstream.free_at = upstream.free_at.max(self.now) + 1.0 / rate_per_s;
@@ -373,7 +373,7 @@
         if outcome == Outcome::Ok {
             state.service_stall.requests = 0;
         }
-        self.measurements.served += usize::from(served && self.now >= START_TIME_S);
+        self.measurements.served_after_start += usize::from(served && self.now >= START_TIME_S);
         let report = [self.upstreams[j].utilization.min(1.0) as f32];
         let report =
             if outcome == Outcome::Ok { &report[..self.scenario.settings.report_fields.len()] } else { &[] };
@@ -381,7 +381,7 @@
         let ended = Event::AttemptEnded {
             id,
             attempt: AttemptNo(k as u8),
-            upstream: self.scenario.id(j),
+            upstream: self.scenario.upstream_id(j),
             outcome,
             latency: Duration::from_secs_f64(self.now - sent_at),
             is_finished: finished,
--- a/crates/core/tests/decision_digests.rs
+++ b/crates/core/tests/decision_digests.rs
@@ -1,5 +1,5 @@
-//! Without a traffic split, the decisions must stay as they were before splits existed. Digests of all
-//! actions in long random runs are compared with recorded ones.
+//! Guards against changed decisions in balancers without a traffic split. Digests of all actions in long
+//! random runs are compared with digests that were recorded before traffic splits existed.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// A fixed sequence of random numbers, independent of the generator in the crate.
+/// Generator of a fixed random sequence, independent of the generator in the crate.
 struct SplitMix64(u64);
 
 impl SplitMix64 {
@@ -25,8 +25,8 @@
     }
 }
 
-/// Returns the text of an action that enters the digest. The digests were recorded when three actions had
-/// other names.
+/// Returns the text of an action for the digest. Three actions have been renamed since the digests were
+/// recorded; their text uses the old names.
 fn recorded_text(action: &Action) -> String {
     let text = format!("{action:?}");
     match action {
@@ -42,8 +42,7 @@
     AttemptEnded(RequestId, AttemptNo, UpstreamId, Outcome),
 }
 
-/// Drives one balancer with slow, failing and changing upstreams, and computes a digest and the number of its
-/// actions.
+/// One balancer with slow, failing and changing upstreams, and a digest and the number of its actions.
 struct Simulation {
     balancer: Balancer,
     rng: SplitMix64,
@@ -51,10 +50,11 @@
     pending: BTreeMap<(Duration, u64), PendingEvent>,
     /// Number of attempts of each request, and whether it has been answered.
     requests: BTreeMap<RequestId, (u8, bool)>,
+    /// Key in `pending`, send time and upstream of each attempt in flight.
     in_flight: BTreeMap<(RequestId, u8), (u64, Duration, UpstreamId)>,
     next_key: u64,
     digest: u64,
-    actions: u64,
+    action_count: u64,
 }
 
 impl Simulation {
@@ -64,7 +64,7 @@
         let mut text = String::new();
         for action in actions {
             write!(text, "{:?}{}", self.now, recorded_text(&action)).unwrap();
-            self.actions += 1;
+            self.action_count += 1;
             match action {
                 Action::Timer { after, timer } => {
                     self.schedule(after, PendingEvent::Timer(timer));
@@ -103,8 +103,8 @@
         let request = self.requests.entry(id).or_default();
         let attempt_number = AttemptNo(request.0);
         request.0 += 1;
-        // Upstream 3 hangs, 5 is slow, 7 fails and recovers, 9 rejects requests; the others answer after 5 to
-        // 45 ms.
+        // Upstream 3 hangs at times, 5 is slow, 7 is unreachable at times, and 9 rejects 40 % of its
+        // attempts. The other upstreams answer most attempts after 5 to 44 ms.
         let now_s = self.now.as_secs();
         let latency_ms = 5 + self.rng.next_below(40);
         let (latency_ms, outcome) = match (upstream.0, self.rng.next_below(100)) {
@@ -170,8 +170,8 @@
     (0..upstreams).map(entry).collect()
 }
 
-/// Sends requests, on average one every `gap_us`, to a fleet of some upstreams in some zones. Returns the
-/// digest and the number of actions.
+/// Sends `requests` requests, on average one every `gap_us`, and updates endpoints, settings and learned
+/// state meanwhile. Returns the digest and the number of actions.
 fn run_and_digest(settings: Settings, upstreams: u64, zones: u64, requests: u32, gap_us: u64) -> (u64, u64) {
     let mut simulation = Simulation {
         balancer: Balancer::new(settings.clone(), 42).expect("the settings are valid"),
@@ -182,7 +182,7 @@
         in_flight: BTreeMap::new(),
         next_key: 0,
         digest: 0xcbf2_9ce4_8422_2325,
-        actions: 0,
+        action_count: 0,
     };
     let mut list = fleet(upstreams, zones);
     simulation.handle(Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &list });
@@ -224,7 +224,7 @@
             simulation.handle(Event::LearnedStateRestored { learned: &learned_state });
         }
     }
-    (simulation.digest, simulation.actions)
+    (simulation.digest, simulation.action_count)
 }
 
 fn settings() -> Settings {
--- a/crates/core/tests/deduplication.rs
+++ b/crates/core/tests/deduplication.rs
@@ -1,5 +1,5 @@
-//! Repeats of a request with an idempotency key stay within the group that remembers the key, and within the
-//! time for which the group remembers it.
+//! Repeats of a request with an idempotency key: they go only to upstreams that share the key, and only while
+//! these upstreams remember the key.
 
 mod common;
 
@@ -36,28 +36,26 @@
     harness
 }
 
-/// Returns the number of attempts of a request.
 fn attempt_count(harness: &Harness, id: RequestId) -> usize {
     harness.attempts[&id].len()
 }
 
-/// A repeat that arrives after the deduplication window takes effect twice. A window no longer than the time
-/// to connect and transmit allows no repeat, even if the first attempt fails at once.
+/// A request that is repeated after its deduplication window may take effect twice. If the window is no
+/// longer than the time to connect and transmit, no repeat is sent, even if the first attempt fails at once.
 #[test]
-fn no_repeat_if_the_window_is_shorter_than_the_transmission() {
+fn no_repeat_if_the_window_is_too_short_to_connect_and_transmit() {
     for ttl in [Duration::ZERO, ms(1), CONNECT_TIMEOUT, CONNECT_TIMEOUT + TRANSMISSION_TIME] {
         let mut harness = new_harness(DedupGroup::All, ttl);
         let id = harness.send_request(0, 0, ms(2000));
         harness.end_attempt(id, 0, Outcome::Reset);
-        assert_eq!(attempt_count(&harness, id), 1, "window of {ttl:?}");
+        assert_eq!(attempt_count(&harness, id), 1, "no repeat is sent with a window of {ttl:?}");
         assert_eq!(harness.results[&id], "failed");
     }
 }
 
-/// At the end of the window, a repeat is sent only if its connection and transmission fit into the rest of
-/// the window.
+/// A repeat is sent only if connecting and transmitting it fit into the rest of the deduplication window.
 #[test]
-fn repeats_only_if_the_transmission_fits_into_the_window() {
+fn repeats_only_if_the_repeat_arrives_within_the_window() {
     let ttl = ms(600);
     for (after, is_repeated) in [
         (ms(1), true),
@@ -68,12 +66,16 @@
         let id = harness.send_request(0, 0, ms(2000));
         harness.advance(after);
         harness.end_attempt(id, 0, Outcome::Reset);
-        assert_eq!(attempt_count(&harness, id) == 2, is_repeated, "the first attempt ended after {after:?}");
+        assert_eq!(
+            attempt_count(&harness, id) == 2,
+            is_repeated,
+            "whether a repeat follows a first attempt of {after:?}"
+        );
     }
 }
 
-/// The window starts with the earliest attempt that may have run: not with the latest, and not with one that
-/// never ran.
+/// An attempt that never ran, such as a failed connection, must not start the window, and a later attempt
+/// must not restart it.
 #[test]
 fn the_window_starts_with_the_earliest_attempt_that_may_have_run() {
     let ttl = ms(600);
@@ -102,34 +104,36 @@
         ..ProptestConfig::default()
     })]
 
-    /// Checks the group and the window for random windows, groups and outcomes of attempts.
+    /// Repeats obey the group and the window for random groups, windows and outcomes of attempts.
     #[test]
     fn repeats_stay_within_their_group_and_window(
         group in prop::sample::select(vec![DedupGroup::All, DedupGroup::Zone, DedupGroup::Cell]),
         ttl in 0_u64..1500,
-        endings in prop::collection::vec((0_u64..400, 0_usize..4), 1..6),
+        attempt_ends in prop::collection::vec((0_u64..400, 0_usize..4), 1..6),
     ) {
         let ttl = ms(ttl);
         let mut harness = new_harness(group, ttl);
         let id = harness.send_request(0, 0, ms(2000));
         let mut may_have_run: Vec<(Duration, UpstreamId)> = Vec::new();
-        for (k, (after, outcome)) in endings.into_iter().enumerate() {
+        for (k, (after, outcome)) in attempt_ends.into_iter().enumerate() {
             let Some((sent_at, upstream)) = harness.attempts[&id].get(k).copied() else { break };
-            for (first_sent_at, first) in &may_have_run {
-                prop_assert!(sent_at + CONNECT_TIMEOUT + TRANSMISSION_TIME < *first_sent_at + ttl);
-                let (same_zone, same_cell) = (first.0 % 2 == upstream.0 % 2, first.0 % 3 == upstream.0 % 3);
+            for (earlier_sent_at, earlier) in &may_have_run {
+                prop_assert!(sent_at + CONNECT_TIMEOUT + TRANSMISSION_TIME < *earlier_sent_at + ttl);
+                let (same_zone, same_cell) =
+                    (earlier.0 % 2 == upstream.0 % 2, earlier.0 % 3 == upstream.0 % 3);
                 let is_same_group = match group {
                     DedupGroup::All => true,
                     DedupGroup::Zone => same_zone,
                     DedupGroup::Cell => same_cell,
                 };
-                prop_assert!(is_same_group, "{first:?} and {upstream:?} do not share their keys");
+                prop_assert!(is_same_group, "{earlier:?} and {upstream:?} share no idempotency keys");
             }
             harness.advance(ms(after));
             if harness.results.contains_key(&id) {
                 break;
             }
-            let outcome = [Outcome::Reset, Outcome::Error, Outcome::ConnectFailed, Outcome::Rejected][outcome];
+            let outcome =
+                [Outcome::Reset, Outcome::Error, Outcome::ConnectFailed, Outcome::Rejected][outcome];
             if !outcome.never_ran() {
                 may_have_run.push((sent_at, upstream));
             }
--- a/crates/core/tests/discovery_calls.rs
+++ b/crates/core/tests/discovery_calls.rs
@@ -1,5 +1,5 @@
-//! Timing of discovery calls. Calls have to be early enough even if the discovery service hangs, rejects
-//! calls or goes silent, and spread out enough for a single service.
+//! Timing of calls to the discovery service. Calls must be early enough even if the service hangs, rejects
+//! calls or goes silent, and spread out enough not to overload a single service.
 
 mod common;
 use common::*;
@@ -12,25 +12,26 @@
 
 /// Step of the simulated clock.
 const STEP: Duration = Duration::from_millis(5);
-/// Longest delay of a call after it is due: one tick of the balancer and one step of the clock.
+/// Longest time from when a call is due until it is made: one tick of the balancer and one step of the clock.
 const MAX_CALL_DELAY: Duration = Duration::from_millis(30);
-/// Share of the poll interval within which each answer arrives; a call may be repeated after that.
-const ANSWERED_SHARE: f64 = 0.7;
+/// Longest delay of an answer, as a fraction of the poll interval. Balancers may repeat a call after this
+/// delay.
+const MAX_ANSWER_DELAY_FRACTION: f64 = 0.7;
 
-/// Behavior of the discovery service for some time.
+/// Behavior of the simulated discovery service.
 #[derive(Clone, Copy, Debug)]
 enum Service {
-    /// Answers each call after this time.
+    /// Answers each call after this delay.
     Up(Duration),
-    /// Rejects the first call, then answers each call after this time.
+    /// Rejects the first call, then answers each call after this delay.
     RejectsOnce(Duration),
     /// Rejects each call at once and ends open watches.
     Rejects,
     /// Answers neither new nor pending calls, and sends nothing on open watches.
     Hangs,
-    /// Ends open watches, and answers new calls after this time.
+    /// Ends open watches, and answers new calls after this delay.
     EndsWatches(Duration),
-    /// Sends nothing more on open watches, and answers new calls after this time.
+    /// Sends nothing on open watches, and answers new calls after this delay.
     SilencesWatches(Duration),
 }
 
@@ -43,15 +44,15 @@
     }
 }
 
-/// State of the current call, or of the watch that it has opened.
+/// State of the last discovery call, or of the watch that this call has opened.
 #[derive(Clone, Copy, Debug)]
 enum Call {
     None,
-    /// Time of the call, and time of its answer if it gets one.
+    /// Time of the call, and time of its answer, or `None` if the service does not answer.
     Pending(Duration, Option<Duration>),
-    /// The watch is open and works.
+    /// The watch is open and delivers updates.
     Watch,
-    /// The watch is silent; the balancer detects it at this time.
+    /// The watch is open but silent. The balancer detects the silence at this time.
     SilentWatch(Duration),
 }
 
@@ -60,7 +61,7 @@
     call: Call,
     poll_interval: Duration,
     call_count: usize,
-    /// Time since which the service is reachable but no watch works.
+    /// Time since which the service has been reachable without a working watch.
     no_watch_since: Option<Duration>,
     max_time_without_watch: Duration,
 }
@@ -87,8 +88,8 @@
         self.harness.handle(Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] });
     }
 
-    /// Switches to another behavior of the service.
-    fn switch_service(&mut self, service: Service) {
+    /// Changes the behavior of the service and updates the pending call or the open watch accordingly.
+    fn change_service(&mut self, service: Service) {
         let now = self.harness.now;
         match (service, self.call) {
             (Service::Rejects | Service::EndsWatches(_), Call::Watch) => {
@@ -110,10 +111,11 @@
         }
     }
 
-    /// Simulates a behavior of the service for `span`.
+    /// Runs the simulation for `span` while the service shows one behavior.
     fn run_service(&mut self, service: Service, span: Duration) {
-        self.switch_service(service);
-        // A recovery includes at most one failed call: a call that still hangs, or else a rejected one.
+        self.change_service(service);
+        // During a recovery at most one call fails: the service rejects none if a call or a watch still
+        // hangs.
         let is_call_hanging = matches!(self.call, Call::Pending(..) | Call::SilentWatch(_));
         let mut rejects_next_call = matches!(service, Service::RejectsOnce(_)) && !is_call_hanging;
         let end = self.harness.now + span;
@@ -123,13 +125,14 @@
             if self.harness.discovery_calls.len() > self.call_count {
                 match self.call {
                     Call::None => {}
-                    // The balancer gives up the pending call.
+                    // The balancer may abandon a pending call only after about one call interval.
                     Call::Pending(t, _) => assert!(now - t >= call_interval(self.poll_interval).mul_f64(0.9)),
-                    _ => panic!("a call while a watch is open: {:?}", self.call),
+                    _ => panic!("called while a watch is open: {:?}", self.call),
                 }
                 self.call_count = self.harness.discovery_calls.len();
-                let answer_delay =
-                    service.answer_delay().map(|d| d.min(self.poll_interval.mul_f64(ANSWERED_SHARE)));
+                let answer_delay = service
+                    .answer_delay()
+                    .map(|d| d.min(self.poll_interval.mul_f64(MAX_ANSWER_DELAY_FRACTION)));
                 self.call = Call::Pending(now, answer_delay.map(|d| now + d));
                 if matches!(service, Service::Rejects) || std::mem::take(&mut rejects_next_call) {
                     self.fail_call();
@@ -149,7 +152,7 @@
             if let Call::Pending(called_at, _) = self.call {
                 assert!(
                     now - called_at < self.poll_interval.max(2 * MAX_CALL_DELAY),
-                    "the cached list is older than the poll interval"
+                    "a call is pending for longer than the poll interval, so the cached list is too old"
                 );
             }
             let time_without_watch = self.no_watch_since.map_or(Duration::ZERO, |since| now - since);
@@ -170,7 +173,7 @@
 
 fn any_service() -> impl Strategy<Value = (Service, Duration)> {
     let answer_delay = (0u64..=2500).prop_map(ms);
-    let kind = prop_oneof![
+    let service = prop_oneof![
         answer_delay.clone().prop_map(Service::Up),
         answer_delay.clone().prop_map(Service::RejectsOnce),
         Just(Service::Rejects),
@@ -178,17 +181,17 @@
         answer_delay.clone().prop_map(Service::EndsWatches),
         answer_delay.prop_map(Service::SilencesWatches),
     ];
-    (kind, (0u64..12_000).prop_map(ms))
+    (service, (0u64..12_000).prop_map(ms))
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(39), ..ProptestConfig::default() })]
 
     /// A change counts as known to all balancers after `PROPAGATION_LIMIT`. Once the service is reachable, a
-    /// balancer must therefore get a working watch within this limit minus the reserve, after any sequence of
-    /// rejected calls, hanging calls, silent watches and slow answers, and for any poll interval.
+    /// balancer must therefore open a working watch within this limit minus a reserve. This must hold for any
+    /// poll interval, and after rejected calls, hanging calls, silent watches and slow answers in any order.
     #[test]
-    fn gets_a_working_watch_in_time_after_any_failures(
+    fn opens_a_working_watch_within_the_propagation_limit_after_any_failures(
         services in prop::collection::vec(any_service(), 1..12),
         poll_interval in 100u64..120_000,
         seed in any::<u64>(),
@@ -198,50 +201,53 @@
             simulation.run_service(*service, *span);
         }
         simulation.run_service(Service::Up(ms(2500)), PROPAGATION_LIMIT + ms(500));
-        prop_assert!(matches!(simulation.call, Call::Watch), "{:?}", simulation.call);
+        prop_assert!(matches!(simulation.call, Call::Watch), "no working watch: {:?}", simulation.call);
         let max_time = PROPAGATION_LIMIT - PROPAGATION_RESERVE + 3 * MAX_CALL_DELAY;
         prop_assert!(
             simulation.max_time_without_watch <= max_time,
-            "no working watch for {:?}",
+            "the service was reachable for {:?} without a working watch, at most {max_time:?} are allowed",
             simulation.max_time_without_watch
         );
     }
 }
 
-/// Calls must not overload a service that comes back after 8 s. The watches of 300 balancers ended together;
-/// while the service is down, each balancer calls it only a few times, and afterwards their calls are spread
-/// over the longest backoff, each of them within it.
+/// 300 balancers lose their watches together when the service goes down for 8 s, and must not overload it
+/// when it is back. Each balancer calls the service 6 to 11 times during the outage. The calls after the
+/// outage are spread over the longest backoff, and each balancer calls within that time.
 #[test]
 fn calls_are_spread_over_the_backoff_after_an_outage() {
     const BALANCERS: u64 = 300;
-    let (downtime, max_return_delay) = (ms(8000), ms(1500));
-    let mut return_delays: Vec<Duration> = Vec::new();
+    let (downtime, max_backoff) = (ms(8000), ms(1500));
+    let mut call_delays: Vec<Duration> = Vec::new();
     for seed in 0..BALANCERS {
         let mut simulation = Simulation::new(settings(ms(10_000)), seed);
         simulation.run_service(Service::Up(ms(50)), ms(5000));
         let calls_before = simulation.call_count;
         simulation.run_service(Service::Rejects, downtime);
         let calls = simulation.call_count - calls_before;
-        assert!((6..=11).contains(&calls), "{calls} calls while the service was down");
-        simulation.run_service(Service::Up(ms(50)), max_return_delay + MAX_CALL_DELAY);
-        let returned_at = simulation.harness.discovery_calls[simulation.call_count - 1];
-        return_delays.push(returned_at - (ms(5000) + downtime));
+        assert!((6..=11).contains(&calls), "a balancer made {calls} calls during the outage");
+        simulation.run_service(Service::Up(ms(50)), max_backoff + MAX_CALL_DELAY);
+        let called_at = simulation.harness.discovery_calls[simulation.call_count - 1];
+        call_delays.push(called_at - (ms(5000) + downtime));
         assert!(
-            return_delays.last() <= Some(&(max_return_delay + MAX_CALL_DELAY)),
-            "calls after the service was up: {return_delays:?}"
+            call_delays.last() <= Some(&(max_backoff + MAX_CALL_DELAY)),
+            "a balancer did not call within the longest backoff after the outage: {call_delays:?}"
         );
     }
     for window in 0..5 {
         let (from, to) = (ms(window * 300), ms((window + 1) * 300));
-        let calls = return_delays.iter().filter(|at| (from..to).contains(at)).count();
-        assert!(calls <= BALANCERS as usize / 2, "{calls} of {BALANCERS} calls from {from:?} to {to:?}");
+        let calls = call_delays.iter().filter(|at| (from..to).contains(at)).count();
+        assert!(
+            calls <= BALANCERS as usize / 2,
+            "{calls} of {BALANCERS} balancers call {from:?} to {to:?} after the outage"
+        );
     }
 }
 
-/// A slow call must not be repeated while its answer may still arrive, if the poll interval is long enough.
-/// If the poll interval is shorter, the call must be repeated before the cached list is too old.
+/// A call without an answer must not be repeated before its timeout, unless the poll interval is shorter.
+/// Then the call must be repeated before the cached list is older than the poll interval.
 #[test]
-fn repeats_a_slow_call_only_when_the_poll_interval_requires_it() {
+fn repeats_an_unanswered_call_after_its_timeout_or_the_poll_interval() {
     let mut harness = Harness::new(settings(ms(2050)), &[endpoint(1)]);
     harness.advance(ms(400));
     let called_at = harness.discovery_calls[0];
@@ -260,8 +266,9 @@
     assert_eq!(harness.discovery_calls.len(), 2, "the call is repeated if the embedder reports no result");
 }
 
-/// A long poll interval must delay neither the first call of a new balancer nor the call to a service with a
-/// new address, whether the balancer waits to retry, waits for an answer or has an open watch.
+/// A long poll interval must not delay the first call of a new balancer. It must not delay the call after a
+/// change of the service's address either, whether a call is pending, a retry is due later or a watch is
+/// open.
 #[test]
 fn calls_at_once_after_a_start_and_after_an_address_change() {
     let mut harness = Harness::new(settings(ms(120_000)), &[endpoint(1)]);
@@ -274,7 +281,7 @@
         assert_eq!(
             harness.discovery_calls.len(),
             calls + 1,
-            "the service is called after its address changed {when}"
+            "the balancer calls at once if the address changes {when}"
         );
     };
     assert_called_after_move(&mut harness, "while a call is pending");
@@ -287,8 +294,8 @@
     assert_called_after_move(&mut harness, "while a watch is open");
 }
 
-/// An answer resets the backoff. A watch that ends soon after an outage with many failed calls must be
-/// followed by a call after the first backoff, not after the longest.
+/// The failed calls of an outage raise the backoff to its maximum, and the first answer must reset it. If a
+/// watch ends soon after an outage, the next call must follow after the shortest backoff.
 #[test]
 fn an_answer_resets_the_backoff() {
     let mut harness = Harness::new(settings(ms(2050)), &[endpoint(1)]);
@@ -302,5 +309,5 @@
     let calls = harness.discovery_calls.len();
     harness.handle(Event::EndpointUpdate { scope: UpdateScope::Failed, endpoints: &[] });
     harness.advance(ms(2050) / 20 + MAX_CALL_DELAY);
-    assert_eq!(harness.discovery_calls.len(), calls + 1, "the first backoff applies, not the longest");
+    assert_eq!(harness.discovery_calls.len(), calls + 1, "the call follows after the shortest backoff");
 }
--- a/crates/core/tests/failures.rs
+++ b/crates/core/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Failures of upstreams, connections, the discovery service and load reports, as one balancer handles them.
+//! Reactions of one balancer to failures of upstreams, connections, the discovery service and load reports.
 
 mod common;
 use common::*;
@@ -25,8 +25,8 @@
     assert!(harness.actions.contains(&Action::Cancel { id, attempt: AttemptNo(0) }));
 }
 
-/// Advances the clock in steps and ends each first attempt that the balancer cancels. Returns the cancelled
-/// requests.
+/// Advances the clock by `span` and ends each first attempt that the balancer cancels. Returns the requests
+/// of these attempts.
 fn end_cancelled_attempts(harness: &mut Harness, span: Duration) -> Vec<RequestId> {
     let mut all_cancelled = Vec::new();
     let end = harness.now + span;
@@ -39,7 +39,7 @@
         });
         let cancelled: Vec<RequestId> = cancelled.collect();
         for id in &cancelled {
-            assert!(harness.upstream_of(*id, 1).is_none(), "no attempt while the first is in flight");
+            assert!(harness.upstream_of(*id, 1).is_none(), "one attempt is in flight at a time");
             harness.end_attempt(*id, 0, Outcome::Cancelled);
         }
         all_cancelled.extend(cancelled);
@@ -47,9 +47,9 @@
     all_cancelled
 }
 
-/// Without hedging, an overdue attempt of a repeatable request is cancelled only if a retry can follow, which
-/// takes a token of the retry budget. All 30 requests become overdue in the same tick: about as many are
-/// cancelled as the budget of ten allows, and the others keep waiting for their answer.
+/// Without hedging, an overdue attempt is cancelled only if a retry can follow, and each retry takes a token
+/// of the retry budget. All 30 requests become overdue in the same tick. The budget of ten tokens allows
+/// about ten cancellations, and the other attempts stay in flight.
 #[test]
 fn cancels_an_overdue_attempt_only_if_a_retry_can_follow() {
     let group = DedupGroup::All;
@@ -60,9 +60,9 @@
         let ids: Vec<RequestId> = (0..30).map(|_| harness.send_request(0, 0, ms(5000))).collect();
         let admitted: Vec<RequestId> =
             ids.into_iter().filter(|id| harness.upstream_of(*id, 0).is_some()).collect();
-        assert!(admitted.len() >= 20, "{}", admitted.len());
+        assert!(admitted.len() >= 20, "{} of 30 requests were admitted", admitted.len());
         let cancelled = end_cancelled_attempts(&mut harness, ms(400));
-        assert!((8..=13).contains(&cancelled.len()), "{effect:?}: {} cancelled", cancelled.len());
+        assert!((8..=13).contains(&cancelled.len()), "{effect:?}: {} attempts cancelled", cancelled.len());
         for id in &cancelled {
             assert!(
                 harness.upstream_of(*id, 1).is_some_and(|retry| Some(retry) != harness.upstream_of(*id, 0)),
@@ -71,7 +71,7 @@
         }
         assert!(harness.results.is_empty(), "{:?}", harness.results);
 
-        // Nothing is cancelled without another upstream, or if the request must not run twice.
+        // No attempt is cancelled if there is no other upstream or the request must not run twice.
         for (effect, count) in [(effect, 1), (Effect::AtMostOnce, 10)] {
             let class = Class { effect, ..settings.classes[0].clone() };
             let mut other =
@@ -102,10 +102,10 @@
     assert!(harness.upstream_of(id, 1).is_some(), "an attempt that never ran is retried at another upstream");
 }
 
-/// An upstream that fails at once has nothing in flight and looks the least loaded. It must be ejected, and
-/// must get requests again after it recovers.
+/// An upstream that fails every request at once has none in flight and looks the least loaded. The balancer
+/// must eject the upstream, and send requests to it again after it recovers.
 #[test]
-fn ejects_an_upstream_that_fails_at_once_until_it_recovers() {
+fn ejects_an_upstream_that_resets_every_connection_until_it_recovers() {
     let mut harness = Harness::new(settings(Effect::Idempotent), &fleet(4));
     let failing = UpstreamId(2);
     harness.run_traffic(100, ms(10), |u| Some(if u == failing { Outcome::Reset } else { Outcome::Ok }));
@@ -115,8 +115,8 @@
     assert!(harness.attempts_to(failing) > attempts_before + 50, "requests resume after recovery");
 }
 
-/// Single broken connections, which any network has, must not empty the fleet: each upstream gets about as
-/// many attempts as without them. An upstream that breaks every connection is ejected, see above.
+/// Broken connections occur in any network. A few of them must not eject upstreams: each upstream must
+/// receive about as many attempts as without them.
 #[test]
 fn occasional_broken_connections_eject_no_upstream() {
     let attempts = |failure_outcome: Outcome| {
@@ -128,12 +128,12 @@
         });
         (1..=4).map(|u| harness.attempts_to(UpstreamId(u))).min()
     };
-    let (with, without) = (attempts(Outcome::Reset).unwrap(), attempts(Outcome::Ok).unwrap());
-    assert!(with * 10 >= without * 9, "least used upstream: {with} attempts, {without} without failures");
+    let (with_resets, without) = (attempts(Outcome::Reset).unwrap(), attempts(Outcome::Ok).unwrap());
+    assert!(with_resets * 10 >= without * 9, "attempts: {with_resets} with resets, {without} without resets");
 }
 
-/// If a third of the connections time out, two timeouts in a row mean nothing and must not eject one upstream
-/// after another. An upstream that accepts no connection at all must still be detected.
+/// If a third of all connection attempts fail, two failures in a row are common and must not eject an
+/// upstream. An upstream that accepts no connection at all must still be detected.
 #[test]
 fn frequent_connect_failures_eject_only_an_unreachable_upstream() {
     for unreachable in [None, Some(UpstreamId(4))] {
@@ -163,7 +163,7 @@
     assert!(attempts * 8 < 400, "{attempts} of 400 requests went to the silent upstream");
 }
 
-/// If all upstreams are ejected, the fault is probably not theirs, and requests still have to be sent.
+/// If all upstreams are ejected, the cause is probably not in the upstreams, and requests must still be sent.
 #[test]
 fn sends_requests_although_all_upstreams_are_ejected() {
     let mut harness = Harness::new(settings(Effect::Idempotent), &fleet(4));
@@ -174,7 +174,7 @@
     assert!(harness.attempts.len() > before, "requests are sent although all upstreams are ejected");
 }
 
-/// Errors of all upstreams must not multiply the load: retries stay within the retry budget.
+/// Retries must not multiply the load when all upstreams return errors.
 #[test]
 fn retries_stay_within_the_budget_when_all_upstreams_fail() {
     let mut harness = Harness::new(settings(Effect::Idempotent), &fleet(20));
@@ -182,7 +182,10 @@
     let (requests, attempts) =
         (harness.attempts.len(), harness.attempts.values().map(Vec::len).sum::<usize>());
     let max_attempts = requests + requests / 10 + 11;
-    assert!(attempts <= max_attempts, "{attempts} attempts for {requests} requests");
+    assert!(
+        attempts <= max_attempts,
+        "{attempts} attempts for {requests} requests, at most {max_attempts} allowed"
+    );
 }
 
 #[test]
@@ -203,9 +206,9 @@
     assert!(harness.attempts_to(UpstreamId(3)) > 20);
 }
 
-/// An empty fleet rejects requests at once, and serves them as soon as an upstream is listed.
+/// A balancer without upstreams rejects requests at once. It serves requests once an upstream is listed.
 #[test]
-fn rejects_requests_of_an_empty_fleet_until_an_upstream_is_listed() {
+fn rejects_requests_until_an_upstream_is_listed() {
     let mut harness = Harness::new(settings(Effect::AtMostOnce), &[]);
     let id = harness.send_request(0, 0, ms(1000));
     assert_eq!(harness.results.get(&id), Some(&"rejected"));
@@ -215,8 +218,8 @@
     assert!(harness.attempts_to(UpstreamId(1)) > 0);
 }
 
-/// When the discovery service is down, the backoff doubles up to its maximum, each wait is drawn from the
-/// upper half of the backoff, and the cached list stays in use.
+/// While the discovery service is down, the backoff doubles up to its maximum, each wait takes between half
+/// the backoff and the full backoff, and the cached endpoint list stays in use.
 #[test]
 fn backs_off_from_a_failing_discovery_service_and_keeps_the_list() {
     let settings = Settings { has_endpoint_discovery: true, ..settings(Effect::Idempotent) };
@@ -229,7 +232,7 @@
         }
     }
     let waits: Vec<Duration> = harness.discovery_calls.windows(2).map(|w| w[1] - w[0]).collect();
-    assert!((40..=60).contains(&waits.len()), "{} calls in a minute", waits.len());
+    assert!((40..=60).contains(&waits.len()), "{} waits between calls in a minute", waits.len());
     for (n, wait) in waits.into_iter().enumerate() {
         let backoff = ms(500 << n.min(4)).min(maplehook_core::discovery_timing::MAX_BACKOFF);
         assert!((backoff / 2..=backoff + ms(40)).contains(&wait), "wait {n}: {wait:?}, backoff {backoff:?}");
@@ -238,7 +241,7 @@
     assert!(harness.upstream_of(id, 0).is_some());
 }
 
-/// Load reports and weights that are not valid numbers must cause neither a panic nor wrong state.
+/// Invalid numbers in load reports and weights must cause neither a panic nor wrong state.
 #[test]
 fn ignores_invalid_reports_and_weights() {
     let mut settings = settings(Effect::Idempotent);
@@ -277,8 +280,8 @@
     }
 }
 
-/// An upstream that answers one class but not another must lose only the class without answers, and must be
-/// tried for that class again later.
+/// If an upstream answers one class but not another, the balancer must avoid the upstream for the unanswered
+/// class only, and must try it for that class again later.
 #[test]
 fn avoids_an_upstream_only_for_the_class_it_does_not_answer() {
     let mut settings = settings(Effect::AtMostOnce);
@@ -286,9 +289,9 @@
     let mut harness = Harness::new(settings, &fleet(4));
     let silent_upstream = UpstreamId(3);
     let mut sent = [0; 2];
-    let mut run_round = |harness: &mut Harness, rounds: u64, is_silent: bool| {
+    let mut run_requests = |harness: &mut Harness, requests_per_class: u64, is_silent: bool| {
         let before = sent;
-        for k in 0..2 * rounds {
+        for k in 0..2 * requests_per_class {
             let class = (k / 3 % 2) as u16;
             let id = harness.send_request(class, 0, ms(450));
             let Some(upstream) = harness.upstream_of(id, 0) else { continue };
@@ -304,17 +307,16 @@
         }
         [sent[0] - before[0], sent[1] - before[1]]
     };
-    run_round(&mut harness, 50, false);
-    let [silent_class, healthy_class] = run_round(&mut harness, 400, true);
-    assert!(silent_class <= 20, "{silent_class} of 400 requests went to the silent upstream");
-    assert!(healthy_class >= 100, "{healthy_class} of 400 requests of the other class went to the upstream");
-    let [recovered, _] = run_round(&mut harness, 600, false);
+    run_requests(&mut harness, 50, false);
+    let [unanswered, answered] = run_requests(&mut harness, 400, true);
+    assert!(unanswered <= 20, "{unanswered} of 400 requests of the unanswered class went to the upstream");
+    assert!(answered >= 100, "{answered} of 400 requests of the other class went to the upstream");
+    let [recovered, _] = run_requests(&mut harness, 600, false);
     assert!(recovered >= 60, "{recovered} of 600 requests went to the upstream after it recovered");
 }
 
-/// Some middleboxes drop idle connections silently, so only requests after a pause get no answer. The
-/// balancer must close idle connections before it uses them after a pause, and keep connections that are in
-/// use.
+/// Some middleboxes drop idle connections silently, so that requests after a pause get no answer. After a
+/// pause, the balancer must close idle connections instead of using them.
 #[test]
 fn closes_idle_connections_that_were_dropped_silently() {
     let mut harness = Harness::new(settings(Effect::AtMostOnce), &fleet(2));
@@ -336,12 +338,18 @@
             (timeouts + u32::from(is_dropped), late_timeouts + u32::from(is_dropped && k > 150));
         harness.advance(ms(if k % 6 == 0 { 2500 } else { 60 }));
     }
-    assert!(timeouts > 0 && !closed_at.is_empty(), "connections were dropped, then closed");
-    assert!(late_timeouts <= 12, "{late_timeouts} of the last 50 after a pause timed out, {timeouts} in all");
+    assert!(
+        timeouts > 0 && !closed_at.is_empty(),
+        "dropped connections caused timeouts and then were closed"
+    );
+    assert!(
+        late_timeouts <= 12,
+        "timeouts of the last 50 requests after a pause: {late_timeouts}, in all: {timeouts}"
+    );
 }
 
-/// An upstream that rejects a class at once has nothing in flight and looks the least loaded. It must not
-/// attract more requests of this class.
+/// An upstream that rejects all requests of a class at once has none in flight and looks the least loaded. It
+/// must not attract more requests of this class.
 #[test]
 fn an_upstream_that_rejects_a_class_does_not_attract_it() {
     let mut settings = settings(Effect::AtMostOnce);
@@ -369,8 +377,8 @@
     assert!(served >= 60, "{served} requests of the other class were served by the upstream");
 }
 
-/// A single balancer knows all load itself. Load reports that are out of date must not keep its requests away
-/// from an upstream.
+/// A single balancer knows the load of each upstream from its own requests. Outdated load reports must not
+/// keep requests away from an upstream.
 #[test]
 fn a_single_balancer_ignores_outdated_load_reports() {
     let mut settings = settings(Effect::Idempotent);
@@ -379,7 +387,7 @@
     let mut harness = Harness::new(settings, &fleet(3));
     for k in 0..300 {
         let id = harness.send_request(0, 0, ms(1000));
-        assert!(harness.upstream_of(id, 0).is_some(), "one request does not exceed the capacity");
+        assert!(harness.upstream_of(id, 0).is_some(), "a single request is within the capacity");
         harness.advance(ms(5));
         harness.end_attempt(id, 0, Outcome::Ok);
         let (upstream, outcome, latency) = (UpstreamId(1), Outcome::Ok, ms(1));
@@ -387,5 +395,5 @@
         harness.handle(Event::ProbeEnded { upstream, outcome, latency, report: &report });
     }
     let attempts = harness.attempts_to(UpstreamId(1));
-    assert!((85..=115).contains(&attempts), "{attempts} of 300 at the upstream with old reports");
+    assert!((85..=115).contains(&attempts), "{attempts} of 300 attempts at the reporting upstream");
 }
--- a/crates/core/tests/headroom.rs
+++ b/crates/core/tests/headroom.rs
@@ -14,14 +14,18 @@
     (1..=n).map(endpoint).collect()
 }
 
-/// An attempt whose request has no value after its latency objective ends there if its work costs more than
-/// the connection that is closed with it. It continues if late answers still have a value, or if a new
-/// handshake is expensive.
+/// An attempt gets a timeout at the latency objective if late answers have no value, and wasted work costs
+/// more than the handshake of a new connection. Otherwise the attempt gets no timeout.
 #[test]
 fn an_attempt_ends_at_the_objective_if_late_answers_have_no_value() {
-    let expected = Some(ms(392));
-    let cases =
-        [(0.0, 0.0, expected), (0.5, 0.0, None), (0.0, 0.04, expected), (0.0, 0.08, None), (0.5, 0.08, None)];
+    let at_objective = Some(ms(392));
+    let cases = [
+        (0.0, 0.0, at_objective),
+        (0.5, 0.0, None),
+        (0.0, 0.04, at_objective),
+        (0.0, 0.08, None),
+        (0.5, 0.08, None),
+    ];
     for (late_value, handshake_price, expected) in cases {
         let mut settings = settings(Effect::AtMostOnce);
         settings.classes[0].late_value = late_value;
@@ -31,14 +35,17 @@
         let Some(Action::Attempt { timeout, .. }) = harness.actions.last() else {
             panic!("no attempt was sent")
         };
-        assert_eq!(*timeout, expected, "late value {late_value}, handshake price {handshake_price}");
+        assert_eq!(
+            *timeout, expected,
+            "timeout for late value {late_value}, handshake price {handshake_price}"
+        );
     }
 }
 
-/// Sends `count` requests, one every `gap`, of an at-most-once class with a latency objective of 80 ms.
-/// `latency_of` returns the time until an answer; without one, the attempt times out. Returns the number of
-/// rejected requests and the number of answers after the objective.
-fn rejected_and_late(
+/// Sends `count` at-most-once requests, one every `gap`, with a latency objective of 80 ms. `latency_of`
+/// returns the latency of the answer to the request with this index, or `None` if the attempt times out.
+/// Returns the number of rejected requests and the number of answers after the objective.
+fn count_rejected_and_late(
     count: u32,
     gap: Duration,
     latency_of: impl Fn(u32) -> Option<Duration>,
@@ -52,13 +59,13 @@
     };
     let fleet: Vec<Endpoint> = (0..8).map(endpoint).collect();
     let mut harness = Harness::new(settings, &fleet);
-    let mut outcomes: BTreeMap<(Duration, RequestId), Outcome> = BTreeMap::new();
+    let mut pending_outcomes: BTreeMap<(Duration, RequestId), Outcome> = BTreeMap::new();
     for k in 0..count {
         let next_at = harness.now + gap;
         while let Some((&(ended_at, id), &outcome)) =
-            outcomes.first_key_value().filter(|(key, _)| key.0 <= next_at)
+            pending_outcomes.first_key_value().filter(|(key, _)| key.0 <= next_at)
         {
-            outcomes.remove(&(ended_at, id));
+            pending_outcomes.remove(&(ended_at, id));
             harness.advance(ended_at.saturating_sub(harness.now));
             harness.end_attempt(id, 0, outcome);
         }
@@ -68,32 +75,36 @@
             let (latency, outcome) =
                 latency_of(k).map_or((ms(DEADLINE_MS), Outcome::TimedOut), |latency| (latency, Outcome::Ok));
             late += usize::from(outcome == Outcome::Ok && latency > ms(80));
-            outcomes.insert((harness.now + latency, id), outcome);
+            pending_outcomes.insert((harness.now + latency, id), outcome);
         }
     }
     (harness.results.values().filter(|a| **a == "rejected").count(), late)
 }
 
-/// Attempts whose answers are lost must not reduce the headroom: here one in 25, for two seconds each, after
-/// the rate is known. Later requests get their answers, so there is no queue, and rejections would help
-/// nobody.
+/// Lost answers must not reduce the headroom. Once the balancer knows the request rate, one answer in 25 is
+/// lost, and its attempt stays in flight for two seconds. Later requests are still answered quickly: there is
+/// no queue, and rejections would not help.
 #[test]
 fn lost_answers_do_not_reduce_the_headroom() {
     let short_latency = |k: u32| Some(ms(15 + u64::from(k % 10)));
-    let (without, _) = rejected_and_late(12_000, ms(2), short_latency);
-    let (with, _) =
-        rejected_and_late(12_000, ms(2), |k| if k > 4000 && k % 25 == 7 { None } else { short_latency(k) });
+    let (without_loss, _) = count_rejected_and_late(12_000, ms(2), short_latency);
+    let (with_loss, _) =
+        count_rejected_and_late(
+            12_000,
+            ms(2),
+            |k| if k > 4000 && k % 25 == 7 { None } else { short_latency(k) },
+        );
     assert!(
-        with <= without + 1200,
-        "{without} of 12,000 requests were rejected without lost answers and {with} with them"
+        with_loss <= without_loss + 1200,
+        "rejected of 12,000 requests: {without_loss} without lost answers, {with_loss} with lost answers"
     );
 }
 
-/// Work that takes a large part of the latency objective at any load is no queue. Rejecting more and more
-/// requests would leave almost none admitted.
+/// A latency that is a large part of the objective at any load does not indicate a queue. If it did, the
+/// balancer would reject more and more requests, until it admitted almost none.
 #[test]
 fn constant_latency_is_not_taken_for_a_queue() {
-    let (rejected, _) = rejected_and_late(12_000, ms(2), |k| Some(ms(34 + u64::from(k % 10))));
+    let (rejected, _) = count_rejected_and_late(12_000, ms(2), |k| Some(ms(34 + u64::from(k % 10))));
     assert!(rejected <= 2000, "{rejected} of 12,000 requests were rejected");
 }
 
@@ -101,9 +112,9 @@
 /// requests are rejected.
 #[test]
 fn rising_latency_is_detected_as_a_queue() {
-    // The upstreams together answer one request every 10 ms, in order: half of the request rate.
+    // The upstreams together answer one request every 10 ms, in order, which is half of the request rate.
     let last_answer_ms = std::cell::Cell::new(0);
-    let (rejected, late) = rejected_and_late(6000, ms(5), |k| {
+    let (rejected, late) = count_rejected_and_late(6000, ms(5), |k| {
         let (now_ms, free_at_ms) = (u64::from(k) * 5, last_answer_ms.get());
         last_answer_ms.set(free_at_ms.max(now_ms) + 10);
         Some(ms(last_answer_ms.get() - now_ms))
@@ -114,8 +125,8 @@
     );
 }
 
-/// Long streamed answers are no queue: they affect neither the assessment of their upstreams nor the headroom
-/// for other requests, and even the longest one is never sent again.
+/// Long streams do not indicate a queue: they must not count against their upstreams or reduce the headroom
+/// for other requests. A request with an open stream must never be sent again.
 #[test]
 fn streams_do_not_reduce_the_headroom() {
     for is_upload in [false, true] {
@@ -139,6 +150,6 @@
         let before = harness.results.values().filter(|a| **a == "served").count();
         harness.run_traffic(200, ms(10), |_| Some(Outcome::Ok));
         let served = harness.results.values().filter(|a| **a == "served").count() - before;
-        assert!(served > 190, "{served} of 200 requests were served beside {} streams", streams.len());
+        assert!(served > 190, "{served} of 200 requests were served during {} open streams", streams.len());
     }
 }
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -1,15 +1,16 @@
-//! Keeps the decision logic easy to review: each source file of the crate is listed under `policy` in the
-//! deploy file or in `WITHOUT_DECISIONS`, no file has more than 400 lines, and no line has more than 110
-//! characters.
+//! Limits that keep the decision logic easy to review. Each source file of the crate is listed either under
+//! `policy` in the deploy file or in `WITHOUT_DECISIONS`. No file has more than 400 lines, and no line has
+//! more than 110 characters.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
 const MAX_FILE_LINES: usize = 400;
 const MAX_LINE_CHARACTERS: usize = 110;
-/// Prefix of rows of documentation tables, which can't be wrapped.
+/// Prefix of a table row in a doc comment. Table rows can't be wrapped, so they may be longer.
 const TABLE_ROW: &str = "//! |";
-/// Files without decision logic: the interface, stored state, counters and the crate documentation.
+/// Files without decision logic, such as stored state, counters and the crate documentation. The files of the
+/// interface are not listed here.
 const WITHOUT_DECISIONS: [&str; 12] = [
     "attempt_result.rs",
     "lib.rs",
@@ -25,7 +26,7 @@
     "zone_observations.rs",
 ];
 
-/// Returns a message for each file and line that exceeds a limit, given file names and texts.
+/// Returns a message for each file and each line that is too long. `files` holds file names and texts.
 fn violations(files: &[(String, String)]) -> Vec<String> {
     let mut messages = Vec::new();
     for (name, text) in files {
@@ -48,7 +49,7 @@
     messages
 }
 
-/// Returns the names, relative to the `src` folder, and the texts of all source files.
+/// Returns the path, relative to the `src` folder, and the text of each source file.
 fn source_files() -> Vec<(String, String)> {
     let src = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let (mut files, mut folders) = (Vec::new(), vec![src.clone()]);
@@ -60,19 +61,19 @@
                 continue;
             }
             let name = path.strip_prefix(&src).expect("the file is under src").to_string_lossy().into_owned();
-            files.push((name, fs::read_to_string(&path).expect("the file is valid UTF-8")));
+            files.push((name, fs::read_to_string(&path).expect("the source file is readable text")));
         }
     }
     files.sort();
     files
 }
 
-/// Returns true if a file is listed as free of decision logic.
+/// Returns true for files of the interface and files in `WITHOUT_DECISIONS`.
 fn is_without_decisions(name: &str) -> bool {
     name == "interface.rs" || name.starts_with("interface/") || WITHOUT_DECISIONS.contains(&name)
 }
 
-/// Returns the files under `policy` in the deploy file, relative to the `src` folder.
+/// Returns the paths under `policy` in the deploy file, relative to the `src` folder.
 fn policy_files() -> Vec<String> {
     let deploy = include_str!("../../../deploy/balancer.toml");
     let line =
@@ -91,7 +92,7 @@
 #[test]
 fn source_files_are_within_the_limits() {
     let files = source_files();
-    assert!(files.iter().any(|(name, _)| name == "lib.rs"), "the source files were found");
+    assert!(files.iter().any(|(name, _)| name == "lib.rs"), "lib.rs is among the source files");
     let violations = violations(&files);
     assert!(violations.is_empty(), "{violations:?}");
 }
@@ -99,10 +100,10 @@
 #[test]
 fn the_deploy_file_lists_every_file_with_decisions() {
     let names = source_files().into_iter().map(|(name, _)| name);
-    let with_decisions: Vec<String> = names.filter(|name| !is_without_decisions(name)).collect();
-    let mut listed = policy_files();
-    listed.sort();
-    assert_eq!(listed, with_decisions);
+    let decision_files: Vec<String> = names.filter(|name| !is_without_decisions(name)).collect();
+    let mut listed_files = policy_files();
+    listed_files.sort();
+    assert_eq!(listed_files, decision_files);
 }
 
 #[test]
--- a/crates/core/tests/new_upstream.rs
+++ b/crates/core/tests/new_upstream.rs
@@ -1,12 +1,12 @@
-//! Load that many balancers together put on a new upstream.
+//! Load on a new upstream from many balancers together.
 
 mod common;
 use common::{endpoint, ms, settings_with_all_effects};
 use maplehook_core::*;
 use std::time::Duration;
 
-/// A new upstream has no requests in flight and looks like the best choice to all balancers at once. Together
-/// they must not send it more, in any overload window, than the configured multiple of its present capacity.
+/// A new upstream has no requests in flight, so all balancers prefer it at once. In any overload window, all
+/// balancers together must not send it more requests than the configured multiple of its current capacity.
 #[test]
 fn a_new_upstream_is_not_overloaded_by_all_balancers_together() {
     for (many_balancers, balancers) in [(false, 20), (true, 400)] {
@@ -24,7 +24,7 @@
             harness.timers.clear();
             harness.handle(Event::EndpointUpdate { scope: UpdateScope::Cached, endpoints: &initial_fleet() });
         }
-        // Ten upstreams at full capacity, each able to serve 100 requests a second, at 70 % load; every
+        // Each of the ten initial upstreams serves 100 requests per second, so their load is 70 %. Every
         // answer takes 20 ms.
         let (rate_per_s, new_upstream) = (700u64, UpstreamId(99));
         let mut attempts_to_new_upstream: Vec<Duration> = Vec::new();
@@ -71,7 +71,7 @@
         attempts_to_new_upstream.sort();
         assert!(
             attempts_to_new_upstream.len() > 10,
-            "the new upstream receives requests during slow start: {}",
+            "the new upstream received only {} requests during slow start",
             attempts_to_new_upstream.len()
         );
         for (k, from) in attempts_to_new_upstream.iter().enumerate() {
@@ -82,7 +82,7 @@
             let limit = 3.0 * capacity_per_s * 2.0;
             assert!(
                 count <= limit,
-                "{count} requests in two seconds from {from:?}; {limit} overload the upstream"
+                "{count} requests in the two seconds from {from:?}, at most {limit} are allowed"
             );
         }
     }
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Checks the rules for determinism, attempts, effects and answers under random sequences of valid events.
+//! Checks under random sequences of valid events that decisions are deterministic, and that attempts, effects
+//! and answers obey their rules.
 
 mod common;
 use common::{endpoint, ms, settings_with_all_effects as settings};
@@ -20,9 +21,9 @@
 
 fn operation() -> impl Strategy<Value = Operation> {
     let entries = prop::collection::vec((1u64..12, 0u8..4, any::<bool>()), 0..8);
-    let hint = prop::option::of(prop_oneof![1.0..500.0f64, Just(f64::NAN)]);
+    let work_hint = prop::option::of(prop_oneof![1.0..500.0f64, Just(f64::NAN)]);
     prop_oneof![
-        6 => (0u16..6, 0u32..5, 0u64..1500, hint)
+        6 => (0u16..6, 0u32..5, 0u64..1500, work_hint)
             .prop_map(|(class, tenant, time_left_ms, work_ms)| Operation::Request {
                 class, tenant, time_left_ms, work_ms,
             }),
@@ -58,6 +59,7 @@
 
 struct Simulation {
     settings: Settings,
+    /// Two balancers with the same settings and seed, which get the same events.
     balancers: [Balancer; 2],
     now: Duration,
     requests: BTreeMap<RequestId, RequestState>,
@@ -67,8 +69,8 @@
     listed_ids: BTreeSet<UpstreamId>,
 }
 
-/// Returns an endpoint whose zone and cell follow from its id, so that tests can tell which upstreams share
-/// idempotency keys.
+/// Returns an endpoint whose id determines its zone and cell. The tests derive from the ids of two upstreams
+/// whether these share idempotency keys.
 fn endpoint_with_location(id: u64, availability: Availability, started: Option<Duration>) -> Endpoint {
     let (zone, cell) = (ZoneId((id % 2) as u8), CellId((id % 4) as u16));
     Endpoint { zone, cell, availability, started, ..endpoint(id) }
@@ -105,7 +107,7 @@
         match action {
             Action::Timer { after, timer } => self.timers.push((now + after, timer)),
             Action::Probe { upstream } => {
-                assert!(self.settings.can_probe, "probes are enabled");
+                assert!(self.settings.can_probe, "probes are sent only if enabled");
                 assert!(self.listed_ids.contains(&upstream));
                 self.probes.push(upstream);
             }
@@ -122,7 +124,7 @@
                 let r = self.requests.get_mut(&id).expect("the request was sent to the balancer");
                 assert!(
                     r.answered_at.is_none() && !r.is_cancelled,
-                    "no attempt follows the end of a request"
+                    "no attempt is sent for an answered or cancelled request"
                 );
                 assert!(!r.is_streaming, "no attempt is sent while the request streams");
                 assert!(
@@ -141,19 +143,19 @@
                         "without hedging, one attempt is in flight at a time"
                     );
                 }
-                for first in r.attempts.iter().filter(|a| a.is_in_flight || a.may_have_run) {
+                for earlier in r.attempts.iter().filter(|a| a.is_in_flight || a.may_have_run) {
                     match self.settings.classes[r.class].effect {
                         Effect::Idempotent => {}
-                        Effect::AtMostOnce => panic!("the request may run twice"),
+                        Effect::AtMostOnce => panic!("an at-most-once request may run twice"),
                         Effect::Deduplicated { group, ttl } => {
                             assert!(
-                                now <= first.sent_at + ttl,
+                                now <= earlier.sent_at + ttl,
                                 "repeats are sent within the deduplication window"
                             );
                             let is_same_group = match group {
                                 DedupGroup::All => true,
-                                DedupGroup::Zone => first.upstream.0 % 2 == upstream.0 % 2,
-                                DedupGroup::Cell => first.upstream.0 % 4 == upstream.0 % 4,
+                                DedupGroup::Zone => earlier.upstream.0 % 2 == upstream.0 % 2,
+                                DedupGroup::Cell => earlier.upstream.0 % 4 == upstream.0 % 4,
                             };
                             assert!(is_same_group, "repeats stay in their deduplication group");
                         }
@@ -177,7 +179,7 @@
                     Effect::AtMostOnce => !may_have_run,
                     Effect::Deduplicated { group, .. } => group == DedupGroup::All || !may_have_run,
                 };
-                assert!(is_harmless, "only requests that are harmless to retry are rejected");
+                assert!(is_harmless, "only requests that clients can safely retry are rejected");
             }
             Action::Fail { id } => {
                 self.record_answer(id);
@@ -311,8 +313,9 @@
                 self.handle(Event::StreamStarted { id, attempt, latency: Some(latency) });
             }
             Operation::CancelRequest { choice } => {
-                let open = |(_, r): &(&RequestId, &RequestState)| r.answered_at.is_none() && !r.is_cancelled;
-                let open: Vec<_> = self.requests.iter().filter(open).map(|(id, _)| *id).collect();
+                let is_open =
+                    |(_, r): &(&RequestId, &RequestState)| r.answered_at.is_none() && !r.is_cancelled;
+                let open: Vec<_> = self.requests.iter().filter(is_open).map(|(id, _)| *id).collect();
                 let Some(id) = open.get(choice % open.len().max(1)).copied() else { return };
                 let r = self.requests.get_mut(&id).unwrap();
                 (r.is_cancelled, r.is_streaming) = (true, false);
@@ -357,7 +360,7 @@
     #![proptest_config(ProptestConfig { cases: 192, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(20), ..ProptestConfig::default() })]
 
     #[test]
-    fn decisions_follow_the_rules_after_any_valid_events(
+    fn decisions_obey_the_rules_under_any_sequence_of_valid_events(
         operations in prop::collection::vec(operation(), 1..160),
         flags in any::<(bool, bool, bool)>(),
         max_attempts in 1u8..5,
@@ -365,12 +368,12 @@
     ) {
         let settings = settings(flags.0, flags.1, flags.2, max_attempts);
         let mut simulation = Simulation::new(settings, seed);
-        let first: Vec<_> = (1..9).map(|id| (id, 2, false)).collect();
-        simulation.execute(&Operation::UpdateEndpoints { scope: 2, entries: first }, 0);
+        let initial_entries: Vec<_> = (1..9).map(|id| (id, 2, false)).collect();
+        simulation.execute(&Operation::UpdateEndpoints { scope: 2, entries: initial_entries }, 0);
         for (n, operation) in operations.iter().enumerate() {
             simulation.execute(operation, n as u32);
         }
-        // All deadlines pass, and the remaining streams are ended.
+        // After all deadlines, only attempts with open streams are in flight; they end here.
         simulation.advance(1600);
         for (id, k) in simulation.in_flight_attempts() {
             simulation.end_attempt(id, k, Outcome::Ok, 0.0);
--- a/crates/core/tests/settings_change.rs
+++ b/crates/core/tests/settings_change.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_stricter_effect_satisfies_both_effects() {
+fn stricter_combines_the_restrictions_of_two_effects() {
     let cell = |ttl| Effect::Deduplicated { group: DedupGroup::Cell, ttl: ms(ttl) };
     let all = |ttl| Effect::Deduplicated { group: DedupGroup::All, ttl: ms(ttl) };
     assert_eq!(Effect::Idempotent.stricter(Effect::Idempotent), Effect::Idempotent);
@@ -39,15 +39,15 @@
     /// settings, and the request still gets a single answer.
     #[test]
     fn attempts_obey_old_and_new_settings(
-        first in (0..3_usize, 1..6_u8),
+        initial in (0..3_usize, 1..6_u8),
         changes in prop::collection::vec((0..3_usize, 1..6_u8, 0..4_usize), 1..6),
     ) {
-        let (mut effect, max_attempts) = (EFFECTS[first.0], first.1);
+        let (mut effect, max_attempts) = (EFFECTS[initial.0], initial.1);
         let mut harness = Harness::new(settings(&[effect, Effect::Idempotent], max_attempts), &fleet(8));
         harness.advance(ms(100));
         let id = harness.send_request(0, 0, ms(4000));
         prop_assert!(harness.upstream_of(id, 0).is_some());
-        let (mut lowest_limit, mut ended, mut may_have_run) = (max_attempts, 0, false);
+        let (mut lowest_limit, mut ended_count, mut may_have_run) = (max_attempts, 0, false);
         let outcomes = [Outcome::Reset, Outcome::ConnectFailed, Outcome::Error, Outcome::TimedOut];
         for (next_effect, max_attempts, outcome) in changes {
             let settings =
@@ -55,36 +55,36 @@
             harness.handle(Event::SettingsChanged { settings: &settings, removed_tenants: &[TenantId(1)] });
             (effect, lowest_limit) = (effect.stricter(EFFECTS[next_effect]), lowest_limit.min(max_attempts));
             let sent = harness.attempts[&id].len();
-            if harness.results.contains_key(&id) || ended == sent {
+            if harness.results.contains_key(&id) || ended_count == sent {
                 break;
             }
-            harness.end_attempt(id, ended, outcomes[outcome]);
-            ended += 1;
+            harness.end_attempt(id, ended_count, outcomes[outcome]);
+            ended_count += 1;
             may_have_run |= !outcomes[outcome].never_ran();
-            let more = &harness.attempts[&id][sent..];
+            let new_attempts = &harness.attempts[&id][sent..];
             prop_assert!(
-                more.is_empty() || sent < usize::from(lowest_limit),
-                "at most {lowest_limit} attempts are sent, and {sent} were sent before"
+                new_attempts.is_empty() || sent < usize::from(lowest_limit),
+                "an attempt was sent after {sent} others, at most {lowest_limit} are allowed in all"
             );
             if may_have_run && effect == Effect::AtMostOnce {
-                prop_assert!(more.is_empty());
+                prop_assert!(new_attempts.is_empty());
                 prop_assert!(
                     harness.results.get(&id) != Some(&"rejected"),
-                    "no request that may have run is rejected"
+                    "an at-most-once request that may have run is not rejected"
                 );
             }
             if let (true, Effect::Deduplicated { .. }) = (may_have_run, effect) {
                 let zones: Vec<u64> = harness.attempts[&id].iter().map(|(_, u)| u.0 % 2).collect();
                 prop_assert!(
-                    more.is_empty() || zones.last() == zones.iter().rev().nth(1),
-                    "the repeat stays in the zone: {zones:?}"
+                    new_attempts.is_empty() || zones.last() == zones.iter().rev().nth(1),
+                    "a repeat goes to the zone of the attempt before; zones of all attempts: {zones:?}"
                 );
             }
         }
         harness.advance(ms(5000));
-        // A class that was added is served like any other.
-        let new = harness.send_request(2, 0, ms(1000));
-        prop_assert!(harness.upstream_of(new, 0).is_some() || harness.results.contains_key(&new));
+        // Requests of the class that the changed settings add are handled as well.
+        let added_id = harness.send_request(2, 0, ms(1000));
+        prop_assert!(harness.upstream_of(added_id, 0).is_some() || harness.results.contains_key(&added_id));
     }
 }
 
@@ -100,13 +100,14 @@
     }
 }
 
-/// The next process must not forget slow starts, ejections and spent tokens.
+/// A new process that restores the learned state of the old one must continue slow starts and ejections, and
+/// must not refill spent tokens.
 #[test]
 fn learned_state_keeps_slow_starts_and_ejections() {
     let settings = Settings { slow_start_window: ms(20_000), ..settings(&[Effect::Idempotent], 5) };
     let mut old_process = Harness::new(settings.clone(), &fleet(4));
     old_process.advance(ms(1000));
-    // A new upstream counts as just started even if the list holds no start time.
+    // A new upstream counts as just started even if the endpoint update contains no start time.
     old_process.handle(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &[endpoint(9)] });
     let ejected = UpstreamId(2);
     old_process
@@ -115,7 +116,7 @@
     let learned = |id: u64| learned_state.upstreams.iter().find(|u| u.id == UpstreamId(id)).unwrap();
     assert!(
         learned(2).ejected_for > 0.0 && learned(9).in_slow_start_for.is_some_and(|c| (2.0..4.0).contains(&c)),
-        "upstream 2 is ejected and upstream 9 in slow start: {learned_state:?}"
+        "upstream 2 is ejected and upstream 9 is in slow start: {learned_state:?}"
     );
 
     let attempts_with = |learned_state: Option<&LearnedState>| {
@@ -137,12 +138,12 @@
     let (to_ejected, to_starting, _) = attempts_with(Some(&learned_state));
     assert!(
         to_ejected == 0 && to_starting <= by_old_process + 1,
-        "attempts: {to_ejected} at the ejected upstream, {to_starting} in slow start, {by_old_process} before"
+        "attempts: {to_ejected} at upstream 2, {to_starting} at upstream 9 (old process: {by_old_process})"
     );
-    // Without learned state all five upstreams look alike.
+    // To a process without learned state, all five upstreams look alike.
     let (to_ejected, to_starting, to_other) = attempts_with(None);
     assert!(
         to_ejected > 10 && to_starting + 2 > to_other,
-        "attempts: {to_ejected} at the ejected upstream, {to_starting} in slow start, {to_other} elsewhere"
+        "attempts: {to_ejected} at upstream 2, {to_starting} at upstream 9, {to_other} at upstream 1"
     );
 }
--- a/crates/core/tests/short_objectives.rs
+++ b/crates/core/tests/short_objectives.rs
@@ -4,7 +4,7 @@
 use common::*;
 use maplehook_core::*;
 
-/// Objectives shorter than two ticks: the balancer learns from answers and does not panic.
+/// With a latency objective shorter than two ticks, the balancer must learn from answers and must not panic.
 #[test]
 fn serves_requests_with_an_objective_shorter_than_a_tick() {
     let settings = Settings { classes: vec![class(6, 20, Effect::Idempotent)], ..Settings::default() };
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -1,7 +1,7 @@
-//! Upstreams that have just started must not be overloaded by all balancers together. Real `Balancer`s run
-//! side by side in emulated time with random settings, traffic and starts. Each balancer is notified of a
-//! start at its own time, and some restart at that time, with or without learned state. The tests count the
-//! attempts of notified balancers.
+//! All balancers together must not overload upstreams that have just started. The tests run many `Balancer`s
+//! in emulated time with random settings and traffic. Balancers are notified of the start of upstreams at
+//! different times, and some balancers restart together with the upstreams, with or without learned state.
+//! The tests count only attempts of notified balancers.
 
 mod common;
 #[path = "common/scenario.rs"]
@@ -16,15 +16,17 @@
 use scenario::{PARAMETER_COUNT, START_TIME_S, Scenario};
 use simulation::{Measurements, simulate};
 
-/// Scenarios with a lower fair request count need not send any requests to the starting upstreams.
+/// Lowest fair request count for which a scenario must send requests to the starting upstreams.
 const MIN_FAIR_REQUESTS: f64 = 10.0;
-/// Lowest share of the fair request count that has to be sent in each scenario, and over all scenarios with
-/// the same number of balancers; the crate documentation explains what upstreams in slow start get.
+/// Lowest ratio of sent requests to the fair request count in one scenario. The crate documentation explains
+/// how many requests upstreams in slow start receive.
 const MIN_SENT_SHARE: f64 = 0.02;
+/// Lowest ratio of sent requests to the fair request count, summed over scenarios with equally many
+/// balancers.
 const MIN_TOTAL_SENT_SHARE: f64 = 0.3;
 
-/// Returns the highest ratio, over all starting upstreams and overload windows within slow start, of attempts
-/// to the overload bound.
+/// Returns the highest ratio of attempts in an overload window to the overload bound, over all starting
+/// upstreams and all windows within slow start.
 fn max_overload_ratio(scenario: &Scenario, measurements: &Measurements) -> f64 {
     let slow_start_s = scenario.settings.slow_start_window.as_secs_f64();
     let mut max_ratio = 0.0f64;
@@ -42,13 +44,14 @@
     max_ratio
 }
 
-/// Returns the fair request count of all starting upstreams, and the number of attempts at them.
+/// Returns the fair request count of all starting upstreams together, and the number of attempts at them.
 fn fair_and_sent_requests(scenario: &Scenario, measurements: &Measurements) -> (f64, f64) {
     let fair = (0..scenario.starting_count).map(|j| scenario.fair_request_count(j)).sum();
     (fair, measurements.notified_attempts.iter().map(Vec::len).sum::<usize>() as f64)
 }
 
-/// Simulates the scenarios of some seeds and checks both the overload bound and the share of requests sent.
+/// Simulates one scenario per seed. Checks that no starting upstream exceeds its overload bound, and that
+/// starting upstreams receive enough requests.
 fn assert_no_upstream_is_overloaded(balancers: usize, seeds: &[u64]) {
     let (mut max_ratio, mut total_fair, mut total_sent, mut scenarios_below_one_request) =
         (0.0f64, 0.0, 0.0, 0);
@@ -65,14 +68,14 @@
         if fair >= MIN_FAIR_REQUESTS && scenario.unanswered_class.is_none() {
             assert!(
                 sent >= MIN_SENT_SHARE * fair,
-                "seed {seed}: {sent} requests sent to starting upstreams, {fair:.0} would be fair: {scenario:?}"
+                "seed {seed}: {sent} requests to starting upstreams, {fair:.0} would be fair: {scenario:?}"
             );
             (total_fair, total_sent) = (total_fair + fair, total_sent + sent);
             scenarios_below_one_request += usize::from(fair < (balancers * scenario.starting_count) as f64);
         }
     }
     println!(
-        "{balancers} balancers: at most {max_ratio:.2} of the overload bound, {:.2} of the fair count sent",
+        "{balancers} balancers: at most {max_ratio:.2} of the overload bound, {:.2} of the fair count",
         total_sent / total_fair
     );
     assert!(
@@ -81,7 +84,7 @@
     );
     assert!(
         balancers < 300 || scenarios_below_one_request > 0,
-        "no scenario gives a balancer less than one fair request"
+        "some scenario has a fair request count below one per balancer and starting upstream"
     );
 }
 
@@ -107,8 +110,8 @@
     assert_no_upstream_is_overloaded(300, &[7, 18, 51, 56]);
 }
 
-/// All balancers restart together with the upstreams, with full token buckets and without learned state, and
-/// see the starting upstreams in their first list.
+/// All balancers restart together with the starting upstreams, with full token buckets and without learned
+/// state. Their first endpoint list contains the starting upstreams.
 #[test]
 fn balancers_that_restart_together_overload_no_upstream() {
     for (balancers, seeds) in [(3, 40..52), (30, 46..52), (300, 51..52)] {
@@ -125,10 +128,10 @@
     }
 }
 
-/// A balancer without requests must not save up slots: however long it was idle, it sends one request at once
+/// An idle balancer must not accumulate slots: however long it was idle, it may send only one request at once
 /// to an upstream in slow start.
 #[test]
-fn an_idle_balancer_saves_no_burst_for_an_upstream_in_slow_start() {
+fn an_idle_balancer_accumulates_no_slots_for_an_upstream_in_slow_start() {
     for min_share in [0.05, 0.3, 0.9] {
         let settings = Settings {
             classes: vec![class(400, 1000, Effect::Idempotent)],
@@ -143,20 +146,24 @@
         harness.advance(ms(20_000));
         harness.run_traffic(100, ms(0), |_| Some(Outcome::Ok));
         let sent = harness.attempts_to(UpstreamId(9));
-        assert_eq!(sent, 1, "requests sent at once to an upstream that starts at a share of {min_share}");
+        assert_eq!(
+            sent, 1,
+            "requests sent at once to an upstream that starts with {min_share} of its capacity"
+        );
     }
 }
 
-/// Random scenarios with 1 to 300 balancers; each run tests the same ones.
+/// Tests random scenarios with 1 to 300 balancers. The generator is seeded, so each run tests the same
+/// scenarios.
 #[test]
 fn random_scenarios_overload_no_upstream() {
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let config = Config { cases: 18, failure_persistence: None, max_shrink_iters: 60, ..Config::default() };
     let scenarios = (0.0..1.0f64, any::<u64>(), prop::collection::vec(0.0..1.0f64, PARAMETER_COUNT));
-    let result = TestRunner::new_with_rng(config, rng).run(&scenarios, |(balancers, seed, parameters)| {
+    let result = TestRunner::new_with_rng(config, rng).run(&scenarios, |(exponent, seed, parameters)| {
         let parameters: [f64; PARAMETER_COUNT] =
             parameters.try_into().expect("the strategy generates one value for each parameter");
-        let scenario = Scenario::from_parameters(300f64.powf(balancers) as usize, seed, &parameters);
+        let scenario = Scenario::from_parameters(300f64.powf(exponent) as usize, seed, &parameters);
         let measurements = simulate(&scenario);
         let (ratio, (fair, sent)) =
             (max_overload_ratio(&scenario, &measurements), fair_and_sent_requests(&scenario, &measurements));
--- a/crates/core/tests/subsetting.rs
+++ b/crates/core/tests/subsetting.rs
@@ -1,5 +1,5 @@
-//! Balancers with little traffic use a subset of the upstreams, and the subsets of all balancers together
-//! load every upstream alike.
+//! Balancers with little traffic use a subset of the upstreams. The subsets of all balancers together spread
+//! the load evenly over all upstreams.
 
 mod common;
 use common::*;
@@ -24,20 +24,21 @@
     harness.attempts.values().flatten().map(|s| s.1).collect()
 }
 
-/// Upstreams must not run out of connections: 240 balancers with two requests a second each.
+/// Upstreams run out of connections if every balancer connects to each of them. Here, 240 balancers send two
+/// requests per second each.
 #[test]
-fn balancers_with_little_traffic_use_few_upstreams_and_together_all_alike() {
+fn subsets_are_small_at_little_traffic_and_cover_all_upstreams_evenly() {
     let fleet: Vec<_> = (1..=48).map(|id| endpoint(id * 7919)).collect();
     let mut balancers_by_upstream: BTreeMap<UpstreamId, usize> = BTreeMap::new();
     for index in 0..BALANCERS {
         let subset = run_and_collect_upstreams(&mut Harness::new(settings(index), &fleet), 60);
-        assert!((2..=10).contains(&subset.len()), "one balancer uses {} upstreams", subset.len());
+        assert!((2..=10).contains(&subset.len()), "a balancer uses {} upstreams", subset.len());
         subset.into_iter().for_each(|u| *balancers_by_upstream.entry(u).or_default() += 1);
     }
     let (fewest, most) =
         (balancers_by_upstream.values().min().unwrap(), balancers_by_upstream.values().max().unwrap());
     assert_eq!(balancers_by_upstream.len(), fleet.len(), "every upstream is used");
-    assert!(*most * 2 <= *fewest * 3, "upstreams are used by {fewest} to {most} balancers each");
+    assert!(*most * 2 <= *fewest * 3, "each upstream is used by {fewest} to {most} balancers");
 }
 
 #[test]
@@ -49,7 +50,8 @@
     assert_eq!(run_and_collect_upstreams(&mut busy_balancer, 300).len(), 60);
 }
 
-/// Changes of other upstreams leave a subset as it is. Upstreams of the subset that are removed are replaced.
+/// The removal of upstreams outside a subset must not change the subset. Upstreams that are removed from
+/// within the subset must be replaced.
 #[test]
 fn a_subset_is_stable_and_replaces_removed_upstreams() {
     let fleet: Vec<_> = (1..=48).map(|id| endpoint(id * 7919)).collect();
@@ -64,7 +66,7 @@
     assert_eq!(
         run_and_collect_upstreams(&mut harness, 60),
         before,
-        "changes of other upstreams don't change the subset"
+        "removing upstreams outside the subset does not change the subset"
     );
     harness.handle(Event::EndpointUpdate {
         scope: UpdateScope::Changes,
@@ -75,7 +77,7 @@
     assert_eq!(after.intersection(&before).count(), before.len() - 2);
 }
 
-/// Without stated allowances, a single balancer still uses every upstream, whatever its traffic.
+/// Without tenant allowances, a single balancer must still use every upstream, however little traffic it has.
 #[test]
 fn a_single_balancer_uses_every_upstream() {
     let single = Settings { balancers: 1, index: 0, tenants: Vec::new(), ..settings(0) };
--- a/crates/core/tests/traffic_split.rs
+++ b/crates/core/tests/traffic_split.rs
@@ -1,4 +1,4 @@
-//! Traffic splits by group of requests: the zones that requests go to, and the requests that are rejected.
+//! Traffic splits by group of requests: selection of zones, rejection of requests, and zones of retries.
 
 mod common;
 
@@ -28,6 +28,7 @@
     }
 }
 
+/// Returns a row of a traffic split, in a region that consists of zones 1 and 2.
 fn row(zone_shares: &[(u8, f64)]) -> GroupSplit {
     GroupSplit {
         zone_shares: zone_shares.iter().map(|(z, s)| (ZoneId(*z), *s)).collect(),
@@ -47,8 +48,8 @@
     harness
 }
 
-/// Sends requests and counts the first attempts by zone. Attempts in `unreachable_zones` fail to connect, all
-/// others succeed at once.
+/// Sends `count` requests and returns the number of first attempts by zone. Attempts in `unreachable_zones`
+/// fail to connect, and all others succeed at once.
 fn send_and_count(
     harness: &mut Harness,
     class: u16,
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn requests_follow_the_shares_and_the_rest_is_rejected() {
+fn requests_follow_the_zone_shares_and_unassigned_requests_are_rejected() {
     let mut harness = new_harness(settings(), &fleet(&[1, 2, 3], 3), &split_of(row(&[(1, 0.5), (3, 0.3)])));
     let counts = send_and_count(&mut harness, 0, 0, 10_000, &[]);
     assert_eq!(counts.keys().copied().collect::<Vec<_>>(), [1, 3]);
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn the_share_of_a_zone_without_upstreams_goes_to_the_others_in_proportion() {
+fn the_share_of_a_zone_without_upstreams_goes_to_the_other_zones_in_proportion() {
     let fleet = fleet(&[1, 2, 3], 3);
     let mut harness = new_harness(settings(), &fleet, &split_of(row(&[(1, 0.5), (2, 0.3), (3, 0.1)])));
     send_and_count(&mut harness, 0, 0, 100, &[]);
@@ -131,7 +132,7 @@
     let counts = send_and_count(&mut harness, 0, 0, 500, &[1]);
     assert!(counts.get(&1).copied().unwrap_or(0) <= 12, "{counts:?}");
     assert!(counts[&2] >= 480, "{counts:?}");
-    // With every reached zone unreachable, requests are still sent there.
+    // If both zones of the split are unreachable, requests are still sent to them.
     let counts = send_and_count(&mut harness, 0, 0, 3000, &[1, 2]);
     assert!(counts.values().sum::<u32>() > 100, "{counts:?}");
 }
@@ -143,12 +144,12 @@
     let mut harness = new_harness(settings(), &fleet(&[1, 2, 3, 4], 1), &split);
     send_and_count(&mut harness, 0, 0, 300, &[1]);
     let zones: Vec<u8> = harness.attempts.values().flatten().map(|s| zone_of(s.1)).collect();
-    assert!(zones.contains(&2), "retries use the zone of the region that has no share");
+    assert!(zones.contains(&2), "retries use zone 2, which is in the region but has no share");
     assert!(
         !zones.contains(&3) && !zones.contains(&4),
-        "retries avoid the forbidden zone and the zone outside the region without a share"
+        "retries avoid zone 3, which is forbidden, and zone 4, which is outside the region"
     );
-    // The region's only other zone is forbidden.
+    // Zone 2, the only other zone of the region, is forbidden.
     split.rows[0].forbidden = vec![ZoneId(2)];
     harness.handle(Event::TrafficSplit { split: Some(&split) });
     let before = harness.attempts.len();
@@ -158,7 +159,7 @@
 
 #[test]
 fn the_cross_region_bound_includes_retries() {
-    // Most first attempts in the region fail, and retries have no other zone than the one outside the region.
+    // Zone 1 rejects two thirds of its requests. Only zone 3, outside the region, is left for retries.
     let mut split = split_of(row(&[(1, 0.9), (3, 0.1)]));
     split.rows[0].max_cross_region = 0.12;
     let settings = Settings { can_hedge: false, ..settings() };
@@ -242,7 +243,7 @@
         harness.handle(Event::TrafficSplit { split: Some(&split) });
         assert_eq!(send_and_count(&mut harness, 0, 0, 5, &[]), BTreeMap::from([(1, 5)]));
     }
-    // Unusual but valid splits: no tenants in the table, no zones, zones that don't exist.
+    // Unusual but valid splits have no tenants in their table, and no zones or only zones that don't exist.
     for zone_shares in [&[][..], &[(9, 1.0)], &[(9, 0.5)]] {
         harness.handle(Event::TrafficSplit {
             split: Some(&TrafficSplit { groups: Vec::new(), tenants: 0, ..split_of(row(zone_shares)) }),
@@ -251,7 +252,7 @@
     }
     harness.handle(Event::TrafficSplit { split: None });
     let counts = send_and_count(&mut harness, 0, 0, 100, &[]);
-    assert!(counts[&1] > 30 && counts[&2] > 30, "without a split both zones are used again: {counts:?}");
+    assert!(counts[&1] > 30 && counts[&2] > 30, "without a split, both zones are used: {counts:?}");
 }
 
 #[test]
@@ -262,7 +263,7 @@
     harness.handle(Event::EndpointUpdate { scope: UpdateScope::Changes, endpoints: &moved_endpoints });
     send_and_count(&mut harness, 0, 0, 100, &[]);
     let attempts_at_moved = harness.attempts_to(list[0].id);
-    assert_eq!(attempts_at_moved, 0, "the upstream is now in the other zone");
+    assert_eq!(attempts_at_moved, 0, "the upstream moved to a zone without a share");
     let settings = Settings { classes: vec![settings().classes[0].clone(); 4], ..settings() };
     harness.handle(Event::SettingsChanged { settings: &settings, removed_tenants: &[] });
     assert_eq!(send_and_count(&mut harness, 3, 1, 50, &[]), BTreeMap::from([(1, 50)]));
@@ -293,13 +294,13 @@
         }
         harness.advance(ms(10));
     }
-    // An upstream of the other zone is ejected for this class and trials of it are due, while no zone is
-    // avoided as a whole.
+    // An upstream of zone 3 is ejected for this class and trials of it are due, but the balancer does not
+    // avoid the complete zone. Requests of tenant 0 must still go to zone 1 only.
     assert_eq!(send_and_count(&mut harness, 0, 0, 4000, &[]), BTreeMap::from([(1, 4000)]));
 }
 
 #[test]
-fn a_subset_contains_only_reached_upstreams() {
+fn a_subset_contains_only_upstreams_in_zones_with_a_share() {
     let settings = Settings { balancers: 1000, ..settings() };
     let mut harness = new_harness(settings, &fleet(&[1, 2, 3, 4], 100), &split_of(row(&[(1, 1.0)])));
     send_and_count(&mut harness, 0, 0, 2000, &[]);
@@ -332,10 +333,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, rng_seed: RngSeed::Fixed(34), ..ProptestConfig::default() })]
 
-    /// For any split, shares are met within 1 %, a forbidden zone gets nothing, and the cross-region bound
-    /// holds.
+    /// Zone shares are met within 1 %, forbidden zones get no attempts, and the cross-region bound holds.
     #[test]
-    fn any_split_is_followed(
+    fn any_valid_split_is_obeyed(
         weights in prop::collection::vec(0u32..1000, 1..6),
         unassigned in 0u32..500,
         forbidden_zone in 0u8..8,
@@ -383,14 +383,14 @@
         );
         let outside_share: f64 =
             zone_shares.iter().filter(|(z, _)| is_outside_region(z)).map(|(_, s)| s).sum();
-        // The shares are met if the split is within the bound, retries use none of the bound, and no upstream
-        // is avoided because it rejects requests.
+        // Shares are met only if the split itself is within the cross-region bound and no zone fails. Retries
+        // use up the bound, and upstreams that reject requests are avoided.
         if (outside_share == 0.0 || bound_tenths == 10) && !failing_zones.contains(&true) {
             for (zone, share) in &zone_shares {
                 let received = f64::from(first_attempts.get(zone).copied().unwrap_or(0)) / f64::from(count);
                 prop_assert!(
                     (received - share).abs() <= 0.01,
-                    "zone {zone} got {received} for a share of {share}"
+                    "zone {zone} received {received} of the requests instead of {share}"
                 );
             }
         }
