--- a/crates/core/tests/common/scenario.rs
+++ b/crates/core/tests/common/scenario.rs
@@ -9,7 +9,7 @@
 /// Highest request rate of all balancers together. Higher rates take longer to simulate and cover no further
 /// cases.
 const MAX_RATE_PER_S: f64 = 900.0;
-/// Lowest request rate of a balancer, averaged over all balancers.
+/// Lowest request rate of all balancers together, divided by the number of balancers.
 const MIN_BALANCER_RATE_PER_S: f64 = 0.2;
 /// Longest time that an idle upstream takes to serve one request, in seconds.
 const MAX_SERVICE_TIME_S: f64 = 0.3;
--- a/crates/core/tests/common/simulation.rs
+++ b/crates/core/tests/common/simulation.rs
@@ -82,9 +82,9 @@
     pub unnotified_attempts: usize,
     pub requests_after_start: usize,
     pub served_after_start: usize,
-    /// Number of stalls without an attempt, after the start and after the outage.
+    /// Number of stalls without an attempt; counting begins after the start and after any outage.
     pub attempt_stalls: usize,
-    /// Number of stalls without a served request, after the start and after the outage.
+    /// Number of stalls without a served request, counted in the same time.
     pub service_stalls: usize,
 }
 
--- a/crates/core/tests/decision_digests.rs
+++ b/crates/core/tests/decision_digests.rs
@@ -207,7 +207,7 @@
             simulation.handle(Event::RequestCancelled { id });
         }
         if n % 1500 == 700 {
-            // Upstreams become ready, drain, are removed and restart.
+            // One upstream becomes ready, drains or is removed, and gets a new start time.
             let pick = simulation.rng.next_below(list.len() as u64) as usize;
             list[pick].availability = [Availability::Ready, Availability::Draining, Availability::Removed]
                 [simulation.rng.next_below(3) as usize];
--- a/crates/core/tests/discovery_calls.rs
+++ b/crates/core/tests/discovery_calls.rs
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Runs the simulation for `span` while the service shows one behavior.
+    /// Runs the simulation for `span` with this behavior of the service.
     fn run_service(&mut self, service: Service, span: Duration) {
         self.change_service(service);
         // During a recovery at most one call fails: the service rejects none if a call or a watch still
--- a/crates/core/tests/headroom.rs
+++ b/crates/core/tests/headroom.rs
@@ -100,8 +100,8 @@
     );
 }
 
-/// A latency that is a large part of the objective at any load does not indicate a queue. If it did, the
-/// balancer would reject more and more requests, until it admitted almost none.
+/// A latency that is a large part of the objective at any load does not indicate a queue. Otherwise
+/// the balancer would reject more and more requests, until it admitted almost none.
 #[test]
 fn constant_latency_is_not_taken_for_a_queue() {
     let (rejected, _) = count_rejected_and_late(12_000, ms(2), |k| Some(ms(34 + u64::from(k % 10))));
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -8,7 +8,7 @@
 const MAX_FILE_LINES: usize = 400;
 const MAX_LINE_CHARACTERS: usize = 110;
 /// Prefix of a table row in a doc comment. Table rows can't be wrapped, so they may be longer.
-const TABLE_ROW: &str = "//! |";
+const TABLE_ROW_PREFIX: &str = "//! |";
 /// Files without decision logic, such as stored state, counters and the crate documentation. The files of the
 /// interface are not listed here.
 const WITHOUT_DECISIONS: [&str; 12] = [
@@ -37,7 +37,7 @@
             ));
         }
         let is_too_long =
-            |line: &str| line.chars().count() > MAX_LINE_CHARACTERS && !line.starts_with(TABLE_ROW);
+            |line: &str| line.chars().count() > MAX_LINE_CHARACTERS && !line.starts_with(TABLE_ROW_PREFIX);
         for (number, line) in text.lines().enumerate().filter(|(_, line)| is_too_long(line)) {
             messages.push(format!(
                 "{name}: line {} has {} characters, at most {MAX_LINE_CHARACTERS} are allowed",
@@ -127,5 +127,7 @@
         "the limit counts characters, not bytes"
     );
     assert_eq!(violations(&files(&"x".repeat(MAX_LINE_CHARACTERS + 1))).len(), 1);
-    assert!(violations(&files(&format!("{TABLE_ROW} {}", "x".repeat(MAX_LINE_CHARACTERS)))).is_empty());
+    assert!(
+        violations(&files(&format!("{TABLE_ROW_PREFIX} {}", "x".repeat(MAX_LINE_CHARACTERS)))).is_empty()
+    );
 }
--- a/crates/core/tests/no_total_rejection.rs
+++ b/crates/core/tests/no_total_rejection.rs
@@ -1,4 +1,4 @@
-//! A balancer stalls if it makes no attempt, or serves no request, for four seconds. At most one balancer in
+//! A balancer stalls if it sends no attempt, or serves no request, for four seconds. At most one balancer in
 //! ten may stall after a start, or after an outage of all upstreams. The tests run `Balancer`s in emulated
 //! time with random settings.
 
--- a/crates/core/tests/settings_change.rs
+++ b/crates/core/tests/settings_change.rs
@@ -77,12 +77,12 @@
                 let zones: Vec<u64> = harness.attempts[&id].iter().map(|(_, u)| u.0 % 2).collect();
                 prop_assert!(
                     new_attempts.is_empty() || zones.last() == zones.iter().rev().nth(1),
-                    "a repeat goes to the zone of the attempt before; zones of all attempts: {zones:?}"
+                    "a repeat goes to the zone of the preceding attempt; zones of all attempts: {zones:?}"
                 );
             }
         }
         harness.advance(ms(5000));
-        // Requests of the class that the changed settings add are handled as well.
+        // Requests of a class that the new settings added are handled as well.
         let added_id = harness.send_request(2, 0, ms(1000));
         prop_assert!(harness.upstream_of(added_id, 0).is_some() || harness.results.contains_key(&added_id));
     }
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -20,10 +20,10 @@
 const MIN_FAIR_REQUESTS: f64 = 10.0;
 /// Lowest ratio of sent requests to the fair request count in one scenario. The crate documentation explains
 /// how many requests upstreams in slow start receive.
-const MIN_SENT_SHARE: f64 = 0.02;
+const MIN_SENT_RATIO: f64 = 0.02;
 /// Lowest ratio of sent requests to the fair request count, summed over scenarios with equally many
 /// balancers.
-const MIN_TOTAL_SENT_SHARE: f64 = 0.3;
+const MIN_TOTAL_SENT_RATIO: f64 = 0.3;
 
 /// Returns the highest ratio of attempts in an overload window to the overload bound, over all starting
 /// upstreams and all windows within slow start.
@@ -67,7 +67,7 @@
         let (fair, sent) = fair_and_sent_requests(&scenario, &measurements);
         if fair >= MIN_FAIR_REQUESTS && scenario.unanswered_class.is_none() {
             assert!(
-                sent >= MIN_SENT_SHARE * fair,
+                sent >= MIN_SENT_RATIO * fair,
                 "seed {seed}: {sent} requests to starting upstreams, {fair:.0} would be fair: {scenario:?}"
             );
             (total_fair, total_sent) = (total_fair + fair, total_sent + sent);
@@ -79,7 +79,7 @@
         total_sent / total_fair
     );
     assert!(
-        total_sent >= MIN_TOTAL_SENT_SHARE * total_fair,
+        total_sent >= MIN_TOTAL_SENT_RATIO * total_fair,
         "{total_sent} requests sent over all scenarios, {total_fair:.0} would be fair"
     );
     assert!(
@@ -170,7 +170,7 @@
         prop_assert!(ratio <= 1.0, "an upstream received {ratio:.2} times its overload bound: {scenario:?}");
         let is_checked = fair >= MIN_FAIR_REQUESTS && scenario.unanswered_class.is_none();
         prop_assert!(
-            !is_checked || sent >= MIN_SENT_SHARE * fair,
+            !is_checked || sent >= MIN_SENT_RATIO * fair,
             "{sent} requests sent to starting upstreams, {fair:.0} would be fair: {scenario:?}"
         );
         Ok(())
--- a/crates/core/tests/split_admission.rs
+++ b/crates/core/tests/split_admission.rs
@@ -23,7 +23,7 @@
     balancer: Balancer,
     now: Duration,
     timer_due: Duration,
-    /// Time at which the queue of each upstream is empty.
+    /// Time at which each upstream has served all requests in its queue.
     free_at: BTreeMap<u64, Duration>,
     /// Upstream and send time of each attempt, by end time, request and attempt number.
     pending_attempts: BTreeMap<(Duration, u32, u8), (UpstreamId, Duration)>,
