--- a/crates/core/tests/failures.rs
+++ b/crates/core/tests/failures.rs
@@ -316,7 +316,7 @@
 }
 
 /// Some middleboxes drop idle connections silently, so that requests after a pause get no answer. After a
-/// pause, the balancer must close idle connections instead of using them.
+/// pause, the balancer must close idle connections instead of using them, and keep connections in use.
 #[test]
 fn closes_idle_connections_that_were_dropped_silently() {
     let mut harness = Harness::new(settings(Effect::AtMostOnce), &fleet(2));
