--- a/crates/proxy/src/server/respond.rs
+++ b/crates/proxy/src/server/respond.rs
@@ -19,10 +19,7 @@
 use tokio::task::spawn_local;
 
 /// Response to a request that is not forwarded; it permits a retry.
-const NOT_FORWARDED: Unfit = Unfit::new(
-    StatusCode::SERVICE_UNAVAILABLE,
-    "not forwarded: the process is shutting down or the client disconnected",
-);
+const NOT_FORWARDED: Unfit = Unfit::new(StatusCode::SERVICE_UNAVAILABLE, "nothing is sent on any more");
 
 impl Server {
     /// Returns the final response to a request.
