--- a/crates/engine/src/parts/discovery/timeouts.rs
+++ b/crates/engine/src/parts/discovery/timeouts.rs
@@ -7,9 +7,9 @@
 /// Timeouts of the first steps of a discovery call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryTimeouts {
-    /// Limit for connecting.
+    /// Time limit for establishing the connection.
     pub(super) connect: Duration,
-    /// Limit for the response head, counted from the connection.
+    /// Time limit for the response head, counted from the established connection.
     pub(super) head: Duration,
 }
 
--- a/crates/engine/src/parts/driver.rs
+++ b/crates/engine/src/parts/driver.rs
@@ -54,7 +54,7 @@
     pub upstream: Option<UpstreamId>,
 }
 
-/// Request with everything the decision module needs.
+/// Client request with the attributes that the decision module uses.
 pub struct RequestContext {
     /// Class that sets the deadline and the retry rules.
     pub class: ClassId,
--- a/crates/engine/src/parts/pool.rs
+++ b/crates/engine/src/parts/pool.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Resource for an attempt.
+/// Connection for an attempt, or permission to open one.
 pub enum Acquired {
     /// A reusable connection.
     Idle(Connection),
