--- a/crates/failover/tests/all/dwell_times.rs
+++ b/crates/failover/tests/all/dwell_times.rs
@@ -34,7 +34,7 @@
         "zone a must keep 800 requests per second: {:?}",
         sim.document.plan
     );
-    // Between the two thresholds spillover stays active, and a higher load does not have to wait again.
+    // Between the two thresholds spillover stays active, and a load of 95 % does not have to wait again.
     sim.zones[0].demand = 700.0;
     sim.run(10.0);
     sim.zones[0].demand = 950.0;
--- a/crates/failover/tests/all/orders_and_leaders.rs
+++ b/crates/failover/tests/all/orders_and_leaders.rs
@@ -148,7 +148,7 @@
     assert!(sim.document.plan.epoch >= last_document.plan.epoch);
     assert_eq!((sim.zone_state(0), sim.zone_state(3)), (ZoneState::Unreachable, ZoneState::Evacuated));
     let status = &sim.document.zone_statuses[0];
-    assert!(status.since_ms > last_document.zone_statuses[0].since_ms, "the age must grow: {status:?}");
+    assert!(status.since_ms > last_document.zone_statuses[0].since_ms, "state age must grow: {status:?}");
     assert!(
         status.penalty > last_document.zone_statuses[0].penalty * 0.8
             && status.penalty <= last_document.zone_statuses[0].penalty
--- a/crates/failover/tests/all/planner.rs
+++ b/crates/failover/tests/all/planner.rs
@@ -28,7 +28,7 @@
     capacity: Vec<f64>,
     fallback: Vec<f64>,
     reach: Vec<u64>,
-    spills: Vec<bool>,
+    spill_open: Vec<bool>,
     demand: Vec<f64>,
 }
 
@@ -36,13 +36,13 @@
     fn new(rules: &Rules, capacity: Vec<f64>, demand: &[f64]) -> Self {
         let priorities = PriorityLists::new(&topology(), rules);
         let rates = priorities.lists.iter().enumerate().map(|(n, _)| demand[n % demand.len()]).collect();
-        let spills = vec![true; priorities.lists.len()];
+        let spill_open = vec![true; priorities.lists.len()];
         Self {
             priorities,
             capacity,
             fallback: vec![0.0; ZONES],
             reach: vec![0b1111; ZONES],
-            spills,
+            spill_open,
             demand: rates,
         }
     }
@@ -53,7 +53,7 @@
             capacity: &self.capacity,
             fallback: &self.fallback,
             reach: &self.reach,
-            spill_open: &self.spills,
+            spill_open: &self.spill_open,
             demand: &self.demand,
         }
     }
@@ -203,10 +203,10 @@
     let demand = prop::collection::vec(integer_below(7), 12);
     let reach = prop::collection::vec(prop_oneof![3 => Just(0b1111u64), 1 => 0u64..16], ZONES);
     (rule_list, capacities, fallback, demand, reach, any::<bool>()).prop_map(
-        |(rule_list, capacity, fallback, demand, reach, spills)| {
+        |(rule_list, capacity, fallback, demand, reach, spill_open)| {
             let mut case = FlowCase::new(&rules(rule_list), capacity, &demand);
             (case.fallback, case.reach) = (fallback, reach);
-            case.spills.iter_mut().for_each(|o| *o = spills);
+            case.spill_open.iter_mut().for_each(|o| *o = spill_open);
             case
         },
     )
--- a/crates/failover/tests/all/zone_failures.rs
+++ b/crates/failover/tests/all/zone_failures.rs
@@ -68,7 +68,7 @@
     assert!(sim.max_load <= 1.001, "maximum load {}", sim.max_load);
     assert!(
         sim.share(0, 2) > 0.1 && sim.share(0, 3) > 0.1,
-        "too little leaves the region: {:?}",
+        "zones c and d must get requests of zone a: {:?}",
         sim.document.plan
     );
     assert!((1..4).all(|zone| sim.share(zone, zone) == 1.0), "the other zones must serve their own clients");
@@ -158,7 +158,7 @@
         sim.agreed_documents.iter().map(|(_, d)| f64::from(d.zone_statuses[0].admitted_share)).collect();
     assert!(
         admitted_shares.iter().filter(|share| **share > 0.0 && **share < 1.0).count() >= 5,
-        "too few steps: {admitted_shares:?}"
+        "the admitted share must grow in steps: {admitted_shares:?}"
     );
 }
 
@@ -230,7 +230,7 @@
         sim.run(15.0);
         assert!(
             sim.document.plan.rows.is_empty(),
-            "{balancers_per_zone} balancers per zone: {:?}",
+            "{balancers_per_zone} balancers per zone, no traffic may move: {:?}",
             sim.document.plan
         );
         assert!((0..4).all(|zone| sim.zone_state(zone) == ZoneState::Serving));
