--- a/crates/config-follower/src/follower.rs
+++ b/crates/config-follower/src/follower.rs
@@ -3,7 +3,7 @@
 use crate::error::FollowError;
 use crate::task::{ActiveRules, FollowerTask};
 use maplehook::Engine;
-use maplehook::lists::Lists;
+use maplehook::endpoint_list::EndpointList;
 use maplehook::source::Fixed;
 use maplehook_config::{Agreement, Proxy, Tier};
 use maplehook_consensus::{AdminClient, ConsensusService, EnforcementMode};
@@ -85,7 +85,7 @@
     let mut ids = StableIds::default();
     let resolved = ids.assign(&initial_rules);
     let endpoints = Fixed::listed(initial_rules.listed(|zone| zone));
-    let lists = Lists::new(endpoints.clone().into_entries());
+    let lists = EndpointList::new(endpoints.clone().into_entries());
     let source = lists.clone();
     let engine = Engine::builder(resolved.settings)
         .seed(seed)
@@ -93,7 +93,7 @@
         .source(move |_| Rc::new(source))
         .passages(resolved.passages)
         .forwarding(initial_rules.forwarding.clone())
-        .bodies(initial_rules.bodies)
+        .body_memory(initial_rules.bodies)
         .start()
         .map_err(FollowError::Engine)?;
     let mut member = join_cluster(&tier, env!("CARGO_PKG_VERSION"))?;
--- a/crates/config-follower/src/task.rs
+++ b/crates/config-follower/src/task.rs
@@ -1,7 +1,7 @@
 //! The task that lets an engine follow the active version.
 
 use crate::engine_lease::engine_lease;
-use maplehook::lists::Lists;
+use maplehook::endpoint_list::EndpointList;
 use maplehook::source::Fixed;
 use maplehook::{AdoptError, Handle, Lease, Version};
 use maplehook_consensus::{ActiveVersion, EnforcementMode};
@@ -28,7 +28,7 @@
 pub(crate) struct FollowerTask {
     pub(crate) engine: Handle,
     pub(crate) ids: StableIds,
-    pub(crate) lists: Lists,
+    pub(crate) lists: EndpointList,
     pub(crate) active_rules: watch::Sender<Arc<ActiveRules>>,
 }
 
@@ -81,7 +81,7 @@
         let list = Fixed::listed(proxy.listed(|zone| resolved.zone_id(zone))).into_entries();
         let version = Version {
             settings: resolved.settings,
-            gone: resolved.removed_tenants,
+            removed_tenants: resolved.removed_tenants,
             passages: resolved.passages,
             lease,
             list: Some((self.lists.clone(), list)),
--- a/crates/engine/src/call.rs
+++ b/crates/engine/src/call.rs
@@ -40,7 +40,7 @@
 /// The body of a call.
 pub enum CallBody {
     /// In hand.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Read as it is needed, on the engine's thread. What is longer than its class's buffer is sent once.
     Stream(Pin<Box<dyn Body<Data = Bytes, Error = Failure> + Send>>),
 }
@@ -59,7 +59,7 @@
 impl fmt::Debug for CallBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Whole(body) => write!(f, "{} bytes", body.len()),
+            Self::Buffered(body) => write!(f, "{} bytes", body.len()),
             Self::Stream(body) => write!(f, "a stream of {:?}", body.size_hint()),
         }
     }
@@ -67,13 +67,13 @@
 
 impl From<Bytes> for CallBody {
     fn from(body: Bytes) -> Self {
-        Self::Whole(body)
+        Self::Buffered(body)
     }
 }
 
 impl From<&'static str> for CallBody {
     fn from(body: &'static str) -> Self {
-        Self::Whole(body.into())
+        Self::Buffered(body.into())
     }
 }
 
@@ -83,55 +83,55 @@
     /// An upstream's answer, whatever its status.
     Served(Reply),
     /// It never ran; trying again is harmless.
-    Refused(Refusal),
+    Rejected(Rejection),
     /// It may have run.
     Failed,
 }
 
-/// Why a call was not run.
+/// RejectionReason a call was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
-    /// Why.
-    pub why: Why,
+pub struct Rejection {
+    /// RejectionReason.
+    pub reason: RejectionReason,
     /// How long the caller should stay away, if that is known.
     pub retry_after: Option<Duration>,
 }
 
-/// Why a call was not run.
+/// RejectionReason a call was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RejectionReason {
     /// The balancer has no room for it, no upstream took it, or the ledger is full.
-    NoRoom,
+    NoCapacity,
     /// Too many calls wait for the engine.
-    Busy,
+    QueueFull,
     /// The engine ends, or has ended.
-    Ending,
+    ShuttingDown,
     /// Its body is longer than its class allows.
-    TooLong,
+    BodyTooLong,
     /// Its body broke off, or did not come in time.
-    BrokeOff,
+    BodyIncomplete,
     /// There is no such class, or a header that can't be passed on.
-    Unfit,
+    InvalidCall,
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self.why {
-            Why::NoRoom => "refused: no room",
-            Why::Busy => "refused: too many calls wait",
-            Why::Ending => "refused: the engine ends",
-            Why::TooLong => "refused: the body is too long",
-            Why::BrokeOff => "refused: the body did not come whole",
-            Why::Unfit => "refused: no such class, or an unfit head",
+        f.write_str(match self.reason {
+            RejectionReason::NoCapacity => "refused: no room",
+            RejectionReason::QueueFull => "refused: too many calls wait",
+            RejectionReason::ShuttingDown => "refused: the engine ends",
+            RejectionReason::BodyTooLong => "refused: the body is too long",
+            RejectionReason::BodyIncomplete => "refused: the body did not come whole",
+            RejectionReason::InvalidCall => "refused: no such class, or an unfit head",
         })
     }
 }
 
-impl std::error::Error for Refusal {}
+impl std::error::Error for Rejection {}
 
-impl From<Why> for Refusal {
-    fn from(why: Why) -> Self {
-        Self { why, retry_after: None }
+impl From<RejectionReason> for Rejection {
+    fn from(reason: RejectionReason) -> Self {
+        Self { reason, retry_after: None }
     }
 }
 
@@ -154,25 +154,25 @@
 #[derive(Debug)]
 pub enum ReplyBody {
     /// In hand.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// As it comes. Its reader sets the pace; when it is dropped, the upstream's connection closes.
-    Stream(Streaming),
+    Stream(StreamedBody),
 }
 
 /// A body that comes from the engine's thread.
 #[derive(Debug)]
-pub struct Streaming {
-    pub(crate) frames: mpsc::Receiver<Piece>,
+pub struct StreamedBody {
+    pub(crate) frames: mpsc::Receiver<StreamItem>,
     pub(crate) hint: SizeHint,
     pub(crate) ended: bool,
 }
 
 /// A piece of a body; `None` is its end. Without one it has broken off.
-pub(crate) type Piece = Option<Result<Frame<Bytes>, Failure>>;
+pub(crate) type StreamItem = Option<Result<Frame<Bytes>, Failure>>;
 
 impl ReplyBody {
     /// All of it.
-    pub async fn whole(self) -> Result<Bytes, Failure> {
+    pub async fn into_bytes(self) -> Result<Bytes, Failure> {
         Ok(BodyExt::collect(self).await?.to_bytes())
     }
 }
@@ -186,8 +186,8 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Failure>>> {
         match &mut *self {
-            Self::Whole(body) if body.is_empty() => Poll::Ready(None),
-            Self::Whole(body) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(body))))),
+            Self::Buffered(body) if body.is_empty() => Poll::Ready(None),
+            Self::Buffered(body) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(body))))),
             Self::Stream(streaming) if streaming.ended => Poll::Ready(None),
             Self::Stream(streaming) => {
                 let piece = ready!(streaming.frames.poll_recv(cx));
@@ -199,14 +199,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.is_empty(),
+            Self::Buffered(body) => body.is_empty(),
             Self::Stream(streaming) => streaming.ended,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => SizeHint::with_exact(body.len() as u64),
+            Self::Buffered(body) => SizeHint::with_exact(body.len() as u64),
             Self::Stream(streaming) => streaming.hint,
         }
     }
--- a/crates/engine/src/lists.rs
+++ b/crates/engine/src/endpoint_list.rs
@@ -7,9 +7,9 @@
 
 /// A list that is set, from any thread; its copies are the same one.
 #[derive(Clone, Debug)]
-pub struct Lists(watch::Sender<Vec<Entry>>);
+pub struct EndpointList(watch::Sender<Vec<Entry>>);
 
-impl Lists {
+impl EndpointList {
     /// This one, until another is set.
     pub fn new(entries: Vec<Entry>) -> Self {
         Self(watch::Sender::new(entries))
@@ -25,14 +25,14 @@
     }
 
     /// The list.
-    pub fn news(&self) -> EndpointUpdate {
+    pub fn full_update(&self) -> EndpointUpdate {
         EndpointUpdate { scope: UpdateScope::Full, entries: self.0.borrow().clone() }
     }
 }
 
-impl Source for Lists {
+impl Source for EndpointList {
     fn fetch(&self) -> Task<'_, EndpointUpdate> {
-        Box::pin(std::future::ready(self.news()))
+        Box::pin(std::future::ready(self.full_update()))
     }
 
     fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
@@ -40,7 +40,7 @@
             let mut changes = self.0.subscribe();
             loop {
                 changes.mark_unchanged();
-                tell(self.news());
+                tell(self.full_update());
                 if changes.changed().await.is_err() {
                     return;
                 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -7,10 +7,11 @@
 
 use pump::pump;
 
-use crate::call::{Call, CallBody, Outcome, Refusal, Reply, ReplyBody, Streaming, Why};
+use crate::call::{Call, CallBody, Outcome, Rejection, RejectionReason, Reply, ReplyBody, StreamedBody};
+use crate::endpoint_list::EndpointList;
 use crate::label::Label;
 use crate::ledger::{Bounds, Identity};
-use crate::lists::Lists;
+use crate::metrics::{Metrics, RequestMetrics};
 use crate::parts::answer::{ResponseBody, UpstreamResponse};
 use crate::parts::attempt::OutboundRequest;
 use crate::parts::body::{Fault, Payload, Upload, receive_body};
@@ -20,7 +21,6 @@
 use crate::parts::driver::{Answer, Driver, RequestContext, Trace};
 use crate::parts::upstream::{Lease, Upstreams};
 use crate::source::{EndpointUpdate, Entry, Fixed, Source};
-use crate::tally::{Counting, Tally};
 use hyper::Uri;
 use hyper::body::Body;
 use maplehook_core::{Balancer, Effect, Settings, TenantId, UpdateScope};
@@ -40,7 +40,7 @@
 /// After the deadline of a shutdown, what is still held gets its final answer within this.
 const LAST_WORDS: Duration = Duration::from_millis(500);
 
-/// Why an engine does not start.
+/// RejectionReason an engine does not start.
 #[derive(Debug)]
 pub struct StartError(Box<dyn Error + Send + Sync>);
 
@@ -65,11 +65,11 @@
     fixed: Option<Fixed>,
     source: Option<MakeSource>,
     connections: usize,
-    bodies: usize,
+    body_memory: usize,
     ledger: Bounds,
     passages: Option<Vec<Passage>>,
     forwarding: Forwarding,
-    tally: Arc<Tally>,
+    metrics: Arc<Metrics>,
 }
 
 impl Builder {
@@ -97,9 +97,9 @@
         self
     }
 
-    /// Bytes that bodies which are held may take together; 16 MiB if unset. Where there is no room, they stream.
-    pub fn bodies(mut self, bytes: usize) -> Self {
-        self.bodies = bytes;
+    /// Bytes that body_memory which are held may take together; 16 MiB if unset. Where there is no room, they stream.
+    pub fn body_memory(mut self, bytes: usize) -> Self {
+        self.body_memory = bytes;
         self
     }
 
@@ -116,8 +116,8 @@
     }
 
     /// Where it counts, by the classes' numbers; in figures of its own if unset.
-    pub fn tally(mut self, tally: Arc<Tally>) -> Self {
-        self.tally = tally;
+    pub fn metrics(mut self, metrics: Arc<Metrics>) -> Self {
+        self.metrics = metrics;
         self
     }
 
@@ -178,20 +178,20 @@
         let balancer = Balancer::new(self.settings.clone(), self.seed)
             .map_err(|e| wrong(format!("settings: {e}").into()))?;
         let descriptors = Descriptors::for_upstreams(self.connections).map_err(|e| wrong(e.into()))?;
-        let (room, forwarding) = (BodyMemory::new(self.bodies), self.forwarding);
+        let (room, forwarding) = (BodyMemory::new(self.body_memory), self.forwarding);
         let upstreams = Upstreams::new(
             &self.settings,
             Rc::clone(&descriptors),
             room.clone(),
             forwarding.clone(),
-            Arc::clone(&self.tally),
+            Arc::clone(&self.metrics),
         );
         let upstreams = Rc::new(upstreams);
         let (idle, resized) = (Rc::clone(&upstreams), Rc::clone(&upstreams));
         descriptors.add_relief(move || idle.close_oldest());
         descriptors.on_limits_changed(move || resized.apply_descriptor_limit());
         let fixed = self.fixed.unwrap_or_default();
-        let known = EndpointUpdate { scope: UpdateScope::Cached, ..fixed.news() };
+        let known = EndpointUpdate { scope: UpdateScope::Cached, ..fixed.full_update() };
         let source = match self.source {
             Some(make) => make(&descriptors),
             None => Rc::new(fixed),
@@ -199,7 +199,7 @@
         spawn_local(descriptors.watch_process_limit());
         let driver = Driver::start(balancer, Rc::clone(&upstreams), source, known);
         let numbers: Vec<String> = (0..self.settings.classes.len()).map(|n| n.to_string()).collect();
-        let counting = Counting::new(self.tally, &numbers);
+        let counting = RequestMetrics::new(self.metrics, &numbers);
         let desk = Dispatcher::new(driver, counting, self.ledger, self.seed);
         let desk = desk.map_err(|e| wrong(format!("ledger: {e}").into()))?;
         Ok(Rc::new(Core { desk, room, forwarding, upstreams, classes, tenants }))
@@ -220,23 +220,23 @@
     /// The decision module's settings. Classes, tenants and zones keep their numbers; there are no fewer than before.
     pub settings: Settings,
     /// Tenants that are there no more, by their numbers.
-    pub gone: Vec<TenantId>,
+    pub removed_tenants: Vec<TenantId>,
     /// How messages of each class pass.
     pub passages: Vec<Passage>,
     /// For how long it may be acted on.
     pub lease: Lease,
     /// The list of upstreams, where it is another one: it is set on the engine's thread, and acted on once the decisions have been
     /// told it.
-    pub list: Option<(Lists, Vec<Entry>)>,
+    pub list: Option<(EndpointList, Vec<Entry>)>,
 }
 
-/// Why rules are not taken over; those before stay.
+/// RejectionReason rules are not taken over; those before stay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdoptError {
     /// There are fewer classes or tenants than before: calls under way have numbers that would mean nothing.
-    Fewer,
+    ClassesOrTenantsRemoved,
     /// There is not one passage for each class.
-    Passages,
+    PassageCountMismatch,
     /// The engine has ended.
     Ended,
 }
@@ -244,8 +244,8 @@
 impl fmt::Display for AdoptError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Fewer => "there are fewer classes or tenants than before",
-            Self::Passages => "there is not one passage for each class",
+            Self::ClassesOrTenantsRemoved => "there are fewer classes or tenants than before",
+            Self::PassageCountMismatch => "there is not one passage for each class",
             Self::Ended => "the engine has ended",
         })
     }
@@ -274,11 +274,11 @@
             fixed: None,
             source: None,
             connections: 450,
-            bodies: 16 * 1024 * 1024,
+            body_memory: 16 * 1024 * 1024,
             ledger: Bounds::default(),
             passages: None,
             forwarding: Forwarding::platform(),
-            tally: Arc::default(),
+            metrics: Arc::default(),
         }
     }
 
@@ -316,7 +316,7 @@
         if let Err(e) = self.commands.try_send(command) {
             // The core never had it.
             let full = matches!(e, mpsc::error::TrySendError::Full(_));
-            return refused(if full { Why::Busy } else { Why::Ending });
+            return refused(if full { RejectionReason::QueueFull } else { RejectionReason::ShuttingDown });
         }
         // The core ends without a word only if it has panicked: what it held may have run.
         outcome.await.unwrap_or(Outcome::Failed)
@@ -377,13 +377,13 @@
 impl Core {
     /// Takes over other rules, and says so once they are acted on.
     fn adopt(self: &Rc<Self>, version: Version, reply: oneshot::Sender<Result<(), AdoptError>>) {
-        let Version { mut settings, gone, passages, lease, list } = version;
+        let Version { mut settings, removed_tenants, passages, lease, list } = version;
         let fewer = settings.classes.len() < self.classes.borrow().len()
             || settings.tenants.len() < self.tenants.get();
         let refused = match passages.len() == settings.classes.len() {
-            _ if fewer => Some(AdoptError::Fewer),
+            _ if fewer => Some(AdoptError::ClassesOrTenantsRemoved),
             true => None,
-            false => Some(AdoptError::Passages),
+            false => Some(AdoptError::PassageCountMismatch),
         };
         if let Some(refused) = refused {
             // Whoever asked may have gone.
@@ -397,7 +397,7 @@
         let before = *told.borrow_and_update();
         self.tenants.set(settings.tenants.len());
         let next = classes(&settings, passages);
-        driver.update_settings(settings, gone);
+        driver.update_settings(settings, removed_tenants);
         *self.classes.borrow_mut() = next;
         let listed = list.is_some_and(|(lists, entries)| lists.set(entries));
         spawn_local(async move {
@@ -416,7 +416,7 @@
                 biased;
                 command = commands.recv() => match command {
                     Some(Command::Call { reply, .. }) if end.is_some() => {
-                        let _ = reply.send(refused(Why::Ending));
+                        let _ = reply.send(refused(RejectionReason::ShuttingDown));
                     }
                     Some(Command::Adopt { version, reply }) => self.adopt(*version, reply),
                     Some(Command::Lease(lease)) => self.upstreams.set_lease(lease),
@@ -432,7 +432,7 @@
         commands.close();
         while let Ok(command) = commands.try_recv() {
             if let Command::Call { reply, .. } = command {
-                let _ = reply.send(refused(Why::Ending));
+                let _ = reply.send(refused(RejectionReason::ShuttingDown));
             }
         }
         self.desk.driver().abort_attempts();
@@ -454,24 +454,27 @@
         });
     }
 
-    async fn outcome(&self, call: Call, sent: Instant) -> Result<(Answer, Trace), Why> {
+    async fn outcome(&self, call: Call, sent: Instant) -> Result<(Answer, Trace), RejectionReason> {
         let Call { class, tenant, wait, id, method, target, mut headers, body, peer } = call;
-        let rules = self.classes.borrow().get(usize::from(class.0)).cloned().ok_or(Why::Unfit)?;
+        let rules =
+            self.classes.borrow().get(usize::from(class.0)).cloned().ok_or(RejectionReason::InvalidCall)?;
         let wait = wait.min(rules.deadline);
         let deadline = tokio::time::Instant::from_std(sent + wait);
         let passage = Rc::clone(&rules.passage);
         let body = match body {
-            CallBody::Whole(body) if body.len() as u64 > passage.body_most => return Err(Why::TooLong),
-            CallBody::Whole(body) => Payload::Buffered(body),
+            CallBody::Buffered(body) if body.len() as u64 > passage.body_most => {
+                return Err(RejectionReason::BodyTooLong);
+            }
+            CallBody::Buffered(body) => Payload::Buffered(body),
             CallBody::Stream(body) => {
                 let taken = timeout_at(deadline, receive_body(body, &passage, &self.room, wait)).await;
                 taken.unwrap_or(Err(Fault::Slow)).map_err(|fault| match fault {
-                    Fault::TooLong => Why::TooLong,
-                    Fault::BrokeOff | Fault::Slow => Why::BrokeOff,
+                    Fault::TooLong => RejectionReason::BodyTooLong,
+                    Fault::BrokeOff | Fault::Slow => RejectionReason::BodyIncomplete,
                 })?
             }
         };
-        self.forwarding.request(&mut headers, &target, peer).map_err(|_| Why::Unfit)?;
+        self.forwarding.request(&mut headers, &target, peer).map_err(|_| RejectionReason::InvalidCall)?;
         let target = target.path_and_query().map(|p| Uri::from(p.clone())).unwrap_or_default();
         let upload = body.upload();
         // The time of a body that streams is its own.
@@ -496,8 +499,8 @@
         upload.iter().for_each(Upload::discard_rest);
         match (&told.0, upload.and_then(|upload| upload.fault())) {
             // Idempotent, so that it matters to nobody whether it ran.
-            (Answer::Rejected(_), Some(Fault::TooLong)) => Err(Why::TooLong),
-            (Answer::Rejected(_), Some(_)) => Err(Why::BrokeOff),
+            (Answer::Rejected(_), Some(Fault::TooLong)) => Err(RejectionReason::BodyTooLong),
+            (Answer::Rejected(_), Some(_)) => Err(RejectionReason::BodyIncomplete),
             _ => Ok(told),
         }
     }
@@ -507,24 +510,26 @@
         let outcome = match answer {
             Answer::Served(UpstreamResponse { status, headers, body }) => {
                 let body = match body {
-                    ResponseBody::Buffered(body) => ReplyBody::Whole(body),
+                    ResponseBody::Buffered(body) => ReplyBody::Buffered(body),
                     ResponseBody::Stream(_) => {
                         let (frames, received) = mpsc::channel(1);
                         let hint = body.size_hint();
                         spawn_local(pump(body, frames, inside));
-                        ReplyBody::Stream(Streaming { frames: received, hint, ended: false })
+                        ReplyBody::Stream(StreamedBody { frames: received, hint, ended: false })
                     }
                 };
                 let Trace { attempts, upstream } = trace;
                 Outcome::Served(Reply { status, headers, body, attempts, upstream })
             }
-            Answer::Rejected(retry_after) => Outcome::Refused(Refusal { why: Why::NoRoom, retry_after }),
+            Answer::Rejected(retry_after) => {
+                Outcome::Rejected(Rejection { reason: RejectionReason::NoCapacity, retry_after })
+            }
             Answer::Failed => Outcome::Failed,
         };
         let _ = reply.send(outcome);
     }
 }
 
-fn refused(why: Why) -> Outcome {
-    Outcome::Refused(why.into())
+fn refused(why: RejectionReason) -> Outcome {
+    Outcome::Rejected(why.into())
 }
--- a/crates/engine/src/ledger.rs
+++ b/crates/engine/src/ledger.rs
@@ -3,17 +3,17 @@
 //!
 //! No I/O and no clock: time comes in. What the embedder does:
 //!
-//! 1. [`Ledger::open`] before it sends anything. [`Opened::First`] means: send it, and nobody else will.
-//! 2. [`Ledger::ended`] with the final answer, from whatever task has it; it names those that wait for it.
-//! 3. [`Ledger::left`] when somebody who waits has gone.
+//! 1. [`Ledger::open`] before it sends anything. [`OpenResult::First`] means: send it, and nobody else will.
+//! 2. [`Ledger::complete`] with the final answer, from whatever task has it; it names those that wait for it.
+//! 3. [`Ledger::remove_waiter`] when somebody who waits has gone.
 //!
 //! # What is promised
 //!
 //! - An identity is sent at most once while it is open or remembered, but for one that is proved not to have
-//!   run ([`Ending::Refused`]): that one is forgotten at once, since trying again is harmless.
+//!   run ([`FinalAnswer::Rejected`]): that one is forgotten at once, since trying again is harmless.
 //! - All who ask for an identity while it is open or remembered get one and the same ending.
 //! - A live entry, open or remembered, is never dropped for room. When there is none, new ones are refused
-//!   ([`Opened::Full`]): nothing of them has run, so that is harmless.
+//!   ([`OpenResult::Full`]): nothing of them has run, so that is harmless.
 //! - Entries, bytes and waiters are bounded. An open entry is charged for the longest answer that may be kept,
 //!   so that there is always room for its ending.
 
@@ -44,11 +44,11 @@
     /// Bytes of all entries together; at least what one entry with the longest answer takes.
     pub bytes: usize,
     /// The longest answer that is kept, in bytes.
-    pub answer: usize,
+    pub max_answer_bytes: usize,
     /// Callers that may wait for one open entry, beside the first.
     pub waiters: usize,
     /// How long an ending is remembered.
-    pub remember: Duration,
+    pub retention: Duration,
 }
 
 impl Default for Bounds {
@@ -56,24 +56,24 @@
         Self {
             entries: 16 * 1024,
             bytes: 8 * 1024 * 1024,
-            answer: 16 * 1024,
+            max_answer_bytes: 16 * 1024,
             waiters: 8,
-            remember: Duration::from_secs(120),
+            retention: Duration::from_secs(120),
         }
     }
 }
 
 /// A final answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ending<A> {
+pub enum FinalAnswer<A> {
     /// An upstream's.
     Served(A),
     /// It was served, and the answer was too long to be kept: whoever asks again can't have it.
-    ServedNotKept,
+    ServedNotCached,
     /// It may have run.
     Failed,
     /// It never ran; trying again is harmless.
-    Refused,
+    Rejected,
 }
 
 /// An entry, while it is open.
@@ -88,15 +88,15 @@
 
 /// What becomes of a request that is about to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Opened<A> {
+pub enum OpenResult<A> {
     /// Nobody has asked for it, as far as is remembered: it is to be sent.
     First(EntryId),
     /// It is out already: its ending is this caller's too.
     Joined(EntryId),
-    /// It has ended already, and this is how.
-    Ended(Ending<A>),
+    /// It has complete already, and this is how.
+    Answered(FinalAnswer<A>),
     /// Too many wait for it already: refuse this caller, harmlessly; the effect is another's to wait for.
-    Crowded,
+    TooManyWaiters,
     /// There is no room to remember it: refuse it, harmlessly.
     Full,
 }
@@ -117,7 +117,7 @@
 enum State<A> {
     Free,
     Open(Vec<Waiter>),
-    Ended(Ending<A>),
+    Ended(FinalAnswer<A>),
 }
 
 #[derive(Debug)]
@@ -146,7 +146,7 @@
         if bounds.entries == 0 || bounds.entries >= u32::MAX as usize {
             return Err(BoundsError("entries: 1 to 2^32 - 2"));
         }
-        if bounds.bytes < bounds.answer.saturating_add(2 * OVERHEAD) {
+        if bounds.bytes < bounds.max_answer_bytes.saturating_add(2 * OVERHEAD) {
             return Err(BoundsError("bytes: room for one longest answer and 320 more at the least"));
         }
         Ok(Self {
@@ -176,25 +176,25 @@
     }
 
     /// Somebody asks for this effect.
-    pub fn open(&mut self, now: Duration, identity: &Identity, waiter: Waiter) -> Opened<A> {
+    pub fn open(&mut self, now: Duration, identity: &Identity, waiter: Waiter) -> OpenResult<A> {
         self.pass(now);
         if let Some(&slot) = self.index.get(identity) {
             let entry = &mut self.entries[slot as usize];
             let id = EntryId { slot, generation: entry.generation };
             return match &mut entry.state {
-                State::Ended(ending) => Opened::Ended(ending.clone()),
+                State::Ended(ending) => OpenResult::Answered(ending.clone()),
                 // One of them is the first.
-                State::Open(waiters) if waiters.len() > self.bounds.waiters => Opened::Crowded,
+                State::Open(waiters) if waiters.len() > self.bounds.waiters => OpenResult::TooManyWaiters,
                 State::Open(waiters) => {
                     waiters.push(waiter);
-                    Opened::Joined(id)
+                    OpenResult::Joined(id)
                 }
                 State::Free => unreachable_free(),
             };
         }
-        let charged = OVERHEAD + 2 * identity.id.len() + self.bounds.answer;
+        let charged = OVERHEAD + 2 * identity.id.len() + self.bounds.max_answer_bytes;
         if self.index.len() >= self.bounds.entries || self.bytes + charged > self.bounds.bytes {
-            return Opened::Full;
+            return OpenResult::Full;
         }
         self.bytes += charged;
         let (identity, state) = (identity.clone(), State::Open(vec![waiter]));
@@ -210,12 +210,18 @@
             }
         };
         self.index.insert(identity, slot);
-        Opened::First(EntryId { slot, generation: self.entries[slot as usize].generation })
+        OpenResult::First(EntryId { slot, generation: self.entries[slot as usize].generation })
     }
 
     /// The final answer of an open entry; `length` is what keeping it takes. Returns those who wait for it, and
     /// what they get. The first ending counts: a second one changes nothing and tells nobody.
-    pub fn ended(&mut self, now: Duration, id: EntryId, ending: Ending<A>, length: usize) -> Vec<Waiter> {
+    pub fn complete(
+        &mut self,
+        now: Duration,
+        id: EntryId,
+        ending: FinalAnswer<A>,
+        length: usize,
+    ) -> Vec<Waiter> {
         self.pass(now);
         let Some(entry) = self.entries.get_mut(id.slot as usize).filter(|e| e.generation == id.generation)
         else {
@@ -224,14 +230,14 @@
         let State::Open(waiters) = &mut entry.state else { return Vec::new() };
         let waiters = std::mem::take(waiters);
         let kept = match ending {
-            Ending::Refused => {
+            FinalAnswer::Rejected => {
                 self.forget(id.slot);
                 return waiters;
             }
-            Ending::Served(_) if length > self.bounds.answer => Ending::ServedNotKept,
+            FinalAnswer::Served(_) if length > self.bounds.max_answer_bytes => FinalAnswer::ServedNotCached,
             kept => kept,
         };
-        let answer = if matches!(kept, Ending::Served(_)) { length } else { 0 };
+        let answer = if matches!(kept, FinalAnswer::Served(_)) { length } else { 0 };
         let charged = OVERHEAD + 2 * entry.identity.id.len() + answer;
         self.bytes -= entry.charged - charged;
         entry.charged = charged;
@@ -242,7 +248,7 @@
 
     /// Somebody who waited has gone. `true`: nobody waits for this entry any more. It stays open all the same,
     /// until its ending is known: whoever asks again is to have it.
-    pub fn left(&mut self, id: EntryId, waiter: Waiter) -> bool {
+    pub fn remove_waiter(&mut self, id: EntryId, waiter: Waiter) -> bool {
         let entry = self.entries.get_mut(id.slot as usize).filter(|e| e.generation == id.generation);
         match entry.map(|e| &mut e.state) {
             Some(State::Open(waiters)) => {
@@ -257,7 +263,7 @@
     fn pass(&mut self, now: Duration) {
         self.now = self.now.max(now);
         while let Some((_, slot)) =
-            self.remembered.front().copied().filter(|(at, _)| self.now >= *at + self.bounds.remember)
+            self.remembered.front().copied().filter(|(at, _)| self.now >= *at + self.bounds.retention)
         {
             self.remembered.pop_front();
             self.forget(slot);
@@ -275,8 +281,8 @@
     }
 }
 
-/// An entry in the index is open or ended: only [`Ledger::forget`] frees one, and takes it out there first.
-fn unreachable_free<A>() -> Opened<A> {
+/// An entry in the index is open or complete: only [`Ledger::forget`] frees one, and takes it out there first.
+fn unreachable_free<A>() -> OpenResult<A> {
     debug_assert!(false, "a free entry in the index");
-    Opened::Full
+    OpenResult::Full
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -36,20 +36,20 @@
 //!     engine.shutdown(Duration::from_secs(3)).await;
 //!     outcome
 //! });
-//! assert!(matches!(outcome, Outcome::Refused(_)));
+//! assert!(matches!(outcome, Outcome::Rejected(_)));
 //! # Ok(())
 //! # }
 //! ```
 
 pub mod call;
+pub mod endpoint_list;
 pub mod engine;
 pub mod label;
 pub mod ledger;
-pub mod lists;
+pub mod metrics;
 pub mod parts;
 pub mod source;
-pub mod tally;
 
-pub use call::{Call, CallBody, Outcome, Refusal, Reply, ReplyBody, Why};
+pub use call::{Call, CallBody, Outcome, Rejection, RejectionReason, Reply, ReplyBody};
 pub use engine::{AdoptError, Builder, Engine, Handle, StartError, Version};
 pub use parts::upstream::Lease;
--- a/crates/engine/src/tally.rs
+++ b/crates/engine/src/metrics.rs
@@ -1,11 +1,11 @@
 //! What operators count: requests by class and final answer, attempts, the list. Read from any thread.
 //!
-//! A request is counted where its answer ends, by the [`Owed`] that it holds from when it was taken: exactly once, whatever
+//! A request is counted where its answer ends, by the [`PendingRequest`] that it holds from when it was taken: exactly once, whatever
 //! way it goes. One whose client has left before is counted by none of the three.
 
-mod reasons;
+mod reason_counters;
 
-pub use reasons::Reasons;
+pub use reason_counters::ReasonCounters;
 
 use crate::parts::answer::{ResponseBody, UpstreamResponse};
 use crate::parts::driver::Answer;
@@ -22,7 +22,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The content type of [`Tally::text`].
+/// The content type of [`Metrics::text`].
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -32,7 +32,7 @@
 
 /// The figures of one process. They begin at nought, and those that count only rise.
 #[derive(Debug)]
-pub struct Tally {
+pub struct Metrics {
     registry: Registry,
     answered: Family<Group, Counter>,
     deferred: Family<Group, Counter>,
@@ -50,23 +50,23 @@
     /// Configurations turned down at SIGHUP.
     pub conf_invalid: Counter,
     /// Connections of clients that have ended, by why.
-    pub clients_ended: Reasons,
+    pub clients_ended: ReasonCounters,
     /// Clients that were turned away before a request of theirs was read, by why.
-    pub clients_refused: Reasons,
+    pub clients_refused: ReasonCounters,
     /// What was answered as no fit request, by status.
-    pub unfit: Reasons,
+    pub unfit: ReasonCounters,
     /// Attempts that have ended, by outcome.
-    pub attempts_ended: Reasons,
+    pub attempts_ended: ReasonCounters,
     /// Attempts after a request's first.
     pub retries: Counter,
 }
 
-impl Default for Tally {
+impl Default for Metrics {
     fn default() -> Self {
         let mut registry = Registry::with_prefix("balancer");
         let (answered, deferred, errored) = <(Family<_, _>, Family<_, _>, Family<_, _>)>::default();
         let (sends, conf_loaded, conf_invalid) = <(Counter, Counter, Counter)>::default();
-        let [clients_ended, clients_refused, unfit, attempts_ended] = <[Reasons; 4]>::default();
+        let [clients_ended, clients_refused, unfit, attempts_ended] = <[ReasonCounters; 4]>::default();
         let retries = Counter::default();
         let (current, cluster_size, cluster_unhealthy) = <(Gauge, Gauge, Gauge)>::default();
         registry.register("answered", "Requests served", Family::clone(&answered));
@@ -103,9 +103,9 @@
     }
 }
 
-impl Tally {
+impl Metrics {
     /// All figures, in the text form of OpenMetrics 1.0.
-    pub fn text(&self) -> String {
+    pub fn openmetrics_text(&self) -> String {
         let mut text = String::new();
         // A string takes whatever is written to it.
         let _ = encode(&mut text, &self.registry);
@@ -120,44 +120,44 @@
     errored: Counter,
 }
 
-/// How a request ended, for whoever looks closely.
+/// How a request ended, for whoever observer closely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestResult {
     /// It was served.
     Served,
     /// It was refused: trying again is harmless.
-    Refused,
+    Rejected,
     /// It failed.
     Failed,
 }
 
-/// Looks closely, on the thread that serves: it must not wait for anything.
-pub trait Looks {
+/// RequestObserver closely, on the thread that serves: it must not wait for anything.
+pub trait RequestObserver {
     /// A request of this class and tenant has ended, so long after it was taken.
-    fn ended(&self, class: ClassId, tenant: TenantId, end: End, after: Duration);
+    fn request_ended(&self, class: ClassId, tenant: TenantId, end: RequestResult, after: Duration);
 }
 
 /// Counts requests, on the thread that serves them.
-pub struct Counting {
-    tally: Arc<Tally>,
+pub struct RequestMetrics {
+    metrics: Arc<Metrics>,
     /// By their ids.
     classes: RefCell<Vec<Rc<Class>>>,
-    looks: RefCell<Option<Rc<dyn Looks>>>,
+    observer: RefCell<Option<Rc<dyn RequestObserver>>>,
 }
 
-impl Counting {
-    /// Counts in this tally, by classes of these names.
-    pub fn new(tally: Arc<Tally>, names: &[String]) -> Rc<Self> {
-        let counting = Self { tally, classes: RefCell::default(), looks: RefCell::default() };
-        counting.name(names);
+impl RequestMetrics {
+    /// Counts in this metrics, by classes of these names.
+    pub fn new(metrics: Arc<Metrics>, names: &[String]) -> Rc<Self> {
+        let counting = Self { metrics, classes: RefCell::default(), observer: RefCell::default() };
+        counting.set_classes(names);
         Rc::new(counting)
     }
 
     /// The classes are these from now on. What was counted under a name goes on under it.
-    pub fn name(&self, names: &[String]) {
+    pub fn set_classes(&self, names: &[String]) {
         let class = |name: &String| {
             let group = Group { group: name.clone() };
-            let Tally { answered, deferred, errored, .. } = &*self.tally;
+            let Metrics { answered, deferred, errored, .. } = &*self.metrics;
             let [answered, deferred, errored] =
                 [answered, deferred, errored].map(|family| family.get_or_create(&group).clone());
             Rc::new(Class { answered, deferred, errored })
@@ -166,86 +166,90 @@
     }
 
     /// The figures.
-    pub fn tally(&self) -> &Arc<Tally> {
-        &self.tally
+    pub fn metrics(&self) -> &Arc<Metrics> {
+        &self.metrics
     }
 
-    /// From now on somebody looks closely at each request that is taken, or nobody does any more.
-    pub fn look(&self, looks: Option<Rc<dyn Looks>>) {
-        *self.looks.borrow_mut() = looks;
+    /// From now on somebody observer closely at each request that is taken, or nobody does any more.
+    pub fn set_observer(&self, observer: Option<Rc<dyn RequestObserver>>) {
+        *self.observer.borrow_mut() = observer;
     }
 
     /// A request of this class and tenant has been taken.
-    pub fn taken(&self, class: ClassId, tenant: TenantId) -> Owed {
-        let look =
-            self.looks.borrow().clone().map(|looks| Look { looks, class, tenant, since: Instant::now() });
+    pub fn start_request(&self, class: ClassId, tenant: TenantId) -> PendingRequest {
+        let look = self.observer.borrow().clone().map(|observer| ObservedRequest {
+            observer,
+            class,
+            tenant,
+            since: Instant::now(),
+        });
         let class = self.classes.borrow().get(usize::from(class.0)).cloned();
-        self.tally.current.inc();
-        Owed { class, current: self.tally.current.clone(), look }
+        self.metrics.current.inc();
+        PendingRequest { class, current: self.metrics.current.clone(), look }
     }
 }
 
 /// A request that is looked at closely.
-struct Look {
-    looks: Rc<dyn Looks>,
+struct ObservedRequest {
+    observer: Rc<dyn RequestObserver>,
     class: ClassId,
     tenant: TenantId,
     since: Instant,
 }
 
 /// A request that is owed its answer. When it is dropped before, its client has left.
-pub struct Owed {
+pub struct PendingRequest {
     class: Option<Rc<Class>>,
     current: Gauge,
-    look: Option<Look>,
+    look: Option<ObservedRequest>,
 }
 
-impl fmt::Debug for Owed {
+impl fmt::Debug for PendingRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Owed").finish_non_exhaustive()
     }
 }
 
-impl Owed {
+impl PendingRequest {
     /// It has this answer; one that streams ends later, with its last byte.
-    pub fn answered(self, answer: &mut Answer) {
+    pub fn record_answer(self, answer: &mut Answer) {
         match answer {
             Answer::Served(UpstreamResponse { body: ResponseBody::Stream(stream), .. }) => {
                 stream.track_outcome(self)
             }
             Answer::Served(UpstreamResponse { status, .. }) if status.is_server_error() => {
-                self.count(End::Failed)
+                self.count(RequestResult::Failed)
             }
-            Answer::Served(_) => self.count(End::Served),
-            Answer::Rejected(_) => self.count(End::Refused),
-            Answer::Failed => self.count(End::Failed),
+            Answer::Served(_) => self.count(RequestResult::Served),
+            Answer::Rejected(_) => self.count(RequestResult::Rejected),
+            Answer::Failed => self.count(RequestResult::Failed),
         }
     }
 
     /// Its answer, which streamed, has ended like this. A reader that let go has left.
-    pub fn streamed(self, outcome: Outcome) {
+    pub fn record_stream_end(self, outcome: Outcome) {
         match outcome {
-            Outcome::Ok => self.count(End::Served),
+            Outcome::Ok => self.count(RequestResult::Served),
             Outcome::Cancelled => {}
-            _ => self.count(End::Failed),
+            _ => self.count(RequestResult::Failed),
         }
     }
 
-    fn count(self, end: End) {
+    fn count(self, end: RequestResult) {
         if let Some(class) = &self.class {
             match end {
-                End::Served => class.answered.inc(),
-                End::Refused => class.deferred.inc(),
-                End::Failed => class.errored.inc(),
+                RequestResult::Served => class.answered.inc(),
+                RequestResult::Rejected => class.deferred.inc(),
+                RequestResult::Failed => class.errored.inc(),
             };
         }
-        if let Some(Look { looks, class, tenant, since }) = &self.look {
-            looks.ended(*class, *tenant, end, since.elapsed());
+        if let Some(ObservedRequest { observer, class, tenant, since }) = &self.look {
+            observer.request_ended(*class, *tenant, end, since.elapsed());
         }
     }
 }
 
-impl Drop for Owed {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
         self.current.dec();
     }
@@ -262,18 +266,19 @@
         Answer::Served(UpstreamResponse { status, headers: HeaderMap::new(), body })
     }
 
-    fn has(tally: &Tally, line: &str) -> bool {
-        tally.text().lines().any(|l| l == line)
+    fn has(metrics: &Metrics, line: &str) -> bool {
+        metrics.openmetrics_text().lines().any(|l| l == line)
     }
 
     /// Guards the names that operators' tools look for, and that each request counts once, whatever ends it.
     #[test]
     fn each_request_counts_once_under_its_class() {
-        let tally = Arc::new(Tally::default());
-        let counting = Counting::new(Arc::clone(&tally), &["look".into(), "bo\"ok".into()]);
-        assert!(has(&tally, "balancer_answered_total{group=\"look\"} 0"));
-        let owed: Vec<Owed> = (0..6).map(|n| counting.taken(ClassId(n % 2), TenantId(0))).collect();
-        assert!(has(&tally, "balancer_current 6"));
+        let metrics = Arc::new(Metrics::default());
+        let counting = RequestMetrics::new(Arc::clone(&metrics), &["look".into(), "bo\"ok".into()]);
+        assert!(has(&metrics, "balancer_answered_total{group=\"look\"} 0"));
+        let owed: Vec<PendingRequest> =
+            (0..6).map(|n| counting.start_request(ClassId(n % 2), TenantId(0))).collect();
+        assert!(has(&metrics, "balancer_current 6"));
         let answers = [
             Some(served(StatusCode::OK)),
             Some(Answer::Rejected(None)),
@@ -284,7 +289,7 @@
         ];
         for (owed, answer) in owed.into_iter().zip(answers) {
             if let Some(mut answer) = answer {
-                owed.answered(&mut answer);
+                owed.record_answer(&mut answer);
             }
         }
         for line in [
@@ -300,7 +305,7 @@
             "balancer_conf_loaded_total 0",
             "balancer_conf_invalid_total 0",
         ] {
-            assert!(has(&tally, line), "{line} in {}", tally.text());
+            assert!(has(&metrics, line), "{line} in {}", metrics.openmetrics_text());
         }
     }
 
@@ -308,43 +313,49 @@
     /// keeps the class that it was taken under.
     #[test]
     fn counts_outlive_their_classes() {
-        let tally = Arc::new(Tally::default());
-        let counting = Counting::new(Arc::clone(&tally), &["a".into(), "b".into()]);
-        let (of_a, of_b) = (counting.taken(ClassId(0), TenantId(0)), counting.taken(ClassId(1), TenantId(0)));
-        counting.name(&["b".into()]);
-        of_a.answered(&mut Answer::Failed);
-        of_b.answered(&mut Answer::Failed);
-        counting.taken(ClassId(0), TenantId(0)).answered(&mut Answer::Failed);
-        counting.name(&["a".into(), "b".into()]);
-        counting.taken(ClassId(0), TenantId(0)).answered(&mut Answer::Failed);
-        assert!(has(&tally, "balancer_errored_total{group=\"a\"} 2"));
-        assert!(has(&tally, "balancer_errored_total{group=\"b\"} 2"));
+        let metrics = Arc::new(Metrics::default());
+        let counting = RequestMetrics::new(Arc::clone(&metrics), &["a".into(), "b".into()]);
+        let (of_a, of_b) = (
+            counting.start_request(ClassId(0), TenantId(0)),
+            counting.start_request(ClassId(1), TenantId(0)),
+        );
+        counting.set_classes(&["b".into()]);
+        of_a.record_answer(&mut Answer::Failed);
+        of_b.record_answer(&mut Answer::Failed);
+        counting.start_request(ClassId(0), TenantId(0)).record_answer(&mut Answer::Failed);
+        counting.set_classes(&["a".into(), "b".into()]);
+        counting.start_request(ClassId(0), TenantId(0)).record_answer(&mut Answer::Failed);
+        assert!(has(&metrics, "balancer_errored_total{group=\"a\"} 2"));
+        assert!(has(&metrics, "balancer_errored_total{group=\"b\"} 2"));
     }
 
     /// Guards that a close look sees each request once, as it ends, and costs nothing once it is over.
     #[test]
     fn whoever_looks_sees_each_end_once() {
         #[derive(Default)]
-        struct Seen(RefCell<Vec<(u16, End)>>);
-        impl Looks for Seen {
-            fn ended(&self, class: ClassId, _: TenantId, end: End, after: Duration) {
+        struct Seen(RefCell<Vec<(u16, RequestResult)>>);
+        impl RequestObserver for Seen {
+            fn request_ended(&self, class: ClassId, _: TenantId, end: RequestResult, after: Duration) {
                 assert!(after < Duration::from_secs(60));
                 self.0.borrow_mut().push((class.0, end));
             }
         }
-        let counting = Counting::new(Arc::default(), &["a".into()]);
+        let counting = RequestMetrics::new(Arc::default(), &["a".into()]);
         let seen = Rc::new(Seen::default());
-        let before = counting.taken(ClassId(0), TenantId(0));
-        counting.look(Some(Rc::clone(&seen) as Rc<dyn Looks>));
-        before.answered(&mut Answer::Failed);
-        let [one, two, left, streams] = [0; 4].map(|_| counting.taken(ClassId(0), TenantId(0)));
-        counting.look(None);
-        counting.taken(ClassId(0), TenantId(0)).answered(&mut Answer::Failed);
-        one.answered(&mut served(StatusCode::OK));
-        two.answered(&mut Answer::Rejected(None));
-        streams.streamed(Outcome::Reset);
+        let before = counting.start_request(ClassId(0), TenantId(0));
+        counting.set_observer(Some(Rc::clone(&seen) as Rc<dyn RequestObserver>));
+        before.record_answer(&mut Answer::Failed);
+        let [one, two, left, streams] = [0; 4].map(|_| counting.start_request(ClassId(0), TenantId(0)));
+        counting.set_observer(None);
+        counting.start_request(ClassId(0), TenantId(0)).record_answer(&mut Answer::Failed);
+        one.record_answer(&mut served(StatusCode::OK));
+        two.record_answer(&mut Answer::Rejected(None));
+        streams.record_stream_end(Outcome::Reset);
         drop(left);
-        assert_eq!(*seen.0.borrow(), [(0, End::Served), (0, End::Refused), (0, End::Failed)]);
+        assert_eq!(
+            *seen.0.borrow(),
+            [(0, RequestResult::Served), (0, RequestResult::Rejected), (0, RequestResult::Failed)]
+        );
         assert_eq!(Rc::strong_count(&seen), 1);
     }
 }
--- a/crates/engine/src/tally/reasons.rs
+++ b/crates/engine/src/metrics/reason_counters.rs
@@ -11,11 +11,11 @@
 
 /// One figure by reasons, all of which are named in the program.
 #[derive(Clone, Debug, Default)]
-pub struct Reasons(Family<Reason, Counter>);
+pub struct ReasonCounters(Family<Reason, Counter>);
 
-impl Reasons {
+impl ReasonCounters {
     /// It has happened once more for this reason.
-    pub fn count(&self, reason: &'static str) {
+    pub fn increment(&self, reason: &'static str) {
         self.0.get_or_create(&Reason { reason }).inc();
     }
 
--- a/crates/engine/src/parts/answer.rs
+++ b/crates/engine/src/parts/answer.rs
@@ -1,8 +1,8 @@
 //! Responses of upstreams: buffered in memory, or streamed from the first byte.
 
+use crate::metrics::PendingRequest;
 use crate::parts::body::Failure;
 use crate::parts::connection::Connection;
-use crate::tally::Owed;
 use bytes::Bytes;
 use http_body_util::LengthLimitError;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -99,7 +99,7 @@
     connection: Option<Connection>,
     return_connection: Option<ReturnConnection>,
     on_end: Option<OnStreamEnd>,
-    accounting: Option<Owed>,
+    accounting: Option<PendingRequest>,
     idle_timeout: Duration,
     /// Idle timer; set while the upstream sends nothing.
     idle_timer: Option<Pin<Box<Sleep>>>,
@@ -144,7 +144,7 @@
     }
 
     /// Attaches the accounting of the request that this stream answers.
-    pub fn track_outcome(&mut self, accounting: Owed) {
+    pub fn track_outcome(&mut self, accounting: PendingRequest) {
         self.accounting = Some(accounting);
     }
 
@@ -155,7 +155,7 @@
             return_connection(connection);
         }
         if let Some(accounting) = self.accounting.take() {
-            accounting.streamed(outcome);
+            accounting.record_stream_end(outcome);
         }
         if let Some(notify) = self.on_end.take() {
             notify(outcome);
--- a/crates/engine/src/parts/dispatcher.rs
+++ b/crates/engine/src/parts/dispatcher.rs
@@ -1,10 +1,10 @@
 //! Dispatcher: the entry point for requests. A request that must not run twice and has an identity goes
 //! through the ledger.
 
-use crate::ledger::{Bounds, BoundsError, Ending, EntryId, Identity, Ledger, Opened, Waiter};
+use crate::ledger::{Bounds, BoundsError, EntryId, FinalAnswer, Identity, Ledger, OpenResult, Waiter};
+use crate::metrics::{Metrics, RequestMetrics};
 use crate::parts::answer::UpstreamResponse;
 use crate::parts::driver::{Answer, Driver, RequestContext, Trace};
-use crate::tally::{Counting, Tally};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -35,7 +35,7 @@
 /// Entry point for requests; counts them and deduplicates them by identity.
 pub struct Dispatcher {
     driver: Rc<Driver>,
-    counting: Rc<Counting>,
+    counting: Rc<RequestMetrics>,
     ledger: RefCell<Ledger<Rc<StoredResponse>>>,
     waiters: RefCell<HashMap<Waiter, oneshot::Sender<TracedAnswer>>>,
     next_waiter: Cell<Waiter>,
@@ -66,7 +66,7 @@
 impl Drop for WaiterGuard {
     fn drop(&mut self) {
         if self.dispatcher.waiters.borrow_mut().remove(&self.waiter).is_some() {
-            self.dispatcher.ledger.borrow_mut().left(self.entry, self.waiter);
+            self.dispatcher.ledger.borrow_mut().remove_waiter(self.entry, self.waiter);
         }
     }
 }
@@ -75,7 +75,7 @@
     /// Creates a dispatcher in front of `driver`. Requests are counted in `counting`.
     pub fn new(
         driver: Rc<Driver>,
-        counting: Rc<Counting>,
+        counting: Rc<RequestMetrics>,
         bounds: Bounds,
         seed: u64,
     ) -> Result<Rc<Self>, BoundsError> {
@@ -96,8 +96,8 @@
     }
 
     /// Returns the metrics that requests are counted in.
-    pub fn tally(&self) -> &Tally {
-        self.counting.tally()
+    pub fn tally(&self) -> &Metrics {
+        self.counting.metrics()
     }
 
     /// Counts one more request as in flight.
@@ -125,9 +125,9 @@
         request: RequestContext,
         identity: Option<Identity>,
     ) -> TracedAnswer {
-        let accounting = self.counting.taken(request.class, request.tenant);
+        let accounting = self.counting.start_request(request.class, request.tenant);
         let (mut answer, trace) = self.resolve(request, identity).await;
-        accounting.answered(&mut answer);
+        accounting.record_answer(&mut answer);
         (answer, trace)
     }
 
@@ -136,7 +136,7 @@
         let (waiter, deadline) = (self.next_waiter.replace(self.next_waiter.get() + 1), request.deadline);
         let opened = self.ledger.borrow_mut().open(self.driver.now(), &identity, waiter);
         let entry = match opened {
-            Opened::First(entry) => {
+            OpenResult::First(entry) => {
                 let (dispatcher, in_flight) = (Rc::clone(self), self.track());
                 spawn_local(async move {
                     let (answer, trace) = dispatcher.driver.submit(request).answer().await;
@@ -145,9 +145,9 @@
                 });
                 entry
             }
-            Opened::Joined(entry) => entry,
-            Opened::Ended(result) => return stored_answer(&result),
-            Opened::Crowded | Opened::Full => {
+            OpenResult::Joined(entry) => entry,
+            OpenResult::Answered(result) => return stored_answer(&result),
+            OpenResult::TooManyWaiters | OpenResult::Full => {
                 return (Answer::Rejected(Some(LEDGER_FULL_RETRY_AFTER)), Trace::default());
             }
         };
@@ -171,16 +171,16 @@
         let (result, size) = match &answer {
             Answer::Served(response) => match (response.buffered_copy(), response.buffered_size()) {
                 (Some(response), Some(size)) => {
-                    (Ending::Served(Rc::new(StoredResponse { response, trace })), size)
+                    (FinalAnswer::Served(Rc::new(StoredResponse { response, trace })), size)
                 }
-                _ => (Ending::ServedNotKept, 0),
+                _ => (FinalAnswer::ServedNotCached, 0),
             },
-            Answer::Rejected(_) => (Ending::Refused, 0),
-            Answer::Failed => (Ending::Failed, 0),
+            Answer::Rejected(_) => (FinalAnswer::Rejected, 0),
+            Answer::Failed => (FinalAnswer::Failed, 0),
         };
         // Waiters get the response even if it is too long for the ledger to store.
         let shared = result.clone();
-        let waiters = self.ledger.borrow_mut().ended(self.driver.now(), entry, result, size);
+        let waiters = self.ledger.borrow_mut().complete(self.driver.now(), entry, result, size);
         let mut answer = Some((answer, trace));
         for waiter in waiters {
             let Some(sender) = self.waiters.borrow_mut().remove(&waiter) else { continue };
@@ -190,10 +190,10 @@
 }
 
 /// Returns the answer for a repeat of a finished request.
-fn stored_answer(result: &Ending<Rc<StoredResponse>>) -> TracedAnswer {
+fn stored_answer(result: &FinalAnswer<Rc<StoredResponse>>) -> TracedAnswer {
     match result {
-        Ending::Served(stored) => stored.to_answer(),
-        Ending::ServedNotKept | Ending::Failed => (Answer::Failed, Trace::default()),
-        Ending::Refused => (Answer::Rejected(Some(LEDGER_FULL_RETRY_AFTER)), Trace::default()),
+        FinalAnswer::Served(stored) => stored.to_answer(),
+        FinalAnswer::ServedNotCached | FinalAnswer::Failed => (Answer::Failed, Trace::default()),
+        FinalAnswer::Rejected => (Answer::Rejected(Some(LEDGER_FULL_RETRY_AFTER)), Trace::default()),
     }
 }
--- a/crates/engine/src/parts/driver.rs
+++ b/crates/engine/src/parts/driver.rs
@@ -301,7 +301,7 @@
                     return;
                 }
                 attempt.end(result.outcome);
-                self.upstreams.tally.attempts_ended.count(result.outcome.name());
+                self.upstreams.tally.attempts_ended.increment(result.outcome.name());
                 // The response of a losing hedge is dropped, since the request is already answered.
                 if request.reply.is_some() {
                     self.deliver_response(request, id, no, upstream, result.response);
@@ -341,7 +341,7 @@
                     return;
                 };
                 attempt.end(outcome);
-                self.upstreams.tally.attempts_ended.count(outcome.name());
+                self.upstreams.tally.attempts_ended.increment(outcome.name());
                 let (upstream, latency) = (attempt.upstream, attempt.sent.elapsed());
                 let event = Event::AttemptEnded {
                     id,
--- a/crates/engine/src/parts/upstream.rs
+++ b/crates/engine/src/parts/upstream.rs
@@ -1,5 +1,6 @@
 //! Known upstreams: their addresses, availability and connections.
 
+use crate::metrics::Metrics;
 use crate::parts::body_memory::BodyMemory;
 use crate::parts::connection::Connection;
 use crate::parts::descriptors::{self, Descriptors, is_descriptor_exhaustion, is_local_failure};
@@ -7,7 +8,6 @@
 use crate::parts::headers;
 use crate::parts::pool::{Acquired, Pool};
 use crate::parts::rate_limited_log::RateLimitedLog;
-use crate::tally::Tally;
 use maplehook_core::{
     Availability, ClassId, Effect, LoadField, Outcome, Reports, Settings, UpstreamId, ZoneId,
 };
@@ -62,7 +62,7 @@
     pub(crate) body_memory: BodyMemory,
     pub(crate) forwarding: Forwarding,
     pub(crate) probe_passage: Rc<Passage>,
-    pub(crate) tally: Arc<Tally>,
+    pub(crate) tally: Arc<Metrics>,
     connect_timeout: Cell<Duration>,
     /// Deduplication window of each class; `None` for classes without keys.
     dedup_windows: RefCell<Vec<Option<Duration>>>,
@@ -97,7 +97,7 @@
         descriptors: Rc<Descriptors>,
         body_memory: BodyMemory,
         forwarding: Forwarding,
-        tally: Arc<Tally>,
+        tally: Arc<Metrics>,
     ) -> Self {
         Self {
             by_id: RefCell::default(),
--- a/crates/engine/src/source.rs
+++ b/crates/engine/src/source.rs
@@ -109,18 +109,18 @@
     }
 
     /// The list.
-    pub fn news(&self) -> EndpointUpdate {
+    pub fn full_update(&self) -> EndpointUpdate {
         EndpointUpdate { scope: UpdateScope::Full, entries: self.0.clone() }
     }
 }
 
 impl Source for Fixed {
     fn fetch(&self) -> Task<'_, EndpointUpdate> {
-        Box::pin(std::future::ready(self.news()))
+        Box::pin(std::future::ready(self.full_update()))
     }
 
     fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
-        tell(self.news());
+        tell(self.full_update());
         Box::pin(std::future::pending())
     }
 
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -5,7 +5,7 @@
 use http_body_util::Full;
 use maplehook::ledger::Bounds;
 use maplehook::source::Fixed;
-use maplehook::{Call, CallBody, Engine, Handle, Outcome, Why};
+use maplehook::{Call, CallBody, Engine, Handle, Outcome, RejectionReason};
 use maplehook_core::{Class, ClassId, DedupGroup, Effect, Settings, Tenant, TenantId};
 use maplehook_http_semantics::Passage;
 use maplehook_test_servers::{LONG, OK, Then, Upstream, until};
@@ -65,7 +65,7 @@
 fn name(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Served(_) => "served",
-        Outcome::Refused(_) => "refused",
+        Outcome::Rejected(_) => "refused",
         Outcome::Failed => "failed",
     }
 }
@@ -86,7 +86,7 @@
         let Outcome::Served(reply) = host.block_on(one).unwrap() else { panic!("not served") };
         assert_eq!((reply.status.as_u16(), reply.attempts, reply.upstream.is_some()), (200, 1, true));
         assert_eq!(reply.headers["x-own"], "kept");
-        assert_eq!(host.block_on(reply.body.whole()).unwrap(), "done");
+        assert_eq!(host.block_on(reply.body.into_bytes()).unwrap(), "done");
     }
     let seen = upstream.seen();
     assert_eq!(seen.len(), 40);
@@ -263,9 +263,13 @@
     let long = Call { body: too_long().into(), ..call(BOOK, Some("a")) };
     let longer = Call { body: CallBody::stream(Full::new(too_long())), ..call(BOOK, Some("a")) };
     let strange = Call { class: ClassId(9), ..call(BOOK, Some("a")) };
-    for (wrong, why) in [(long, Why::TooLong), (longer, Why::TooLong), (strange, Why::Unfit)] {
-        let Outcome::Refused(refusal) = host.block_on(handle.call(wrong)) else { panic!("not refused") };
-        assert_eq!(refusal.why, why);
+    for (wrong, why) in [
+        (long, RejectionReason::BodyTooLong),
+        (longer, RejectionReason::BodyTooLong),
+        (strange, RejectionReason::InvalidCall),
+    ] {
+        let Outcome::Rejected(refusal) = host.block_on(handle.call(wrong)) else { panic!("not refused") };
+        assert_eq!(refusal.reason, why);
     }
     assert!(upstream.seen().is_empty());
     let no_room = Bounds { bytes: 3, ..Bounds::default() };
--- a/crates/middleware/src/client.rs
+++ b/crates/middleware/src/client.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use http::{Request, Response};
 use http_body::Body;
-use maplehook::{Call, CallBody, Outcome, Refusal, Reply, ReplyBody};
+use maplehook::{Call, CallBody, Outcome, Rejection, Reply, ReplyBody};
 use maplehook_core::UpstreamId;
 use maplehook_http_semantics::{Fit, Peer, Unfit};
 use std::error::Error;
@@ -30,7 +30,7 @@
     /// It is no request that any class takes.
     Unfit(Unfit),
     /// It never ran; trying again is harmless. A body that is too long says so here.
-    Refused(Refusal),
+    Refused(Rejection),
     /// It may have run.
     Failed,
 }
@@ -75,7 +75,7 @@
     if fit.id.is_none() {
         shared.rules.mint(&mut parts.headers, fastrand::u128(..));
     }
-    let body = if body.is_end_stream() { CallBody::Whole(Bytes::new()) } else { CallBody::stream(body) };
+    let body = if body.is_end_stream() { CallBody::Buffered(Bytes::new()) } else { CallBody::stream(body) };
     let call = Call {
         class: fit.class,
         tenant: fit.tenant,
@@ -95,7 +95,7 @@
             response.extensions_mut().insert(Trace { attempts, upstream });
             Ok(response)
         }
-        Outcome::Refused(refusal) => Err(CallError::Refused(refusal)),
+        Outcome::Rejected(refusal) => Err(CallError::Refused(refusal)),
         Outcome::Failed => Err(CallError::Failed),
     }
 }
--- a/crates/middleware/src/layer.rs
+++ b/crates/middleware/src/layer.rs
@@ -6,7 +6,7 @@
 use http::{Request, Response, StatusCode};
 use http_body::Body;
 use http_body_util::Either;
-use maplehook::{ReplyBody, Why};
+use maplehook::{RejectionReason, ReplyBody};
 use maplehook_http_semantics::Unfit;
 use std::error::Error;
 use std::future::Future;
@@ -77,15 +77,19 @@
             Ok(match call(&shared, fit, request).await {
                 Ok(response) => response.map(Either::Left),
                 Err(CallError::Unfit(unfit)) => worded(own.unfit(&unfit)),
-                Err(CallError::Refused(refusal)) => match refusal.why {
-                    Why::TooLong => {
+                Err(CallError::Refused(refusal)) => match refusal.reason {
+                    RejectionReason::BodyTooLong => {
                         worded(own.unfit(&Unfit::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long")))
                     }
-                    Why::BrokeOff => {
+                    RejectionReason::BodyIncomplete => {
                         worded(own.unfit(&Unfit::new(StatusCode::BAD_REQUEST, "the body broke off")))
                     }
-                    Why::Unfit => worded(own.unfit(&Unfit::new(StatusCode::BAD_REQUEST, "an unfit head"))),
-                    Why::NoRoom | Why::Busy | Why::Ending => worded(own.refused(refusal.retry_after)),
+                    RejectionReason::InvalidCall => {
+                        worded(own.unfit(&Unfit::new(StatusCode::BAD_REQUEST, "an unfit head")))
+                    }
+                    RejectionReason::NoCapacity
+                    | RejectionReason::QueueFull
+                    | RejectionReason::ShuttingDown => worded(own.refused(refusal.retry_after)),
                 },
                 Err(CallError::Failed) => worded(own.failed()),
             })
@@ -94,5 +98,5 @@
 }
 
 fn worded<R>(response: Response<&'static str>) -> Response<Either<ReplyBody, R>> {
-    response.map(|text| Either::Left(ReplyBody::Whole(Bytes::from_static(text.as_bytes()))))
+    response.map(|text| Either::Left(ReplyBody::Buffered(Bytes::from_static(text.as_bytes()))))
 }
--- a/crates/middleware/src/lib.rs
+++ b/crates/middleware/src/lib.rs
@@ -54,7 +54,7 @@
 
 pub use client::{CallError, Client, Trace};
 pub use layer::{Balance, Balanced};
-pub use maplehook::{Refusal, ReplyBody, Why};
+pub use maplehook::{Rejection, RejectionReason, ReplyBody};
 pub use maplehook_http_semantics::{Peer, Unfit};
 pub use setup::{Balancing, SetupError};
 
--- a/crates/middleware/src/setup.rs
+++ b/crates/middleware/src/setup.rs
@@ -63,7 +63,7 @@
             .upstreams(Fixed::listed(proxy.listed(|zone| zone)))
             .passages(proxy.passages.clone())
             .forwarding(proxy.forwarding.clone())
-            .bodies(proxy.bodies)
+            .body_memory(proxy.bodies)
             .start()
             .map_err(SetupError::Engine)?;
         Ok(Self::new(engine, proxy.rules(), Own { signed: proxy.own }))
--- a/crates/middleware/tests/host.rs
+++ b/crates/middleware/tests/host.rs
@@ -10,7 +10,7 @@
 use http_body_util::{BodyExt, Full};
 use maplehook_test_servers::app::{App, patterned};
 use maplehook_test_servers::{LONG, until};
-use maplehook_tower::{Balance, Balancing, CallError, Client, Peer, Trace, Why};
+use maplehook_tower::{Balance, Balancing, CallError, Client, Peer, RejectionReason, Trace};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
@@ -100,7 +100,10 @@
         let echo = String::from_utf8(echo.to_vec()).unwrap();
         assert!(echo.contains("\"length\":2500000,\"patterned\":true"), "{echo}");
         let error = client.clone().oneshot(post(Body::from(vec![0; 3_000_001]))).await.unwrap_err();
-        assert!(matches!(error, CallError::Refused(r) if r.why == Why::TooLong), "{error}");
+        assert!(
+            matches!(error, CallError::Refused(r) if r.reason == RejectionReason::BodyTooLong),
+            "{error}"
+        );
         assert_eq!(error.to_string(), "refused: the body is too long");
         let pieces = [Ok(patterned(100_000)), Err(std::io::Error::other("the host's disk"))];
         let broken = Body::from_stream(futures_util::stream::iter(pieces));
@@ -207,7 +210,7 @@
         let answers: Vec<u16> = join_all(asking).await.into_iter().map(Result::unwrap).collect();
         serving.await.unwrap().unwrap();
         let late = Client::new(&balancing).oneshot(book("/book/1", "late")).await;
-        assert!(matches!(late, Err(CallError::Refused(r)) if r.why == Why::Ending));
+        assert!(matches!(late, Err(CallError::Refused(r)) if r.reason == RejectionReason::ShuttingDown));
         answers
     });
     assert_eq!(answers, [200; 50]);
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -18,7 +18,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use maplehook::tally::{self, Tally};
+use maplehook::metrics::{self, Metrics};
 use maplehook_transport::StatusClient;
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -53,7 +53,7 @@
 #[derive(Clone, Default)]
 pub struct Board {
     /// The figures.
-    pub tally: Arc<Tally>,
+    pub tally: Arc<Metrics>,
     /// Whether this process takes clients.
     pub ready: Arc<AtomicBool>,
     /// How it stands in its tier, if it is of one.
@@ -208,7 +208,9 @@
     } else {
         match (path, &board.settings, &board.places) {
             (rollout::PATH | rollout::OWN, ..) => rollouts(request, board).await,
-            ("/control/counters", ..) => (StatusCode::OK, tally::CONTENT_TYPE, board.tally.text()),
+            ("/control/counters", ..) => {
+                (StatusCode::OK, metrics::CONTENT_TYPE, board.tally.openmetrics_text())
+            }
             ("/control/tier", ..) => shown(board).await,
             (wishes::PATH, Some(guard), _) => settings(request, guard).await,
             (places::PLACES, _, Some(desk)) => desk_of(request, desk).await,
--- a/crates/proxy/src/counts.rs
+++ b/crates/proxy/src/counts.rs
@@ -1,7 +1,7 @@
 //! What becomes of requests, counted on the thread that serves while a change in stages runs, and handed over each interval.
 
 use crate::nearness::Names;
-use maplehook::tally::{Counting, End, Looks};
+use maplehook::metrics::{RequestMetrics, RequestObserver, RequestResult};
 use maplehook_canary::IntervalReport;
 use maplehook_core::{ClassId, TenantId};
 use maplehook_rollout_agent::taking::Serving;
@@ -41,13 +41,13 @@
         self: Rc<Self>,
         mut counts: watch::Receiver<Option<Duration>>,
         counted: tokio::sync::mpsc::Sender<IntervalReport>,
-        counting: Rc<Counting>,
+        counting: Rc<RequestMetrics>,
     ) {
         let (mut present, mut next, mut interval) = (None, Instant::now(), 0u64);
         loop {
             let wanted = *counts.borrow_and_update();
             if mem::replace(&mut present, wanted) != wanted {
-                counting.look(wanted.map(|_| Rc::clone(&self) as Rc<dyn Looks>));
+                counting.set_observer(wanted.map(|_| Rc::clone(&self) as Rc<dyn RequestObserver>));
                 drop(self.take(0));
                 next = Instant::now() + wanted.unwrap_or_default();
             }
@@ -64,20 +64,20 @@
     }
 }
 
-impl Looks for Counts {
-    fn ended(&self, class: ClassId, tenant: TenantId, end: End, after: Duration) {
+impl RequestObserver for Counts {
+    fn request_ended(&self, class: ClassId, tenant: TenantId, end: RequestResult, after: Duration) {
         let names = self.names.borrow();
         let (class_at, tenant) = (usize::from(class.0), names.tenants.get(tenant.0 as usize));
         let Some(class) = names.classes.get(class_at) else { return };
         let mut report = self.report.borrow_mut();
         let cell = report.counts_mut(class, tenant.map_or("", String::as_str));
         match end {
-            End::Served => {
+            RequestResult::Served => {
                 let late = self.aims.borrow().get(class_at).is_some_and(|aim| after > *aim);
                 cell.record_served(u64::try_from(after.as_micros()).unwrap_or(u64::MAX), late);
             }
-            End::Refused => cell.rejected += 1,
-            End::Failed => cell.failed += 1,
+            RequestResult::Rejected => cell.rejected += 1,
+            RequestResult::Failed => cell.failed += 1,
         }
     }
 }
@@ -101,12 +101,12 @@
         let counts = Counts::new(names);
         counts.aim(vec![Duration::from_millis(10)]);
         let (class, tenant) = (ClassId(0), TenantId(0));
-        counts.ended(class, tenant, End::Served, Duration::from_millis(9));
-        counts.ended(class, tenant, End::Served, Duration::from_millis(8));
-        counts.ended(class, tenant, End::Served, Duration::from_millis(11));
-        counts.ended(class, TenantId(9), End::Refused, Duration::ZERO);
-        counts.ended(class, tenant, End::Failed, Duration::ZERO);
-        counts.ended(ClassId(7), tenant, End::Failed, Duration::ZERO);
+        counts.request_ended(class, tenant, RequestResult::Served, Duration::from_millis(9));
+        counts.request_ended(class, tenant, RequestResult::Served, Duration::from_millis(8));
+        counts.request_ended(class, tenant, RequestResult::Served, Duration::from_millis(11));
+        counts.request_ended(class, TenantId(9), RequestResult::Rejected, Duration::ZERO);
+        counts.request_ended(class, tenant, RequestResult::Failed, Duration::ZERO);
+        counts.request_ended(ClassId(7), tenant, RequestResult::Failed, Duration::ZERO);
         let mut report = counts.take(3);
         let cell = report.counts_mut("look", "acme").clone();
         assert_eq!((cell.served, cell.late, cell.rejected, cell.failed), (2, 1, 0, 1));
--- a/crates/proxy/src/retune.rs
+++ b/crates/proxy/src/retune.rs
@@ -3,10 +3,10 @@
 use crate::config::Config;
 use crate::entrance::Entrance;
 use crate::requests::Requests;
+use maplehook::metrics::RequestMetrics;
 use maplehook::parts::descriptors::Descriptors;
 use maplehook::parts::discovery::Discovery;
 use maplehook::parts::driver::Driver;
-use maplehook::tally::Counting;
 use maplehook_platform_settings::ActiveSettings;
 use std::cell::Cell;
 use std::io;
@@ -48,13 +48,13 @@
 
 impl Retuner {
     /// Reads the file at each SIGHUP, as long as the process lives.
-    pub async fn run(self, mut hangup: Signal, driver: Rc<Driver>, counting: Rc<Counting>) {
+    pub async fn run(self, mut hangup: Signal, driver: Rc<Driver>, counting: Rc<RequestMetrics>) {
         let (start, mut tuned) = (Instant::now(), self.config.tuned.clone());
         while hangup.recv().await.is_some() {
             let read = self.descriptors.with_spare(|| self.config.retuned(start.elapsed(), &tuned));
             match read {
                 Ok((discovery, new)) => {
-                    counting.tally().conf_loaded.inc();
+                    counting.metrics().conf_loaded.inc();
                     tracing::info!(%discovery, retuned = new != tuned, "configuration read anew");
                     if new != tuned {
                         self.retune(&new, &driver, &counting);
@@ -65,7 +65,7 @@
                     }
                 }
                 Err(e) => {
-                    counting.tally().conf_invalid.inc();
+                    counting.metrics().conf_invalid.inc();
                     tracing::warn!("the configuration stays as it is: {e}");
                 }
             }
@@ -73,10 +73,10 @@
     }
 
     /// The decisions come first: no request may come by a class or tenant that they do not know.
-    fn retune(&self, tuned: &ActiveSettings, driver: &Rc<Driver>, counting: &Counting) {
+    fn retune(&self, tuned: &ActiveSettings, driver: &Rc<Driver>, counting: &RequestMetrics) {
         let site = tuned.current();
         driver.update_settings(site.settings.clone(), tuned.removed_tenants());
-        counting.name(&site.names.classes);
+        counting.set_classes(&site.names.classes);
         let guarantees: Vec<f64> = site.settings.tenants.iter().map(|t| t.allowance_per_s).collect();
         self.entrance.guarantee(&guarantees);
         self.discovery.set_names(site.names.clone());
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -16,11 +16,11 @@
 use crate::supervised::{Supervised, Tried};
 use hyper::header::HeaderName;
 use maplehook::ledger::Bounds;
+use maplehook::metrics::RequestMetrics;
 use maplehook::parts::body_memory::BodyMemory;
 use maplehook::parts::dispatcher::Dispatcher;
 use maplehook::parts::driver::Driver;
 use maplehook::source::{EndpointUpdate, Source};
-use maplehook::tally::Counting;
 use maplehook_admission::DescriptorClass;
 use maplehook_config::Operator;
 use maplehook_core::Settings;
@@ -97,7 +97,7 @@
     parts: Parts,
     requests: Rc<Requests>,
     (source, known): (Rc<dyn Source>, EndpointUpdate),
-    begun: impl FnOnce(Rc<Driver>, Rc<Counting>),
+    begun: impl FnOnce(Rc<Driver>, Rc<RequestMetrics>),
     registrar: Option<Registrar>,
     rest: impl FnOnce() + Send + 'static,
 ) -> Result<(), Box<dyn Error>> {
@@ -130,7 +130,7 @@
     if pushed {
         driver.follow_pushed_list();
     }
-    let counting = Counting::new(Arc::clone(&board.tally), &plan.classes);
+    let counting = RequestMetrics::new(Arc::clone(&board.tally), &plan.classes);
     let desk = Dispatcher::new(Rc::clone(&driver), Rc::clone(&counting), Bounds::default(), plan.seed)?;
     begun(Rc::clone(&driver), counting);
     let (phase, phases) = watch::channel(Phase::Serving);
--- a/crates/proxy/src/serve/file.rs
+++ b/crates/proxy/src/serve/file.rs
@@ -9,7 +9,7 @@
 use crate::requests::Requests;
 use crate::supervised::{self, Led, Supervised};
 use crate::versions::Versions;
-use maplehook::lists::Lists;
+use maplehook::endpoint_list::EndpointList;
 use maplehook::parts::body_memory::BodyMemory;
 use maplehook::parts::driver::Driver;
 use maplehook::source::{EndpointUpdate, Fixed, Source};
@@ -76,8 +76,8 @@
         requests.refuse(refuses);
         parts.entrance.know(proxy.clients.known.clone());
         parts.board.refuses.store(refuses, Ordering::Release);
-        let lists = Rc::new(Lists::new(Fixed::listed(proxy.listed(|zone| zone)).into_entries()));
-        let known = EndpointUpdate { scope: UpdateScope::Cached, ..lists.news() };
+        let lists = Rc::new(EndpointList::new(Fixed::listed(proxy.listed(|zone| zone)).into_entries()));
+        let known = EndpointUpdate { scope: UpdateScope::Cached, ..lists.full_update() };
         let (source, registrar) = match &proxy.eureka {
             None => (Rc::clone(&lists) as Rc<dyn Source>, None),
             Some(file) => {
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -141,7 +141,7 @@
                 ends
             }
             Err(refusal) => {
-                self.desk.tally().clients_refused.count(refusal.reason.name());
+                self.desk.tally().clients_refused.increment(refusal.reason.name());
                 self.refused.warn(|| format!("{address} refused at the door: {:?}", refusal.reason));
                 self.refusals.refuse(stream, &refusal);
                 false
--- a/crates/proxy/src/server/connection.rs
+++ b/crates/proxy/src/server/connection.rs
@@ -64,7 +64,7 @@
 
     /// Tells the log and the figures why a connection ends.
     fn tell_end(&self, client: &Client, peer: IpAddr, end: End) {
-        self.desk.tally().clients_ended.count(end.name());
+        self.desk.tally().clients_ended.increment(end.name());
         let (reason, stand, silent) = (end.name(), client.stand(), client.silence());
         let (came, label) = (client.came_since_answer(), client.label());
         tracing::debug!(%peer, reason, ?stand, ?silent, came, %label, "a client's connection ends");
--- a/crates/proxy/src/server/respond.rs
+++ b/crates/proxy/src/server/respond.rs
@@ -73,7 +73,7 @@
 
     /// Counts what is answered as no fit request.
     pub(super) fn count_unfit(&self, unfit: &Unfit) {
-        self.desk.tally().unfit.count(unfit.status.canonical_reason().unwrap_or("other"));
+        self.desk.tally().unfit.increment(unfit.status.canonical_reason().unwrap_or("other"));
     }
 
     async fn answer(&self, client: &Client, ready: Ready) -> Response<ResponseBody> {
--- a/crates/proxy/src/versions.rs
+++ b/crates/proxy/src/versions.rs
@@ -8,11 +8,11 @@
 use crate::nearness::Names;
 use crate::requests::Requests;
 use crate::supervised;
-use maplehook::lists::Lists;
+use maplehook::endpoint_list::EndpointList;
+use maplehook::metrics::RequestMetrics;
 use maplehook::parts::driver::Driver;
 use maplehook::parts::upstream::Upstreams;
 use maplehook::source::Fixed;
-use maplehook::tally::Counting;
 use maplehook_canary::Side;
 use maplehook_config::Proxy;
 use maplehook_consensus::{ActiveVersion, EnforcementMode};
@@ -34,7 +34,7 @@
     /// Whether another process of this balancer grants, too.
     two: bool,
     /// The list, where it is the file's.
-    pub lists: Option<Rc<Lists>>,
+    pub lists: Option<Rc<EndpointList>>,
     /// The reader of requests.
     pub requests: Rc<Requests>,
     /// The door.
@@ -79,7 +79,7 @@
     /// With the numbers that a process has from its start on.
     pub fn new(
         began_with: &Proxy,
-        lists: Option<Rc<Lists>>,
+        lists: Option<Rc<EndpointList>>,
         requests: Rc<Requests>,
         entrance: Rc<Entrance>,
         upstreams: Rc<Upstreams>,
@@ -97,7 +97,7 @@
         mut acting: watch::Receiver<ActiveVersion>,
         applied: watch::Sender<u64>,
         driver: Rc<Driver>,
-        counting: Rc<Counting>,
+        counting: Rc<RequestMetrics>,
         mut beside: Option<watch::Receiver<bool>>,
     ) {
         let mut present: Option<Present> = None;
@@ -164,7 +164,7 @@
         mode: EnforcementMode,
         stage: Option<&Staged>,
         driver: &Rc<Driver>,
-        counting: &Counting,
+        counting: &RequestMetrics,
     ) -> bool {
         let proxy = stage.map_or_else(|| acting.rules_for(mode), |stage| &stage.rules);
         let numbered = self.numbers.assign(proxy);
@@ -175,7 +175,7 @@
         }
         let entries = Fixed::listed(proxy.listed(|zone| numbered.zone_id(zone))).into_entries();
         driver.update_settings(supervised::halved(numbered.settings, self.two), numbered.removed_tenants);
-        counting.name(&numbered.class_names);
+        counting.set_classes(&numbered.class_names);
         self.entrance.guarantee(&guarantees);
         self.entrance.know(proxy.clients.known.clone());
         let listed = self.lists.as_ref().is_some_and(|lists| lists.set(entries));
--- a/tools/conformance/src/ways.rs
+++ b/tools/conformance/src/ways.rs
@@ -5,7 +5,7 @@
 use http_body_util::{BodyExt, Full};
 use maplehook_proxy::Daemon;
 use maplehook_proxy::config::Config;
-use maplehook_tower::{Balance, Balancing, CallError, Client, Why};
+use maplehook_tower::{Balance, Balancing, CallError, Client, RejectionReason};
 use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -253,10 +253,12 @@
             }
         }
         Err(CallError::Unfit(unfit)) => own(Verdict::Unfit(unfit.status.as_u16()), false),
-        Err(CallError::Refused(refusal)) => match refusal.why {
-            Why::TooLong => own(Verdict::Unfit(413), false),
-            Why::BrokeOff | Why::Unfit => own(Verdict::Unfit(400), false),
-            Why::NoRoom | Why::Busy | Why::Ending => own(Verdict::Refused, refusal.retry_after.is_some()),
+        Err(CallError::Refused(refusal)) => match refusal.reason {
+            RejectionReason::BodyTooLong => own(Verdict::Unfit(413), false),
+            RejectionReason::BodyIncomplete | RejectionReason::InvalidCall => own(Verdict::Unfit(400), false),
+            RejectionReason::NoCapacity | RejectionReason::QueueFull | RejectionReason::ShuttingDown => {
+                own(Verdict::Refused, refusal.retry_after.is_some())
+            }
         },
         Err(CallError::Failed) => own(Verdict::Failed, false),
     }
--- a/tools/simulator/src/rules/ledger.rs
+++ b/tools/simulator/src/rules/ledger.rs
@@ -1,7 +1,7 @@
 //! Two callers that ask for the same effect, again and again, and the ledger between them and the upstream.
 
 use super::Game;
-use maplehook::ledger::{Bounds, Ending, EntryId, Identity, Ledger, Opened};
+use maplehook::ledger::{Bounds, EntryId, FinalAnswer, Identity, Ledger, OpenResult};
 use std::time::Duration;
 
 const REMEMBER: Duration = Duration::from_secs(2);
@@ -57,7 +57,7 @@
 impl Host {
     /// Nobody has asked.
     pub fn new(flaw: Option<Flaw>) -> Self {
-        let bounds = Bounds { remember: REMEMBER, ..Bounds::default() };
+        let bounds = Bounds { retention: REMEMBER, ..Bounds::default() };
         let ledger = Ledger::new(bounds, 1).unwrap_or_else(|_| unreachable!("the default bounds are sound"));
         Self {
             ledger,
@@ -97,29 +97,29 @@
         self.asked[caller] += 1;
         let identity = Identity { tenant: 0, class: 0, id: (*b"booking").into() };
         match self.ledger.open(self.its_time(), &identity, caller as u64) {
-            Opened::First(entry) => {
+            OpenResult::First(entry) => {
                 self.waits[caller] = true;
                 self.sends(entry)
             }
-            Opened::Joined(entry) => {
+            OpenResult::Joined(entry) => {
                 self.waits[caller] = true;
                 if self.out.is_none() {
                     return Err("joined what is not out".into());
                 }
                 if self.flaw == Some(Flaw::JoinedSends) { self.sends(entry) } else { Ok(()) }
             }
-            Opened::Ended(ending) => {
+            OpenResult::Answered(ending) => {
                 let got = match ending {
-                    Ending::Served(_) | Ending::ServedNotKept => End::Served,
-                    Ending::Failed => End::Failed,
-                    Ending::Refused => End::Refused,
+                    FinalAnswer::Served(_) | FinalAnswer::ServedNotCached => End::Served,
+                    FinalAnswer::Failed => End::Failed,
+                    FinalAnswer::Rejected => End::Refused,
                 };
                 match self.ended {
                     Some((end, _)) if end == got => Ok(()),
                     other => Err(format!("answered {got:?} after {other:?}")),
                 }
             }
-            Opened::Crowded | Opened::Full => Err("refused with room to spare".into()),
+            OpenResult::TooManyWaiters | OpenResult::Full => Err("refused with room to spare".into()),
         }
     }
 
@@ -138,12 +138,12 @@
     fn ends(&mut self, end: End) -> Result<(), String> {
         let Some(entry) = self.out.take() else { return Ok(()) };
         let ending = match end {
-            End::Served => Ending::Served(self.sent),
-            End::Failed if self.flaw == Some(Flaw::FailureForgotten) => Ending::Refused,
-            End::Failed => Ending::Failed,
-            End::Refused => Ending::Refused,
+            End::Served => FinalAnswer::Served(self.sent),
+            End::Failed if self.flaw == Some(Flaw::FailureForgotten) => FinalAnswer::Rejected,
+            End::Failed => FinalAnswer::Failed,
+            End::Refused => FinalAnswer::Rejected,
         };
-        let told = self.ledger.ended(self.its_time(), entry, ending, 1);
+        let told = self.ledger.complete(self.its_time(), entry, ending, 1);
         let waited: Vec<u64> = (0..2).filter(|c| self.waits[*c]).map(|c| c as u64).collect();
         let mut named = told.clone();
         named.sort_unstable();
@@ -176,7 +176,7 @@
             Move::Leaves(caller) => {
                 self.waits[caller] = false;
                 if let Some(entry) = self.out {
-                    self.ledger.left(entry, caller as u64);
+                    self.ledger.remove_waiter(entry, caller as u64);
                 }
                 Ok(())
             }
