--- a/crates/engine/src/call.rs
+++ b/crates/engine/src/call.rs
@@ -1,4 +1,4 @@
-//! What a host hands to an engine, and what it gets.
+//! Requests that a host program passes to an engine, and the answers it receives.
 
 use crate::parts::body::Failure;
 use bytes::Bytes;
@@ -13,40 +13,40 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// A request to be balanced.
+/// A request for the engine to balance.
 #[derive(Debug)]
 pub struct Call {
-    /// Its class: a position in [`Settings::classes`](maplehook_core::Settings::classes).
+    /// Class, as an index into [`Settings::classes`](maplehook_core::Settings::classes).
     pub class: ClassId,
-    /// Its tenant: a position in [`Settings::tenants`](maplehook_core::Settings::tenants).
+    /// Tenant, as an index into [`Settings::tenants`](maplehook_core::Settings::tenants).
     pub tenant: TenantId,
-    /// How long the caller waits, from now. The class's deadline is the most.
+    /// Time that the caller waits for the answer, from now on; capped by the deadline of the class.
     pub wait: Duration,
-    /// By what it is known again. With one, a request that may not run twice goes through the ledger: it is sent
-    /// once, and whoever repeats it gets the same final answer.
+    /// Request id that identifies repeated calls. If set, a request that must not run twice goes through the ledger:
+    /// it is sent once, and callers that repeat it get the same final answer.
     pub id: Option<Box<[u8]>>,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its target; what goes on is path and query.
+    /// Request target. Only its path and query are forwarded.
     pub target: Uri,
-    /// Its headers; `Host` among them. What speaks of one hop is taken off.
+    /// Headers, including `Host`. Hop-by-hop headers are removed before forwarding.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Request body, buffered or streamed.
     pub body: CallBody,
-    /// Who asked, if upstreams are to be told.
+    /// Client that sent the request; set it to forward the client's address to upstreams.
     pub peer: Option<Peer>,
 }
 
-/// The body of a call.
+/// Request body of a call.
 pub enum CallBody {
-    /// In hand.
+    /// Complete body in memory.
     Buffered(Bytes),
-    /// Read as it is needed, on the engine's thread. What is longer than its class's buffer is sent once.
+    /// Body that the engine's thread reads on demand. A body longer than the class's buffer is sent only once.
     Stream(Pin<Box<dyn Body<Data = Bytes, Error = Failure> + Send>>),
 }
 
 impl CallBody {
-    /// One that is read as it is needed.
+    /// Creates a body that the engine reads on demand.
     pub fn stream<B>(body: B) -> Self
     where
         B: Body<Data = Bytes> + Send + 'static,
@@ -77,52 +77,52 @@
     }
 }
 
-/// The final answer to a call. There is exactly one.
+/// Final answer to a call. Each call gets exactly one.
 #[derive(Debug)]
 pub enum Outcome {
-    /// An upstream's answer, whatever its status.
+    /// An upstream answered, with any status.
     Served(Reply),
-    /// It never ran; trying again is harmless.
+    /// The call never ran. It is safe to repeat it.
     Rejected(Rejection),
-    /// It may have run.
+    /// The call may have run, but there is no answer.
     Failed,
 }
 
-/// RejectionReason a call was not run.
+/// Rejection of a call that did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// RejectionReason.
+    /// Cause of the rejection.
     pub reason: RejectionReason,
-    /// How long the caller should stay away, if that is known.
+    /// Time to wait before the caller repeats the call, if known.
     pub retry_after: Option<Duration>,
 }
 
-/// RejectionReason a call was not run.
+/// Reason why the engine did not run a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// The balancer has no room for it, no upstream took it, or the ledger is full.
+    /// The balancer has no capacity for the call, no upstream accepted it, or the ledger is full.
     NoCapacity,
-    /// Too many calls wait for the engine.
+    /// The engine's command queue is full.
     QueueFull,
-    /// The engine ends, or has ended.
+    /// The engine is shutting down or has stopped.
     ShuttingDown,
-    /// Its body is longer than its class allows.
+    /// The request body exceeds the limit of the class.
     BodyTooLong,
-    /// Its body broke off, or did not come in time.
+    /// The request body ended early or was not received in time.
     BodyIncomplete,
-    /// There is no such class, or a header that can't be passed on.
+    /// The class does not exist, or a header cannot be forwarded.
     InvalidCall,
 }
 
 impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self.reason {
-            RejectionReason::NoCapacity => "refused: no room",
-            RejectionReason::QueueFull => "refused: too many calls wait",
-            RejectionReason::ShuttingDown => "refused: the engine ends",
+            RejectionReason::NoCapacity => "refused: no capacity",
+            RejectionReason::QueueFull => "refused: too many calls are queued",
+            RejectionReason::ShuttingDown => "refused: the engine is shutting down",
             RejectionReason::BodyTooLong => "refused: the body is too long",
-            RejectionReason::BodyIncomplete => "refused: the body did not come whole",
-            RejectionReason::InvalidCall => "refused: no such class, or an unfit head",
+            RejectionReason::BodyIncomplete => "refused: the body is incomplete",
+            RejectionReason::InvalidCall => "refused: unknown class or invalid headers",
         })
     }
 }
@@ -135,43 +135,44 @@
     }
 }
 
-/// An upstream's answer.
+/// Response of an upstream.
 #[derive(Debug)]
 pub struct Reply {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its end-to-end headers.
+    /// End-to-end headers; hop-by-hop headers are removed.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Response body, buffered or streamed.
     pub body: ReplyBody,
-    /// Attempts that it took.
+    /// Number of attempts made for the call.
     pub attempts: u8,
-    /// Who served it.
+    /// Upstream that sent the response, if known.
     pub upstream: Option<UpstreamId>,
 }
 
-/// The body of an answer.
+/// Response body of a call.
 #[derive(Debug)]
 pub enum ReplyBody {
-    /// In hand.
+    /// Complete body in memory.
     Buffered(Bytes),
-    /// As it comes. Its reader sets the pace; when it is dropped, the upstream's connection closes.
+    /// Body that is forwarded as it is received, with backpressure. Dropping it closes the upstream connection.
     Stream(StreamedBody),
 }
 
-/// A body that comes from the engine's thread.
+/// Response body that the engine's thread streams to the caller.
 #[derive(Debug)]
 pub struct StreamedBody {
     pub(crate) frames: mpsc::Receiver<StreamItem>,
-    pub(crate) hint: SizeHint,
-    pub(crate) ended: bool,
+    pub(crate) size_hint: SizeHint,
+    pub(crate) has_ended: bool,
 }
 
-/// A piece of a body; `None` is its end. Without one it has broken off.
+/// Result of one poll of a body: a frame, an error, or `None` at the end. A channel that closes without a `None` means
+/// that the engine stopped in the middle of the body.
 pub(crate) type StreamItem = Option<Result<Frame<Bytes>, Failure>>;
 
 impl ReplyBody {
-    /// All of it.
+    /// Reads the complete body.
     pub async fn into_bytes(self) -> Result<Bytes, Failure> {
         Ok(BodyExt::collect(self).await?.to_bytes())
     }
@@ -188,11 +189,13 @@
         match &mut *self {
             Self::Buffered(body) if body.is_empty() => Poll::Ready(None),
             Self::Buffered(body) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(body))))),
-            Self::Stream(streaming) if streaming.ended => Poll::Ready(None),
-            Self::Stream(streaming) => {
-                let piece = ready!(streaming.frames.poll_recv(cx));
-                streaming.ended = !matches!(piece, Some(Some(Ok(_))));
-                Poll::Ready(piece.unwrap_or_else(|| Some(Err("the engine has ended".into()))))
+            Self::Stream(stream) if stream.has_ended => Poll::Ready(None),
+            Self::Stream(stream) => {
+                let item = ready!(stream.frames.poll_recv(cx));
+                stream.has_ended = !matches!(item, Some(Some(Ok(_))));
+                Poll::Ready(
+                    item.unwrap_or_else(|| Some(Err("the engine stopped before the end of the body".into()))),
+                )
             }
         }
     }
@@ -200,14 +203,14 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Buffered(body) => body.is_empty(),
-            Self::Stream(streaming) => streaming.ended,
+            Self::Stream(stream) => stream.has_ended,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Buffered(body) => SizeHint::with_exact(body.len() as u64),
-            Self::Stream(streaming) => streaming.hint,
+            Self::Stream(stream) => stream.size_hint,
         }
     }
 }
--- a/crates/engine/src/endpoint_list.rs
+++ b/crates/engine/src/endpoint_list.rs
@@ -1,30 +1,30 @@
-//! A list of upstreams that is set while the engine runs.
+//! An endpoint list that the host replaces while the engine runs.
 
 use crate::source::{EndpointUpdate, Entry, Source, Task};
 use maplehook_core::UpdateScope;
 use std::time::Instant;
 use tokio::sync::watch;
 
-/// A list that is set, from any thread; its copies are the same one.
+/// Endpoint list that any thread can replace. Clones share the same list.
 #[derive(Clone, Debug)]
 pub struct EndpointList(watch::Sender<Vec<Entry>>);
 
 impl EndpointList {
-    /// This one, until another is set.
+    /// Creates a list with these entries.
     pub fn new(entries: Vec<Entry>) -> Self {
         Self(watch::Sender::new(entries))
     }
 
-    /// This one from now on; whether it is another one.
+    /// Replaces the entries. Returns true if they differ from the previous ones.
     pub fn set(&self, entries: Vec<Entry>) -> bool {
-        self.0.send_if_modified(|before| {
-            let changed = *before != entries;
-            *before = entries;
+        self.0.send_if_modified(|current| {
+            let changed = *current != entries;
+            *current = entries;
             changed
         })
     }
 
-    /// The list.
+    /// Returns an update that contains the complete list.
     pub fn full_update(&self) -> EndpointUpdate {
         EndpointUpdate { scope: UpdateScope::Full, entries: self.0.borrow().clone() }
     }
@@ -35,12 +35,12 @@
         Box::pin(std::future::ready(self.full_update()))
     }
 
-    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
+    fn watch<'a>(&'a self, on_update: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
         Box::pin(async move {
             let mut changes = self.0.subscribe();
             loop {
                 changes.mark_unchanged();
-                tell(self.full_update());
+                on_update(self.full_update());
                 if changes.changed().await.is_err() {
                     return;
                 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,11 +1,11 @@
-//! The engine to embed: a core on a thread of its own, and handles to it from any runtime.
+//! The embeddable engine: a core on a dedicated thread, and handles that work from any runtime.
 //!
-//! The core is a current-thread runtime without locks: one `Balancer`, its connections, its ledger. A [`Handle`]
-//! reaches it through one bounded queue. Engines share nothing with one another.
+//! The core runs one `Balancer`, its connections and its ledger on a current-thread runtime without locks. A [`Handle`]
+//! sends commands to the core through a bounded queue. Engines share no state with one another.
 
-mod pump;
+mod forward_body;
 
-use pump::pump;
+use forward_body::forward_body;
 
 use crate::call::{Call, CallBody, Outcome, Rejection, RejectionReason, Reply, ReplyBody, StreamedBody};
 use crate::endpoint_list::EndpointList;
@@ -35,18 +35,18 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep_until, timeout, timeout_at};
 
-/// Calls that may wait for the core; more are refused, harmlessly.
-const QUEUE: usize = 1024;
-/// After the deadline of a shutdown, what is still held gets its final answer within this.
-const LAST_WORDS: Duration = Duration::from_millis(500);
+/// Length of the command queue. Calls beyond it are rejected, which is safe because they have not run.
+const MAX_QUEUED_COMMANDS: usize = 1024;
+/// Time for the calls still in flight at the shutdown deadline to get their final answers.
+const FINAL_ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// RejectionReason an engine does not start.
+/// Error that prevents an engine from starting.
 #[derive(Debug)]
 pub struct StartError(Box<dyn Error + Send + Sync>);
 
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the engine does not start: {}", self.0)
+        write!(f, "failed to start the engine: {}", self.0)
     }
 }
 
@@ -58,7 +58,7 @@
 
 type MakeSource = Box<dyn FnOnce(&Rc<Descriptors>) -> Rc<dyn Source> + Send>;
 
-/// What an engine is made of.
+/// Configuration of an engine that is not started yet.
 pub struct Builder {
     settings: Settings,
     seed: u64,
@@ -73,70 +73,70 @@
 }
 
 impl Builder {
-    /// The seed of all chance; balancers of one fleet have different ones.
+    /// Sets the seed of the random number generators. Balancers of one fleet need different seeds.
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Upstreams known from the start. Without a source, they are all there are.
+    /// Sets the initial upstreams. Without a source, the list never changes.
     pub fn upstreams(mut self, fixed: Fixed) -> Self {
         self.fixed = Some(fixed);
         self
     }
 
-    /// Where the list comes from; it is made, and lives, on the engine's thread.
+    /// Sets the source of the endpoint list. The engine's thread calls `make` and owns the source.
     pub fn source(mut self, make: impl FnOnce(&Rc<Descriptors>) -> Rc<dyn Source> + Send + 'static) -> Self {
         self.source = Some(Box::new(make));
         self
     }
 
-    /// Connections to upstreams that may be open; 450 if unset. 2 or more.
-    pub fn connections(mut self, most: usize) -> Self {
-        self.connections = most;
+    /// Limits the number of open connections to upstreams. The default is 450, the minimum is 2.
+    pub fn connections(mut self, limit: usize) -> Self {
+        self.connections = limit;
         self
     }
 
-    /// Bytes that body_memory which are held may take together; 16 MiB if unset. Where there is no room, they stream.
+    /// Limits the memory for buffered bodies, in bytes. The default is 16 MiB. Bodies that do not fit are streamed.
     pub fn body_memory(mut self, bytes: usize) -> Self {
         self.body_memory = bytes;
         self
     }
 
-    /// How messages of each class pass; [`Passage::general`] if unset.
+    /// Sets the forwarding rules of each class, in the order of the classes. The default is [`Passage::general`].
     pub fn passages(mut self, passages: Vec<Passage>) -> Self {
         self.passages = Some(passages);
         self
     }
 
-    /// What upstreams are told of the way here; nothing if unset.
+    /// Sets the forwarding headers that upstreams receive about the client. By default, they receive none.
     pub fn forwarding(mut self, forwarding: Forwarding) -> Self {
         self.forwarding = forwarding;
         self
     }
 
-    /// Where it counts, by the classes' numbers; in figures of its own if unset.
+    /// Sets the metrics to update, labelled by class index. By default, the engine has separate metrics.
     pub fn metrics(mut self, metrics: Arc<Metrics>) -> Self {
         self.metrics = metrics;
         self
     }
 
-    /// What the ledger may hold.
+    /// Sets the limits of the ledger.
     pub fn ledger(mut self, bounds: Bounds) -> Self {
         self.ledger = bounds;
         self
     }
 
-    /// Starts the engine.
+    /// Starts the engine on a new thread and waits until it runs.
     pub fn start(self) -> Result<Engine, StartError> {
-        let (commands, received) = mpsc::channel(QUEUE);
-        let (ended_tx, ended) = watch::channel(false);
+        let (commands, received) = mpsc::channel(MAX_QUEUED_COMMANDS);
+        let (stopped_tx, stopped) = watch::channel(false);
         let (started_tx, started) = std::sync::mpsc::channel();
         std::thread::Builder::new()
             .name("maplehook".into())
             .spawn(move || {
-                // Told also when this thread panics: whoever waits for the end must not wait for ever.
-                let _ended = Ended(ended_tx);
+                // Notifies waiters also when this thread panics; otherwise they would wait forever.
+                let _stop_notifier = StopNotifier(stopped_tx);
                 let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
                 match runtime {
                     Ok(runtime) => LocalSet::new().block_on(&runtime, self.run(received, &started_tx)),
@@ -144,9 +144,9 @@
                 }
             })
             .map_err(|e| StartError(e.into()))?;
-        let lost = || StartError("its thread has ended".into());
-        started.recv().map_err(|_| lost())??;
-        Ok(Engine { handle: Handle { commands, ended } })
+        let thread_ended = || StartError("its thread ended during startup".into());
+        started.recv().map_err(|_| thread_ended())??;
+        Ok(Engine { handle: Handle { commands, stopped } })
     }
 
     async fn run(
@@ -154,7 +154,7 @@
         commands: mpsc::Receiver<Command>,
         started: &std::sync::mpsc::Sender<Result<(), StartError>>,
     ) {
-        match self.core() {
+        match self.build_core() {
             Ok(core) => {
                 let _ = started.send(Ok(()));
                 core.serve(commands).await;
@@ -163,33 +163,33 @@
         }
     }
 
-    fn core(mut self) -> Result<Rc<Core>, StartError> {
-        let wrong = |e: Box<dyn Error + Send + Sync>| StartError(e);
-        // Without it the module takes the list for pushed, and never asks.
+    fn build_core(mut self) -> Result<Rc<Core>, StartError> {
+        let start_error = |e: Box<dyn Error + Send + Sync>| StartError(e);
+        // Without this setting, the balancer expects a pushed list and never requests a fetch.
         self.settings.has_endpoint_discovery = true;
         let passages = self.passages.take().unwrap_or_else(|| {
             self.settings.classes.iter().map(|class| Passage::general(class.effect)).collect()
         });
         if passages.len() != self.settings.classes.len() {
-            return Err(wrong("a passage for each class, or none".into()));
+            return Err(start_error("the number of passages must equal the number of classes".into()));
         }
-        let classes = RefCell::new(classes(&self.settings, passages));
-        let tenants = Cell::new(self.settings.tenants.len());
+        let classes = RefCell::new(class_rules(&self.settings, passages));
+        let tenant_count = Cell::new(self.settings.tenants.len());
         let balancer = Balancer::new(self.settings.clone(), self.seed)
-            .map_err(|e| wrong(format!("settings: {e}").into()))?;
-        let descriptors = Descriptors::for_upstreams(self.connections).map_err(|e| wrong(e.into()))?;
-        let (room, forwarding) = (BodyMemory::new(self.body_memory), self.forwarding);
+            .map_err(|e| start_error(format!("settings: {e}").into()))?;
+        let descriptors = Descriptors::for_upstreams(self.connections).map_err(|e| start_error(e.into()))?;
+        let (body_memory, forwarding) = (BodyMemory::new(self.body_memory), self.forwarding);
         let upstreams = Upstreams::new(
             &self.settings,
             Rc::clone(&descriptors),
-            room.clone(),
+            body_memory.clone(),
             forwarding.clone(),
             Arc::clone(&self.metrics),
         );
         let upstreams = Rc::new(upstreams);
-        let (idle, resized) = (Rc::clone(&upstreams), Rc::clone(&upstreams));
-        descriptors.add_relief(move || idle.close_oldest());
-        descriptors.on_limits_changed(move || resized.apply_descriptor_limit());
+        let (for_relief, for_limits) = (Rc::clone(&upstreams), Rc::clone(&upstreams));
+        descriptors.add_relief(move || for_relief.close_oldest());
+        descriptors.on_limits_changed(move || for_limits.apply_descriptor_limit());
         let fixed = self.fixed.unwrap_or_default();
         let known = EndpointUpdate { scope: UpdateScope::Cached, ..fixed.full_update() };
         let source = match self.source {
@@ -198,55 +198,56 @@
         };
         spawn_local(descriptors.watch_process_limit());
         let driver = Driver::start(balancer, Rc::clone(&upstreams), source, known);
-        let numbers: Vec<String> = (0..self.settings.classes.len()).map(|n| n.to_string()).collect();
-        let counting = RequestMetrics::new(self.metrics, &numbers);
-        let desk = Dispatcher::new(driver, counting, self.ledger, self.seed);
-        let desk = desk.map_err(|e| wrong(format!("ledger: {e}").into()))?;
-        Ok(Rc::new(Core { desk, room, forwarding, upstreams, classes, tenants }))
+        let class_indices: Vec<String> = (0..self.settings.classes.len()).map(|n| n.to_string()).collect();
+        let request_metrics = RequestMetrics::new(self.metrics, &class_indices);
+        let dispatcher = Dispatcher::new(driver, request_metrics, self.ledger, self.seed);
+        let dispatcher = dispatcher.map_err(|e| start_error(format!("ledger: {e}").into()))?;
+        Ok(Rc::new(Core { dispatcher, body_memory, forwarding, upstreams, classes, tenant_count }))
     }
 }
 
-struct Ended(watch::Sender<bool>);
+/// Notifies waiters when the engine's thread ends.
+struct StopNotifier(watch::Sender<bool>);
 
-impl Drop for Ended {
+impl Drop for StopNotifier {
     fn drop(&mut self) {
         self.0.send_replace(true);
     }
 }
 
-/// Rules that take the place of those that an engine has, while calls go on.
+/// Configuration version that replaces the rules of a running engine.
 #[derive(Clone, Debug)]
 pub struct Version {
-    /// The decision module's settings. Classes, tenants and zones keep their numbers; there are no fewer than before.
+    /// Settings of the decision core. Classes, tenants and zones keep their indices, and none may be dropped.
     pub settings: Settings,
-    /// Tenants that are there no more, by their numbers.
+    /// Indices of the tenants that no longer exist.
     pub removed_tenants: Vec<TenantId>,
-    /// How messages of each class pass.
+    /// Forwarding rules of each class, in the order of the classes.
     pub passages: Vec<Passage>,
-    /// For how long it may be acted on.
+    /// Lease that limits how long the engine may act on this version.
     pub lease: Lease,
-    /// The list of upstreams, where it is another one: it is set on the engine's thread, and acted on once the decisions have been
-    /// told it.
+    /// New endpoint list, if it changed. The engine's thread sets it and completes the adoption once the balancer has
+    /// received the list.
     pub list: Option<(EndpointList, Vec<Entry>)>,
 }
 
-/// RejectionReason rules are not taken over; those before stay.
+/// Error that prevents an engine from adopting a version. The previous rules stay in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdoptError {
-    /// There are fewer classes or tenants than before: calls under way have numbers that would mean nothing.
+    /// The version has fewer classes or tenants than before, so that indices of calls in flight would be invalid.
     ClassesOrTenantsRemoved,
-    /// There is not one passage for each class.
+    /// The number of passages differs from the number of classes.
     PassageCountMismatch,
-    /// The engine has ended.
-    Ended,
+    /// The engine has stopped.
+    Stopped,
 }
 
 impl fmt::Display for AdoptError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::ClassesOrTenantsRemoved => "there are fewer classes or tenants than before",
-            Self::PassageCountMismatch => "there is not one passage for each class",
-            Self::Ended => "the engine has ended",
+            Self::ClassesOrTenantsRemoved => "the version has fewer classes or tenants than the engine",
+            Self::PassageCountMismatch => "the number of passages differs from the number of classes",
+            Self::Stopped => "the engine has stopped",
         })
     }
 }
@@ -260,13 +261,13 @@
     Shutdown(Instant),
 }
 
-/// A running engine. When it is dropped it ends: what it holds gets its final answer at once.
+/// A running engine. Dropping it shuts it down and gives calls in flight their final answers at once.
 pub struct Engine {
     handle: Handle,
 }
 
 impl Engine {
-    /// What an engine with these settings is made of.
+    /// Returns a builder for an engine with these settings.
     pub fn builder(settings: Settings) -> Builder {
         Builder {
             settings,
@@ -282,12 +283,12 @@
         }
     }
 
-    /// A handle to it; any number may be had, on any thread.
+    /// Returns a handle to the engine. Handles can be cloned and used on any thread.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Ends it, see [`Handle::shutdown`].
+    /// Shuts the engine down; see [`Handle::shutdown`].
     pub async fn shutdown(&self, within: Duration) {
         self.handle.shutdown(within).await;
     }
@@ -295,166 +296,170 @@
 
 impl Drop for Engine {
     fn drop(&mut self) {
-        // A full queue has nothing to fear: the core ends with its last handle.
+        // If the queue is full, the command is lost, but the core stops when the last handle is dropped.
         let _ = self.handle.commands.try_send(Command::Shutdown(Instant::now()));
     }
 }
 
-/// A way to an engine.
+/// Handle that sends commands to an engine.
 #[derive(Clone)]
 pub struct Handle {
     commands: mpsc::Sender<Command>,
-    ended: watch::Receiver<bool>,
+    stopped: watch::Receiver<bool>,
 }
 
 impl Handle {
-    /// Balances a request. Dropping the call is a client that has gone: what is out for it is called back, but
-    /// for a request in the ledger, which goes on, so that whoever asks again has its answer.
+    /// Sends a request to an upstream and returns its final answer. Dropping the future cancels the attempts in flight,
+    /// except for a request in the ledger, which continues so that a repeated call gets its answer.
     pub async fn call(&self, call: Call) -> Outcome {
         let (reply, outcome) = oneshot::channel();
         let command = Command::Call { call: Box::new(call), sent: Instant::now(), reply };
         if let Err(e) = self.commands.try_send(command) {
-            // The core never had it.
-            let full = matches!(e, mpsc::error::TrySendError::Full(_));
-            return refused(if full { RejectionReason::QueueFull } else { RejectionReason::ShuttingDown });
+            // The core never received the call, so a rejection is safe.
+            let is_full = matches!(e, mpsc::error::TrySendError::Full(_));
+            return rejected(if is_full {
+                RejectionReason::QueueFull
+            } else {
+                RejectionReason::ShuttingDown
+            });
         }
-        // The core ends without a word only if it has panicked: what it held may have run.
+        // The core drops the sender without an answer only if it panics. The call may have run.
         outcome.await.unwrap_or(Outcome::Failed)
     }
 
-    /// Takes over other rules. Learned state, tokens and connections stay; calls under way keep their numbers. Returns when
-    /// they are acted on.
+    /// Adopts a new version of the rules and returns when they are in force. Learned state, tokens and connections are
+    /// preserved, and calls in flight keep their class and tenant indices.
     pub async fn adopt(&self, version: Version) -> Result<(), AdoptError> {
         let (reply, adopted) = oneshot::channel();
         let command = Command::Adopt { version: Box::new(version), reply };
-        self.commands.send(command).await.map_err(|_| AdoptError::Ended)?;
-        adopted.await.unwrap_or(Err(AdoptError::Ended))
+        self.commands.send(command).await.map_err(|_| AdoptError::Stopped)?;
+        adopted.await.unwrap_or(Err(AdoptError::Stopped))
     }
 
-    /// For how long the rules may be acted on, from now on.
+    /// Replaces the lease on the current rules.
     pub async fn lease(&self, lease: Lease) {
-        // An engine that has ended writes nothing.
+        // A stopped engine sends no attempts and needs no lease.
         let _ = self.commands.send(Command::Lease(lease)).await;
     }
 
-    /// Ends the engine: new calls are refused, what is held has until `within` from now for its answer, and
-    /// whatever is left then gets its final answer at once. Returns when the engine has ended, however often
-    /// and from wherever it is called; the shortest time counts.
+    /// Shuts the engine down and returns when it has stopped. New calls are rejected. Calls in flight have the time
+    /// `within` to complete; after that, they get their final answers at once. Several calls of this function are one
+    /// shutdown with the earliest deadline.
     pub async fn shutdown(&self, within: Duration) {
-        let mut ended = self.ended.clone();
+        let mut stopped = self.stopped.clone();
         let _ = self.commands.send(Command::Shutdown(Instant::now() + within)).await;
-        let _ = ended.wait_for(|ended| *ended).await;
+        let _ = stopped.wait_for(|stopped| *stopped).await;
     }
 }
 
-/// What lives on the engine's thread.
+/// State of the engine's thread.
 struct Core {
-    desk: Rc<Dispatcher>,
-    room: BodyMemory,
+    dispatcher: Rc<Dispatcher>,
+    body_memory: BodyMemory,
     forwarding: Forwarding,
     upstreams: Rc<Upstreams>,
-    classes: RefCell<Vec<Class>>,
-    tenants: Cell<usize>,
+    classes: RefCell<Vec<ClassRules>>,
+    tenant_count: Cell<usize>,
 }
 
 #[derive(Clone)]
-struct Class {
+struct ClassRules {
     effect: Effect,
     deadline: Duration,
     passage: Rc<Passage>,
 }
 
-fn classes(settings: &Settings, passages: Vec<Passage>) -> Vec<Class> {
+fn class_rules(settings: &Settings, passages: Vec<Passage>) -> Vec<ClassRules> {
     let classes = settings.classes.iter().zip(passages);
-    let class = |(class, passage): (&maplehook_core::Class, Passage)| Class {
+    let rules = |(class, passage): (&maplehook_core::Class, Passage)| ClassRules {
         effect: class.effect,
         deadline: class.deadline,
         passage: Rc::new(passage),
     };
-    classes.map(class).collect()
+    classes.map(rules).collect()
 }
 
 impl Core {
-    /// Takes over other rules, and says so once they are acted on.
+    /// Adopts a version and replies once it is in force.
     fn adopt(self: &Rc<Self>, version: Version, reply: oneshot::Sender<Result<(), AdoptError>>) {
         let Version { mut settings, removed_tenants, passages, lease, list } = version;
-        let fewer = settings.classes.len() < self.classes.borrow().len()
-            || settings.tenants.len() < self.tenants.get();
-        let refused = match passages.len() == settings.classes.len() {
-            _ if fewer => Some(AdoptError::ClassesOrTenantsRemoved),
+        let has_removals = settings.classes.len() < self.classes.borrow().len()
+            || settings.tenants.len() < self.tenant_count.get();
+        let error = match passages.len() == settings.classes.len() {
+            _ if has_removals => Some(AdoptError::ClassesOrTenantsRemoved),
             true => None,
             false => Some(AdoptError::PassageCountMismatch),
         };
-        if let Some(refused) = refused {
-            // Whoever asked may have gone.
-            let _ = reply.send(Err(refused));
+        if let Some(error) = error {
+            // The caller may have stopped waiting.
+            let _ = reply.send(Err(error));
             return;
         }
         settings.has_endpoint_discovery = true;
         self.upstreams.set_lease(lease);
-        let driver = self.desk.driver();
-        let mut told = driver.full_list_count();
-        let before = *told.borrow_and_update();
-        self.tenants.set(settings.tenants.len());
-        let next = classes(&settings, passages);
+        let driver = self.dispatcher.driver();
+        let mut full_lists = driver.full_list_count();
+        let count_before = *full_lists.borrow_and_update();
+        self.tenant_count.set(settings.tenants.len());
+        let next_rules = class_rules(&settings, passages);
         driver.update_settings(settings, removed_tenants);
-        *self.classes.borrow_mut() = next;
-        let listed = list.is_some_and(|(lists, entries)| lists.set(entries));
+        *self.classes.borrow_mut() = next_rules;
+        let list_changed = list.is_some_and(|(endpoint_list, entries)| endpoint_list.set(entries));
         spawn_local(async move {
-            if listed {
-                let _ = told.wait_for(|lists| *lists > before).await;
+            if list_changed {
+                let _ = full_lists.wait_for(|count| *count > count_before).await;
             }
             let _ = reply.send(Ok(()));
         });
     }
 
     async fn serve(self: Rc<Self>, mut commands: mpsc::Receiver<Command>) {
-        let mut end: Option<Instant> = None;
+        let mut shutdown_at: Option<Instant> = None;
         loop {
-            let until = end.map(tokio::time::Instant::from_std);
+            let deadline = shutdown_at.map(tokio::time::Instant::from_std);
             tokio::select! {
                 biased;
                 command = commands.recv() => match command {
-                    Some(Command::Call { reply, .. }) if end.is_some() => {
-                        let _ = reply.send(refused(RejectionReason::ShuttingDown));
+                    Some(Command::Call { reply, .. }) if shutdown_at.is_some() => {
+                        let _ = reply.send(rejected(RejectionReason::ShuttingDown));
                     }
                     Some(Command::Adopt { version, reply }) => self.adopt(*version, reply),
                     Some(Command::Lease(lease)) => self.upstreams.set_lease(lease),
-                    Some(Command::Call { call, sent, reply }) => Rc::clone(&self).begin(*call, sent, reply),
-                    Some(Command::Shutdown(at)) => end = Some(end.map_or(at, |end| end.min(at))),
-                    // Nobody is left who could ask.
+                    Some(Command::Call { call, sent, reply }) => Rc::clone(&self).start_call(*call, sent, reply),
+                    Some(Command::Shutdown(at)) => shutdown_at = Some(shutdown_at.map_or(at, |earlier| earlier.min(at))),
+                    // All handles are dropped.
                     None => break,
                 },
-                () = self.desk.wait_until_idle(), if end.is_some() => break,
-                () = sleep_until(until.unwrap_or_else(tokio::time::Instant::now)), if end.is_some() => break,
+                () = self.dispatcher.wait_until_idle(), if shutdown_at.is_some() => break,
+                () = sleep_until(deadline.unwrap_or_else(tokio::time::Instant::now)), if shutdown_at.is_some() => break,
             }
         }
         commands.close();
         while let Ok(command) = commands.try_recv() {
             if let Command::Call { reply, .. } = command {
-                let _ = reply.send(refused(RejectionReason::ShuttingDown));
+                let _ = reply.send(rejected(RejectionReason::ShuttingDown));
             }
         }
-        self.desk.driver().abort_attempts();
-        let _ = timeout(LAST_WORDS, self.desk.wait_until_idle()).await;
+        self.dispatcher.driver().abort_attempts();
+        let _ = timeout(FINAL_ANSWER_TIMEOUT, self.dispatcher.wait_until_idle()).await;
     }
 
-    /// A call has come.
-    fn begin(self: Rc<Self>, call: Call, sent: Instant, mut reply: oneshot::Sender<Outcome>) {
-        let inside = self.desk.track();
+    /// Starts the task of a received call.
+    fn start_call(self: Rc<Self>, call: Call, sent: Instant, mut reply: oneshot::Sender<Outcome>) {
+        let in_flight = self.dispatcher.track();
         spawn_local(async move {
             tokio::select! {
                 biased;
-                outcome = self.outcome(call, sent) => match outcome {
-                    Ok((answer, trace)) => self.tell(answer, trace, reply, inside),
-                    Err(why) => drop(reply.send(refused(why))),
+                outcome = self.run_call(call, sent) => match outcome {
+                    Ok((answer, trace)) => self.reply(answer, trace, reply, in_flight),
+                    Err(reason) => drop(reply.send(rejected(reason))),
                 },
                 () = reply.closed() => {}
             }
         });
     }
 
-    async fn outcome(&self, call: Call, sent: Instant) -> Result<(Answer, Trace), RejectionReason> {
+    async fn run_call(&self, call: Call, sent: Instant) -> Result<(Answer, Trace), RejectionReason> {
         let Call { class, tenant, wait, id, method, target, mut headers, body, peer } = call;
         let rules =
             self.classes.borrow().get(usize::from(class.0)).cloned().ok_or(RejectionReason::InvalidCall)?;
@@ -467,8 +472,9 @@
             }
             CallBody::Buffered(body) => Payload::Buffered(body),
             CallBody::Stream(body) => {
-                let taken = timeout_at(deadline, receive_body(body, &passage, &self.room, wait)).await;
-                taken.unwrap_or(Err(Fault::Slow)).map_err(|fault| match fault {
+                let received =
+                    timeout_at(deadline, receive_body(body, &passage, &self.body_memory, wait)).await;
+                received.unwrap_or(Err(Fault::Slow)).map_err(|fault| match fault {
                     Fault::TooLong => RejectionReason::BodyTooLong,
                     Fault::BrokeOff | Fault::Slow => RejectionReason::BodyIncomplete,
                 })?
@@ -477,10 +483,10 @@
         self.forwarding.request(&mut headers, &target, peer).map_err(|_| RejectionReason::InvalidCall)?;
         let target = target.path_and_query().map(|p| Uri::from(p.clone())).unwrap_or_default();
         let upload = body.upload();
-        // The time of a body that streams is its own.
+        // A streamed body has its own time limit in addition to the deadline.
         let deadline = if upload.is_some() { deadline + passage.patience().1 } else { deadline };
         let outgoing = OutboundRequest { method, target, headers, body, passage };
-        let asked = RequestContext {
+        let context = RequestContext {
             class,
             tenant,
             deadline,
@@ -495,27 +501,31 @@
             class: class.0,
             id,
         });
-        let told = self.desk.dispatch(asked, identity).await;
+        let traced_answer = self.dispatcher.dispatch(context, identity).await;
         upload.iter().for_each(Upload::discard_rest);
-        match (&told.0, upload.and_then(|upload| upload.fault())) {
-            // Idempotent, so that it matters to nobody whether it ran.
+        match (&traced_answer.0, upload.and_then(|upload| upload.fault())) {
+            // A request that is rejected after a body fault is idempotent, so it does not matter whether it ran.
             (Answer::Rejected(_), Some(Fault::TooLong)) => Err(RejectionReason::BodyTooLong),
             (Answer::Rejected(_), Some(_)) => Err(RejectionReason::BodyIncomplete),
-            _ => Ok(told),
+            _ => Ok(traced_answer),
         }
     }
 
-    /// Gives a call its answer; a body that streams is passed on as long as somebody reads it.
-    fn tell(&self, answer: Answer, trace: Trace, reply: oneshot::Sender<Outcome>, inside: InFlightGuard) {
+    /// Sends the answer to the caller. A streamed body is forwarded until its reader drops it.
+    fn reply(&self, answer: Answer, trace: Trace, reply: oneshot::Sender<Outcome>, in_flight: InFlightGuard) {
         let outcome = match answer {
             Answer::Served(UpstreamResponse { status, headers, body }) => {
                 let body = match body {
                     ResponseBody::Buffered(body) => ReplyBody::Buffered(body),
                     ResponseBody::Stream(_) => {
-                        let (frames, received) = mpsc::channel(1);
-                        let hint = body.size_hint();
-                        spawn_local(pump(body, frames, inside));
-                        ReplyBody::Stream(StreamedBody { frames: received, hint, ended: false })
+                        let (frames, frame_receiver) = mpsc::channel(1);
+                        let size_hint = body.size_hint();
+                        spawn_local(forward_body(body, frames, in_flight));
+                        ReplyBody::Stream(StreamedBody {
+                            frames: frame_receiver,
+                            size_hint,
+                            has_ended: false,
+                        })
                     }
                 };
                 let Trace { attempts, upstream } = trace;
@@ -530,6 +540,6 @@
     }
 }
 
-fn refused(why: RejectionReason) -> Outcome {
-    Outcome::Rejected(why.into())
+fn rejected(reason: RejectionReason) -> Outcome {
+    Outcome::Rejected(reason.into())
 }
--- a/crates/engine/src/label.rs
+++ b/crates/engine/src/label.rs
@@ -1,24 +1,24 @@
-//! What a client calls its request, cut to a length, for the log.
+//! Request ids of clients, truncated for the log.
 
 use hyper::header::HeaderValue;
 use std::fmt;
 
-/// The most of a client's word that is kept.
-const KEPT: usize = 32;
+/// Length to which request ids are truncated, in bytes.
+const MAX_LABEL_BYTES: usize = 32;
 
-/// What a client calls its request. It holds on to no buffer that the request came in.
+/// Request id of a client, truncated. It is a copy and does not keep the buffer of the request alive.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub struct Label {
-    bytes: [u8; KEPT],
+    bytes: [u8; MAX_LABEL_BYTES],
     length: u8,
 }
 
 impl From<&HeaderValue> for Label {
     fn from(value: &HeaderValue) -> Self {
         let mut label = Self::default();
-        let kept = &value.as_bytes()[..value.len().min(KEPT)];
-        label.bytes[..kept.len()].copy_from_slice(kept);
-        label.length = kept.len() as u8;
+        let truncated = &value.as_bytes()[..value.len().min(MAX_LABEL_BYTES)];
+        label.bytes[..truncated.len()].copy_from_slice(truncated);
+        label.length = truncated.len() as u8;
         label
     }
 }
@@ -36,13 +36,13 @@
 mod tests {
     use super::*;
 
-    /// Guards the log: what a client calls its request is cut, and can't break a line.
+    /// A long request id, or one with control characters, must not flood or break a log line.
     #[test]
-    fn a_label_is_short_and_on_one_line() {
+    fn labels_are_truncated_and_escaped() {
         assert_eq!(Label::default().to_string(), "-");
         let value = HeaderValue::from_bytes(b"a\tb\xff").unwrap();
         assert_eq!(Label::from(&value).to_string(), "a\\tb\\xff");
         let value = HeaderValue::from_bytes(&[b'x'; 500]).unwrap();
-        assert_eq!(Label::from(&value).to_string(), "x".repeat(KEPT));
+        assert_eq!(Label::from(&value).to_string(), "x".repeat(MAX_LABEL_BYTES));
     }
 }
--- a/crates/engine/src/ledger.rs
+++ b/crates/engine/src/ledger.rs
@@ -1,53 +1,53 @@
-//! The ledger of effects: a request that must not run twice is known by its tenant, its class and its id, and
-//! whoever asks for the same again gets the same final answer, however often a host repeats itself.
+//! Ledger of effects, which deduplicates requests that must not run twice. A request is identified by its tenant, class
+//! and id. Callers that repeat a request get the same final answer.
 //!
-//! No I/O and no clock: time comes in. What the embedder does:
+//! The ledger does no I/O and reads no clock: callers pass the time. The embedder calls:
 //!
-//! 1. [`Ledger::open`] before it sends anything. [`OpenResult::First`] means: send it, and nobody else will.
-//! 2. [`Ledger::complete`] with the final answer, from whatever task has it; it names those that wait for it.
-//! 3. [`Ledger::remove_waiter`] when somebody who waits has gone.
+//! 1. [`Ledger::open`] before it sends a request. [`OpenResult::First`] means that this caller alone sends it.
+//! 2. [`Ledger::complete`] with the final answer, from any task. It returns the waiters to notify.
+//! 3. [`Ledger::remove_waiter`] when a waiting caller disconnects.
 //!
-//! # What is promised
+//! # Guarantees
 //!
-//! - An identity is sent at most once while it is open or remembered, but for one that is proved not to have
-//!   run ([`FinalAnswer::Rejected`]): that one is forgotten at once, since trying again is harmless.
-//! - All who ask for an identity while it is open or remembered get one and the same ending.
-//! - A live entry, open or remembered, is never dropped for room. When there is none, new ones are refused
-//!   ([`OpenResult::Full`]): nothing of them has run, so that is harmless.
-//! - Entries, bytes and waiters are bounded. An open entry is charged for the longest answer that may be kept,
-//!   so that there is always room for its ending.
+//! - A request is sent at most once while its entry is open or retained. The exception is a request that provably did
+//!   not run ([`FinalAnswer::Rejected`]): its entry is removed at once because a repeat is safe.
+//! - All callers with the same identity get the same final answer while the entry is open or retained.
+//! - A live entry, open or retained, is never evicted. A full ledger rejects new requests ([`OpenResult::Full`]), which
+//!   is safe because they have not run.
+//! - Entries, bytes and waiters are bounded. An open entry is charged for the longest answer that may be stored, so
+//!   that its answer always fits.
 
 use rustc_hash::FxSeededState;
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
 use std::time::Duration;
 
-/// What an entry costs beside its id and its answer, in bytes: its place in the tables.
-const OVERHEAD: usize = 160;
+/// Memory that an entry takes in the tables, in bytes, without its id and its answer.
+const ENTRY_OVERHEAD_BYTES: usize = 160;
 
-/// Which effect it is.
+/// Key of an effect: two requests with the same identity are the same effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Identity {
-    /// Whose.
+    /// Index of the tenant.
     pub tenant: u32,
-    /// Of which class.
+    /// Index of the class.
     pub class: u16,
-    /// The request's id, or its idempotency key.
+    /// Request id or idempotency key.
     pub id: Box<[u8]>,
 }
 
-/// What a ledger may hold.
+/// Limits of a ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Entries, open and remembered. 1 or more.
+    /// Maximum number of entries, open and retained; at least 1.
     pub entries: usize,
-    /// Bytes of all entries together; at least what one entry with the longest answer takes.
+    /// Maximum memory of all entries, in bytes; must fit an entry with the longest answer.
     pub bytes: usize,
-    /// The longest answer that is kept, in bytes.
+    /// Length of the longest answer that is stored, in bytes.
     pub max_answer_bytes: usize,
-    /// Callers that may wait for one open entry, beside the first.
+    /// Maximum number of callers that wait for one open entry, not counting the first.
     pub waiters: usize,
-    /// How long an ending is remembered.
+    /// Time for which a final answer is retained.
     pub retention: Duration,
 }
 
@@ -63,45 +63,45 @@
     }
 }
 
-/// A final answer.
+/// Final answer of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalAnswer<A> {
-    /// An upstream's.
+    /// An upstream answered, and the ledger stores its answer.
     Served(A),
-    /// It was served, and the answer was too long to be kept: whoever asks again can't have it.
+    /// An upstream answered, but the answer exceeds the length limit. Repeats cannot get it.
     ServedNotCached,
-    /// It may have run.
+    /// The request may have run, but there is no answer.
     Failed,
-    /// It never ran; trying again is harmless.
+    /// The request never ran. It is safe to repeat it.
     Rejected,
 }
 
-/// An entry, while it is open.
+/// Handle of an open entry. It becomes stale when the entry is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct EntryId {
     slot: u32,
     generation: u32,
 }
 
-/// Somebody who waits for an open entry's ending. The caller chooses the number.
+/// Number that identifies a caller that waits for an open entry. The embedder assigns it.
 pub type Waiter = u64;
 
-/// What becomes of a request that is about to be sent.
+/// Decision about a request that is about to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpenResult<A> {
-    /// Nobody has asked for it, as far as is remembered: it is to be sent.
+    /// The identity has no entry: the caller sends the request.
     First(EntryId),
-    /// It is out already: its ending is this caller's too.
+    /// The request is already in flight: the caller waits for its final answer.
     Joined(EntryId),
-    /// It has complete already, and this is how.
+    /// The request already has this final answer.
     Answered(FinalAnswer<A>),
-    /// Too many wait for it already: refuse this caller, harmlessly; the effect is another's to wait for.
+    /// The entry has the maximum number of waiters. Reject this caller; the request is already in flight for others.
     TooManyWaiters,
-    /// There is no room to remember it: refuse it, harmlessly.
+    /// The ledger is full. Reject the request, which has not run.
     Full,
 }
 
-/// Bounds that no ledger can keep.
+/// Error for invalid [`Bounds`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BoundsError(&'static str);
 
@@ -117,95 +117,97 @@
 enum State<A> {
     Free,
     Open(Vec<Waiter>),
-    Ended(FinalAnswer<A>),
+    Answered(FinalAnswer<A>),
 }
 
 #[derive(Debug)]
 struct Entry<A> {
     generation: u32,
     identity: Identity,
-    charged: usize,
+    charged_bytes: usize,
     state: State<A>,
 }
 
-/// The ledger. `A` is the answer as the embedder keeps it.
+/// Ledger of effects. `A` is the type in which the embedder stores answers.
 pub struct Ledger<A> {
     bounds: Bounds,
     entries: Vec<Entry<A>>,
     free: Vec<u32>,
     index: HashMap<Identity, u32, FxSeededState>,
-    /// Ended entries in the order of their ends.
-    remembered: VecDeque<(Duration, u32)>,
+    /// Completion times and slots of the answered entries, oldest first.
+    retained: VecDeque<(Duration, u32)>,
     bytes: usize,
     now: Duration,
 }
 
 impl<A: Clone> Ledger<A> {
-    /// An empty one. The seed keeps clients, who choose their ids, from choosing where they fall in the table.
+    /// Creates an empty ledger. The seed randomizes the hash, so that clients, who choose the ids, cannot provoke
+    /// collisions.
     pub fn new(bounds: Bounds, seed: u64) -> Result<Self, BoundsError> {
         if bounds.entries == 0 || bounds.entries >= u32::MAX as usize {
-            return Err(BoundsError("entries: 1 to 2^32 - 2"));
+            return Err(BoundsError("entries: must be from 1 to 2^32 - 2"));
         }
-        if bounds.bytes < bounds.max_answer_bytes.saturating_add(2 * OVERHEAD) {
-            return Err(BoundsError("bytes: room for one longest answer and 320 more at the least"));
+        if bounds.bytes < bounds.max_answer_bytes.saturating_add(2 * ENTRY_OVERHEAD_BYTES) {
+            return Err(BoundsError("bytes: must be at least the longest answer plus 320"));
         }
         Ok(Self {
             bounds,
             entries: Vec::new(),
             free: Vec::new(),
             index: HashMap::with_hasher(FxSeededState::with_seed(seed as usize)),
-            remembered: VecDeque::new(),
+            retained: VecDeque::new(),
             bytes: 0,
             now: Duration::ZERO,
         })
     }
 
-    /// Entries that are open or remembered.
+    /// Returns the number of entries, open and retained.
     pub fn len(&self) -> usize {
         self.index.len()
     }
 
-    /// Whether there is none.
+    /// Returns true if the ledger has no entries.
     pub fn is_empty(&self) -> bool {
         self.index.is_empty()
     }
 
-    /// Bytes that they are charged for.
+    /// Returns the memory charged for all entries, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Somebody asks for this effect.
+    /// Looks up an effect and opens an entry if there is none. `waiter` waits for the answer unless the result is
+    /// `Answered`, `TooManyWaiters` or `Full`.
     pub fn open(&mut self, now: Duration, identity: &Identity, waiter: Waiter) -> OpenResult<A> {
-        self.pass(now);
+        self.expire(now);
         if let Some(&slot) = self.index.get(identity) {
             let entry = &mut self.entries[slot as usize];
             let id = EntryId { slot, generation: entry.generation };
             return match &mut entry.state {
-                State::Ended(ending) => OpenResult::Answered(ending.clone()),
-                // One of them is the first.
+                State::Answered(answer) => OpenResult::Answered(answer.clone()),
+                // The first caller is in the list but does not count towards the limit.
                 State::Open(waiters) if waiters.len() > self.bounds.waiters => OpenResult::TooManyWaiters,
                 State::Open(waiters) => {
                     waiters.push(waiter);
                     OpenResult::Joined(id)
                 }
-                State::Free => unreachable_free(),
+                State::Free => report_free_entry(),
             };
         }
-        let charged = OVERHEAD + 2 * identity.id.len() + self.bounds.max_answer_bytes;
-        if self.index.len() >= self.bounds.entries || self.bytes + charged > self.bounds.bytes {
+        let charged_bytes = ENTRY_OVERHEAD_BYTES + 2 * identity.id.len() + self.bounds.max_answer_bytes;
+        if self.index.len() >= self.bounds.entries || self.bytes + charged_bytes > self.bounds.bytes {
             return OpenResult::Full;
         }
-        self.bytes += charged;
+        self.bytes += charged_bytes;
         let (identity, state) = (identity.clone(), State::Open(vec![waiter]));
         let slot = match self.free.pop() {
             Some(slot) => {
                 let entry = &mut self.entries[slot as usize];
-                (entry.identity, entry.charged, entry.state) = (identity.clone(), charged, state);
+                (entry.identity, entry.charged_bytes, entry.state) = (identity.clone(), charged_bytes, state);
                 slot
             }
             None => {
-                self.entries.push(Entry { generation: 0, identity: identity.clone(), charged, state });
+                self.entries.push(Entry { generation: 0, identity: identity.clone(), charged_bytes, state });
                 (self.entries.len() - 1) as u32
             }
         };
@@ -213,41 +215,41 @@
         OpenResult::First(EntryId { slot, generation: self.entries[slot as usize].generation })
     }
 
-    /// The final answer of an open entry; `length` is what keeping it takes. Returns those who wait for it, and
-    /// what they get. The first ending counts: a second one changes nothing and tells nobody.
+    /// Records the final answer of an open entry and returns the waiters to notify. `length` is the size of the stored
+    /// answer in bytes. Only the first answer counts: further calls change nothing and return no waiters.
     pub fn complete(
         &mut self,
         now: Duration,
         id: EntryId,
-        ending: FinalAnswer<A>,
+        answer: FinalAnswer<A>,
         length: usize,
     ) -> Vec<Waiter> {
-        self.pass(now);
+        self.expire(now);
         let Some(entry) = self.entries.get_mut(id.slot as usize).filter(|e| e.generation == id.generation)
         else {
             return Vec::new();
         };
         let State::Open(waiters) = &mut entry.state else { return Vec::new() };
         let waiters = std::mem::take(waiters);
-        let kept = match ending {
+        let stored = match answer {
             FinalAnswer::Rejected => {
-                self.forget(id.slot);
+                self.remove_entry(id.slot);
                 return waiters;
             }
             FinalAnswer::Served(_) if length > self.bounds.max_answer_bytes => FinalAnswer::ServedNotCached,
-            kept => kept,
+            stored => stored,
         };
-        let answer = if matches!(kept, FinalAnswer::Served(_)) { length } else { 0 };
-        let charged = OVERHEAD + 2 * entry.identity.id.len() + answer;
-        self.bytes -= entry.charged - charged;
-        entry.charged = charged;
-        entry.state = State::Ended(kept);
-        self.remembered.push_back((self.now, id.slot));
+        let answer_bytes = if matches!(stored, FinalAnswer::Served(_)) { length } else { 0 };
+        let charged_bytes = ENTRY_OVERHEAD_BYTES + 2 * entry.identity.id.len() + answer_bytes;
+        self.bytes -= entry.charged_bytes - charged_bytes;
+        entry.charged_bytes = charged_bytes;
+        entry.state = State::Answered(stored);
+        self.retained.push_back((self.now, id.slot));
         waiters
     }
 
-    /// Somebody who waited has gone. `true`: nobody waits for this entry any more. It stays open all the same,
-    /// until its ending is known: whoever asks again is to have it.
+    /// Removes a waiter and returns true if the open entry has no waiters left. The entry stays open until its final
+    /// answer is known, which repeats of the request then get.
     pub fn remove_waiter(&mut self, id: EntryId, waiter: Waiter) -> bool {
         let entry = self.entries.get_mut(id.slot as usize).filter(|e| e.generation == id.generation);
         match entry.map(|e| &mut e.state) {
@@ -259,21 +261,21 @@
         }
     }
 
-    /// Time goes on: what has been remembered for long enough is forgotten. A clock that goes back stands.
-    fn pass(&mut self, now: Duration) {
+    /// Advances the time and removes entries past their retention. A time before the latest one is ignored.
+    fn expire(&mut self, now: Duration) {
         self.now = self.now.max(now);
         while let Some((_, slot)) =
-            self.remembered.front().copied().filter(|(at, _)| self.now >= *at + self.bounds.retention)
+            self.retained.front().copied().filter(|(at, _)| self.now >= *at + self.bounds.retention)
         {
-            self.remembered.pop_front();
-            self.forget(slot);
+            self.retained.pop_front();
+            self.remove_entry(slot);
         }
     }
 
-    fn forget(&mut self, slot: u32) {
+    fn remove_entry(&mut self, slot: u32) {
         let entry = &mut self.entries[slot as usize];
         self.index.remove(&entry.identity);
-        self.bytes -= entry.charged;
+        self.bytes -= entry.charged_bytes;
         entry.generation = entry.generation.wrapping_add(1);
         entry.state = State::Free;
         entry.identity.id = Box::default();
@@ -281,8 +283,9 @@
     }
 }
 
-/// An entry in the index is open or complete: only [`Ledger::forget`] frees one, and takes it out there first.
-fn unreachable_free<A>() -> OpenResult<A> {
-    debug_assert!(false, "a free entry in the index");
+/// Handles a free entry in the index, which is a bug: [`Ledger::remove_entry`] removes an entry from the index before it
+/// frees the slot.
+fn report_free_entry<A>() -> OpenResult<A> {
+    debug_assert!(false, "the index refers to a free entry");
     OpenResult::Full
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,6 +1,6 @@
-//! A load balancer to embed. Decisions are the `maplehook_core` library's; this crate is what carries them out:
-//! attempts, connections, discovery behind one trait, and a ledger, so that every call gets exactly one final
-//! answer and no effect ever happens twice.
+//! An embeddable load balancer. The `maplehook_core` library decides; this crate carries the decisions out. It runs
+//! the attempts, manages connections, hides discovery behind one trait and keeps a ledger of non-repeatable requests.
+//! Every call gets exactly one final answer, and no effect happens twice.
 //!
 //! ```
 //! use maplehook_core::{Class, ClassId, Effect, Settings, Tenant, TenantId};
@@ -14,7 +14,7 @@
 //!     tenants: vec![Tenant { allowance_per_s: 50.0 }],
 //!     ..Settings::default()
 //! };
-//! // Nobody listens there: the call is refused, since it never ran.
+//! // No server listens on this address: the call is rejected because it never ran.
 //! let upstreams = Fixed::new([("desk-1", "127.0.0.1:9".parse()?)]);
 //! let engine = Engine::builder(settings).seed(7).upstreams(upstreams).start()?;
 //! let handle = engine.handle();
@@ -29,7 +29,7 @@
 //!     body: "two beds".into(),
 //!     peer: None,
 //! };
-//! // Any runtime will do; the core has a thread of its own.
+//! // Calls work from any runtime; the engine runs on its own thread.
 //! let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
 //! let outcome = runtime.block_on(async {
 //!     let outcome = handle.call(call).await;
--- a/crates/engine/src/metrics.rs
+++ b/crates/engine/src/metrics.rs
@@ -1,7 +1,7 @@
-//! What operators count: requests by class and final answer, attempts, the list. Read from any thread.
+//! Metrics for operators about requests, attempts and the endpoint list. Any thread may read them.
 //!
-//! A request is counted where its answer ends, by the [`PendingRequest`] that it holds from when it was taken: exactly once, whatever
-//! way it goes. One whose client has left before is counted by none of the three.
+//! Each accepted request holds a [`PendingRequest`], which counts it exactly once when its answer ends: as answered,
+//! deferred or errored. If the client disconnects earlier, none of the three counters changes.
 
 mod reason_counters;
 
@@ -22,7 +22,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The content type of [`Metrics::text`].
+/// Content type of [`Metrics::openmetrics_text`].
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -30,34 +30,34 @@
     group: String,
 }
 
-/// The figures of one process. They begin at nought, and those that count only rise.
+/// Metrics of one process. All start at zero, and counters never decrease.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
     answered: Family<Group, Counter>,
     deferred: Family<Group, Counter>,
     errored: Family<Group, Counter>,
-    /// Attempts written whole to upstreams.
+    /// Number of attempts written completely to upstreams.
     pub sends: Counter,
-    /// Requests taken and not ended.
+    /// Number of requests in flight.
     pub current: Gauge,
-    /// Upstreams in the list.
+    /// Number of upstreams in the endpoint list.
     pub cluster_size: Gauge,
-    /// Those of them that are avoided now.
+    /// Number of listed upstreams that the balancer currently avoids.
     pub cluster_unhealthy: Gauge,
-    /// Configurations taken at SIGHUP.
+    /// Number of configurations loaded on SIGHUP.
     pub conf_loaded: Counter,
-    /// Configurations turned down at SIGHUP.
+    /// Number of invalid configurations rejected on SIGHUP.
     pub conf_invalid: Counter,
-    /// Connections of clients that have ended, by why.
+    /// Number of closed client connections, by reason.
     pub clients_ended: ReasonCounters,
-    /// Clients that were turned away before a request of theirs was read, by why.
+    /// Number of clients rejected before a request was read, by reason.
     pub clients_refused: ReasonCounters,
-    /// What was answered as no fit request, by status.
+    /// Number of invalid requests, by response status.
     pub unfit: ReasonCounters,
-    /// Attempts that have ended, by outcome.
+    /// Number of completed attempts, by outcome.
     pub attempts_ended: ReasonCounters,
-    /// Attempts after a request's first.
+    /// Number of attempts after the first attempt of a request.
     pub retries: Counter,
 }
 
@@ -104,104 +104,104 @@
 }
 
 impl Metrics {
-    /// All figures, in the text form of OpenMetrics 1.0.
+    /// Returns all metrics in the OpenMetrics 1.0 text format.
     pub fn openmetrics_text(&self) -> String {
         let mut text = String::new();
-        // A string takes whatever is written to it.
+        // Writing to a string cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
 }
 
-/// The counts of one class.
-struct Class {
+/// Counters of one class.
+struct ClassCounters {
     answered: Counter,
     deferred: Counter,
     errored: Counter,
 }
 
-/// How a request ended, for whoever observer closely.
+/// Result of a request, as passed to a [`RequestObserver`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestResult {
-    /// It was served.
+    /// An upstream served the request.
     Served,
-    /// It was refused: trying again is harmless.
+    /// The request was rejected without running. It is safe to repeat it.
     Rejected,
-    /// It failed.
+    /// The request failed and may have run.
     Failed,
 }
 
-/// RequestObserver closely, on the thread that serves: it must not wait for anything.
+/// Observer of completed requests. It runs on the thread that serves requests and must not block.
 pub trait RequestObserver {
-    /// A request of this class and tenant has ended, so long after it was taken.
-    fn request_ended(&self, class: ClassId, tenant: TenantId, end: RequestResult, after: Duration);
+    /// Called when a request has ended; `duration` is the time since the request was accepted.
+    fn request_ended(&self, class: ClassId, tenant: TenantId, result: RequestResult, duration: Duration);
 }
 
-/// Counts requests, on the thread that serves them.
+/// Updates the metrics of requests. It stays on the thread that serves the requests.
 pub struct RequestMetrics {
     metrics: Arc<Metrics>,
-    /// By their ids.
-    classes: RefCell<Vec<Rc<Class>>>,
+    /// Counters of each class, by class index.
+    classes: RefCell<Vec<Rc<ClassCounters>>>,
     observer: RefCell<Option<Rc<dyn RequestObserver>>>,
 }
 
 impl RequestMetrics {
-    /// Counts in this metrics, by classes of these names.
-    pub fn new(metrics: Arc<Metrics>, names: &[String]) -> Rc<Self> {
-        let counting = Self { metrics, classes: RefCell::default(), observer: RefCell::default() };
-        counting.set_classes(names);
-        Rc::new(counting)
+    /// Creates counters in `metrics` for classes with these names, in the order of their indices.
+    pub fn new(metrics: Arc<Metrics>, class_names: &[String]) -> Rc<Self> {
+        let request_metrics = Self { metrics, classes: RefCell::default(), observer: RefCell::default() };
+        request_metrics.set_classes(class_names);
+        Rc::new(request_metrics)
     }
 
-    /// The classes are these from now on. What was counted under a name goes on under it.
-    pub fn set_classes(&self, names: &[String]) {
-        let class = |name: &String| {
+    /// Replaces the classes. A class that keeps its name keeps its counts.
+    pub fn set_classes(&self, class_names: &[String]) {
+        let class_counters = |name: &String| {
             let group = Group { group: name.clone() };
             let Metrics { answered, deferred, errored, .. } = &*self.metrics;
             let [answered, deferred, errored] =
                 [answered, deferred, errored].map(|family| family.get_or_create(&group).clone());
-            Rc::new(Class { answered, deferred, errored })
+            Rc::new(ClassCounters { answered, deferred, errored })
         };
-        *self.classes.borrow_mut() = names.iter().map(class).collect();
+        *self.classes.borrow_mut() = class_names.iter().map(class_counters).collect();
     }
 
-    /// The figures.
+    /// Returns the metrics that the requests are counted in.
     pub fn metrics(&self) -> &Arc<Metrics> {
         &self.metrics
     }
 
-    /// From now on somebody observer closely at each request that is taken, or nobody does any more.
+    /// Sets the observer of requests that start from now on, or removes it.
     pub fn set_observer(&self, observer: Option<Rc<dyn RequestObserver>>) {
         *self.observer.borrow_mut() = observer;
     }
 
-    /// A request of this class and tenant has been taken.
+    /// Counts an accepted request as in flight until the returned [`PendingRequest`] is dropped.
     pub fn start_request(&self, class: ClassId, tenant: TenantId) -> PendingRequest {
-        let look = self.observer.borrow().clone().map(|observer| ObservedRequest {
+        let observed = self.observer.borrow().clone().map(|observer| ObservedRequest {
             observer,
             class,
             tenant,
-            since: Instant::now(),
+            started_at: Instant::now(),
         });
         let class = self.classes.borrow().get(usize::from(class.0)).cloned();
         self.metrics.current.inc();
-        PendingRequest { class, current: self.metrics.current.clone(), look }
+        PendingRequest { class, current: self.metrics.current.clone(), observed }
     }
 }
 
-/// A request that is looked at closely.
+/// A request that an observer is notified about.
 struct ObservedRequest {
     observer: Rc<dyn RequestObserver>,
     class: ClassId,
     tenant: TenantId,
-    since: Instant,
+    started_at: Instant,
 }
 
-/// A request that is owed its answer. When it is dropped before, its client has left.
+/// Request in flight. Dropping it without an answer means that the client has disconnected.
 pub struct PendingRequest {
-    class: Option<Rc<Class>>,
+    class: Option<Rc<ClassCounters>>,
     current: Gauge,
-    look: Option<ObservedRequest>,
+    observed: Option<ObservedRequest>,
 }
 
 impl fmt::Debug for PendingRequest {
@@ -211,7 +211,7 @@
 }
 
 impl PendingRequest {
-    /// It has this answer; one that streams ends later, with its last byte.
+    /// Counts the answer. A streamed answer is counted later, at the end of its body.
     pub fn record_answer(self, answer: &mut Answer) {
         match answer {
             Answer::Served(UpstreamResponse { body: ResponseBody::Stream(stream), .. }) => {
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Its answer, which streamed, has ended like this. A reader that let go has left.
+    /// Counts the outcome of a streamed answer. A cancelled stream is not counted because its client has disconnected.
     pub fn record_stream_end(self, outcome: Outcome) {
         match outcome {
             Outcome::Ok => self.count(RequestResult::Served),
@@ -235,16 +235,16 @@
         }
     }
 
-    fn count(self, end: RequestResult) {
+    fn count(self, result: RequestResult) {
         if let Some(class) = &self.class {
-            match end {
+            match result {
                 RequestResult::Served => class.answered.inc(),
                 RequestResult::Rejected => class.deferred.inc(),
                 RequestResult::Failed => class.errored.inc(),
             };
         }
-        if let Some(ObservedRequest { observer, class, tenant, since }) = &self.look {
-            observer.request_ended(*class, *tenant, end, since.elapsed());
+        if let Some(ObservedRequest { observer, class, tenant, started_at }) = &self.observed {
+            observer.request_ended(*class, *tenant, result, started_at.elapsed());
         }
     }
 }
@@ -266,19 +266,19 @@
         Answer::Served(UpstreamResponse { status, headers: HeaderMap::new(), body })
     }
 
-    fn has(metrics: &Metrics, line: &str) -> bool {
+    fn has_line(metrics: &Metrics, line: &str) -> bool {
         metrics.openmetrics_text().lines().any(|l| l == line)
     }
 
-    /// Guards the names that operators' tools look for, and that each request counts once, whatever ends it.
+    /// Tools of operators depend on the metric names. A request must count exactly once, however it ends.
     #[test]
-    fn each_request_counts_once_under_its_class() {
+    fn each_request_is_counted_once_in_its_class() {
         let metrics = Arc::new(Metrics::default());
-        let counting = RequestMetrics::new(Arc::clone(&metrics), &["look".into(), "bo\"ok".into()]);
-        assert!(has(&metrics, "balancer_answered_total{group=\"look\"} 0"));
-        let owed: Vec<PendingRequest> =
-            (0..6).map(|n| counting.start_request(ClassId(n % 2), TenantId(0))).collect();
-        assert!(has(&metrics, "balancer_current 6"));
+        let request_metrics = RequestMetrics::new(Arc::clone(&metrics), &["look".into(), "bo\"ok".into()]);
+        assert!(has_line(&metrics, "balancer_answered_total{group=\"look\"} 0"));
+        let requests: Vec<PendingRequest> =
+            (0..6).map(|n| request_metrics.start_request(ClassId(n % 2), TenantId(0))).collect();
+        assert!(has_line(&metrics, "balancer_current 6"));
         let answers = [
             Some(served(StatusCode::OK)),
             Some(Answer::Rejected(None)),
@@ -287,9 +287,9 @@
             None,
             Some(served(StatusCode::NOT_FOUND)),
         ];
-        for (owed, answer) in owed.into_iter().zip(answers) {
+        for (request, answer) in requests.into_iter().zip(answers) {
             if let Some(mut answer) = answer {
-                owed.record_answer(&mut answer);
+                request.record_answer(&mut answer);
             }
         }
         for line in [
@@ -305,57 +305,58 @@
             "balancer_conf_loaded_total 0",
             "balancer_conf_invalid_total 0",
         ] {
-            assert!(has(&metrics, line), "{line} in {}", metrics.openmetrics_text());
+            assert!(has_line(&metrics, line), "missing line {line:?} in:\n{}", metrics.openmetrics_text());
         }
     }
 
-    /// Guards counts that only rise: a class that vanishes and comes back goes on where it was, and a request under way
-    /// keeps the class that it was taken under.
+    /// Counters must never decrease: a class that is removed and added again keeps its counts, and a request in flight
+    /// counts for the class it started with.
     #[test]
-    fn counts_outlive_their_classes() {
+    fn counters_survive_the_removal_of_their_class() {
         let metrics = Arc::new(Metrics::default());
-        let counting = RequestMetrics::new(Arc::clone(&metrics), &["a".into(), "b".into()]);
-        let (of_a, of_b) = (
-            counting.start_request(ClassId(0), TenantId(0)),
-            counting.start_request(ClassId(1), TenantId(0)),
+        let request_metrics = RequestMetrics::new(Arc::clone(&metrics), &["a".into(), "b".into()]);
+        let (request_a, request_b) = (
+            request_metrics.start_request(ClassId(0), TenantId(0)),
+            request_metrics.start_request(ClassId(1), TenantId(0)),
         );
-        counting.set_classes(&["b".into()]);
-        of_a.record_answer(&mut Answer::Failed);
-        of_b.record_answer(&mut Answer::Failed);
-        counting.start_request(ClassId(0), TenantId(0)).record_answer(&mut Answer::Failed);
-        counting.set_classes(&["a".into(), "b".into()]);
-        counting.start_request(ClassId(0), TenantId(0)).record_answer(&mut Answer::Failed);
-        assert!(has(&metrics, "balancer_errored_total{group=\"a\"} 2"));
-        assert!(has(&metrics, "balancer_errored_total{group=\"b\"} 2"));
+        request_metrics.set_classes(&["b".into()]);
+        request_a.record_answer(&mut Answer::Failed);
+        request_b.record_answer(&mut Answer::Failed);
+        request_metrics.start_request(ClassId(0), TenantId(0)).record_answer(&mut Answer::Failed);
+        request_metrics.set_classes(&["a".into(), "b".into()]);
+        request_metrics.start_request(ClassId(0), TenantId(0)).record_answer(&mut Answer::Failed);
+        assert!(has_line(&metrics, "balancer_errored_total{group=\"a\"} 2"));
+        assert!(has_line(&metrics, "balancer_errored_total{group=\"b\"} 2"));
     }
 
-    /// Guards that a close look sees each request once, as it ends, and costs nothing once it is over.
+    /// An observer must be notified once about each request that starts while it is set, and must be released afterwards.
     #[test]
-    fn whoever_looks_sees_each_end_once() {
+    fn observers_are_notified_once_per_request() {
         #[derive(Default)]
-        struct Seen(RefCell<Vec<(u16, RequestResult)>>);
-        impl RequestObserver for Seen {
-            fn request_ended(&self, class: ClassId, _: TenantId, end: RequestResult, after: Duration) {
-                assert!(after < Duration::from_secs(60));
-                self.0.borrow_mut().push((class.0, end));
+        struct Recorder(RefCell<Vec<(u16, RequestResult)>>);
+        impl RequestObserver for Recorder {
+            fn request_ended(&self, class: ClassId, _: TenantId, result: RequestResult, duration: Duration) {
+                assert!(duration < Duration::from_secs(60));
+                self.0.borrow_mut().push((class.0, result));
             }
         }
-        let counting = RequestMetrics::new(Arc::default(), &["a".into()]);
-        let seen = Rc::new(Seen::default());
-        let before = counting.start_request(ClassId(0), TenantId(0));
-        counting.set_observer(Some(Rc::clone(&seen) as Rc<dyn RequestObserver>));
-        before.record_answer(&mut Answer::Failed);
-        let [one, two, left, streams] = [0; 4].map(|_| counting.start_request(ClassId(0), TenantId(0)));
-        counting.set_observer(None);
-        counting.start_request(ClassId(0), TenantId(0)).record_answer(&mut Answer::Failed);
-        one.record_answer(&mut served(StatusCode::OK));
-        two.record_answer(&mut Answer::Rejected(None));
-        streams.record_stream_end(Outcome::Reset);
-        drop(left);
+        let request_metrics = RequestMetrics::new(Arc::default(), &["a".into()]);
+        let recorder = Rc::new(Recorder::default());
+        let started_before = request_metrics.start_request(ClassId(0), TenantId(0));
+        request_metrics.set_observer(Some(Rc::clone(&recorder) as Rc<dyn RequestObserver>));
+        started_before.record_answer(&mut Answer::Failed);
+        let [served_request, rejected, dropped, streamed] =
+            [0; 4].map(|_| request_metrics.start_request(ClassId(0), TenantId(0)));
+        request_metrics.set_observer(None);
+        request_metrics.start_request(ClassId(0), TenantId(0)).record_answer(&mut Answer::Failed);
+        served_request.record_answer(&mut served(StatusCode::OK));
+        rejected.record_answer(&mut Answer::Rejected(None));
+        streamed.record_stream_end(Outcome::Reset);
+        drop(dropped);
         assert_eq!(
-            *seen.0.borrow(),
+            *recorder.0.borrow(),
             [(0, RequestResult::Served), (0, RequestResult::Rejected), (0, RequestResult::Failed)]
         );
-        assert_eq!(Rc::strong_count(&seen), 1);
+        assert_eq!(Rc::strong_count(&recorder), 1);
     }
 }
--- a/crates/engine/src/metrics/reason_counters.rs
+++ b/crates/engine/src/metrics/reason_counters.rs
@@ -1,4 +1,4 @@
-//! Counters that are told apart by a reason.
+//! Counters with a `reason` label.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -9,17 +9,17 @@
     reason: &'static str,
 }
 
-/// One figure by reasons, all of which are named in the program.
+/// One metric with a counter per reason. Reasons are string constants, so that the number of counters is bounded.
 #[derive(Clone, Debug, Default)]
 pub struct ReasonCounters(Family<Reason, Counter>);
 
 impl ReasonCounters {
-    /// It has happened once more for this reason.
+    /// Adds one to the counter of `reason`.
     pub fn increment(&self, reason: &'static str) {
         self.0.get_or_create(&Reason { reason }).inc();
     }
 
-    /// The family, for a registry.
+    /// Returns the counter family, to be registered under a metric name.
     pub(super) fn family(&self) -> impl prometheus_client::registry::Metric {
         Family::clone(&self.0)
     }
--- a/crates/engine/src/source.rs
+++ b/crates/engine/src/source.rs
@@ -1,4 +1,4 @@
-//! Where the list of upstreams comes from. Every kind of discovery stands behind [`Source`].
+//! Sources of the endpoint list. Every discovery mechanism implements [`Source`].
 
 pub use crate::parts::upstream::EndpointState;
 use maplehook_core::{Availability, CellId, KindId, UpdateScope, UpstreamId, ZoneId};
@@ -7,108 +7,112 @@
 use std::pin::Pin;
 use std::time::Instant;
 
-/// An upstream as listed, for the library and for the connections.
+/// Entry of the endpoint list: one upstream with its balancing attributes and connection state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its id, made of its uid alone: the same at every balancer, and wherever it listens.
+    /// Id derived only from the uid: the same at every balancer and for every address of the upstream.
     pub id: UpstreamId,
-    /// Its zone.
+    /// Zone that the upstream runs in.
     pub zone: ZoneId,
-    /// Its kind.
+    /// Hardware kind; upstreams of one kind have equal hardware.
     pub kind: KindId,
-    /// Its cell.
+    /// Cell, whose upstreams share their record of idempotency keys.
     pub cell: CellId,
-    /// Its weight.
+    /// Relative capacity for weighted balancing.
     pub weight: f64,
-    /// Where it is, and how it stands.
+    /// Address, availability and boot time.
     pub state: EndpointState,
 }
 
 /// Update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointUpdate {
-    /// How complete it is.
+    /// Completeness of `entries`: the full list, changes only, or a failure.
     pub scope: UpdateScope,
-    /// The entries.
+    /// Listed upstreams; empty if the update failed.
     pub entries: Vec<Entry>,
 }
 
 impl EndpointUpdate {
-    /// That nothing has changed, in answer to a call.
+    /// Returns the result of a fetch that found no change.
     pub fn unchanged() -> Self {
         Self { scope: UpdateScope::Changes, entries: Vec::new() }
     }
 
-    /// That a call failed or a watch ended.
+    /// Returns the update for a failed fetch or an ended watch.
     pub fn failed() -> Self {
         Self { scope: UpdateScope::Failed, entries: Vec::new() }
     }
 }
 
-/// What a source does, on the engine's own thread.
+/// Future of a source. It runs on the engine's thread.
 pub type Task<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// A source of the list. It is asked when the decision module wants the list, and asked again, after a while,
-/// when it has failed; it keeps no time of its own for that. What bounds a call and a watch stands in
-/// [`maplehook_core::discovery_timing`].
+/// A source of the endpoint list. The decision core requests a fetch when it needs the list and schedules the retries
+/// after a failure, so that a source needs no retry timers. [`maplehook_core::discovery_timing`] defines the time limits
+/// of fetches and watches.
 pub trait Source {
-    /// The whole list, or [`EndpointUpdate::failed`].
+    /// Fetches the complete list, or returns [`EndpointUpdate::failed`].
     fn fetch(&self) -> Task<'_, EndpointUpdate>;
 
-    /// Follows the list until that fails, and tells what comes; the last word is [`EndpointUpdate::failed`].
-    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()>;
+    /// Watches the list and calls `on_update` with each update. When the watch fails, the last update is
+    /// [`EndpointUpdate::failed`].
+    fn watch<'a>(&'a self, on_update: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()>;
 
-    /// What passes on the sockets says more of an upstream than its absence from a list.
-    fn record_reachability(&self, _upstream: UpstreamId, _heard: Reachability) {}
+    /// Records the result of an attempt. A working connection is stronger evidence about an upstream than its absence
+    /// from a list.
+    fn record_reachability(&self, _upstream: UpstreamId, _reachability: Reachability) {}
 
-    /// When the list was last known to be what its origin says, with all of that told; `None`: never, or nobody can say.
+    /// Returns the last time when all updates had been delivered and the list matched its origin, or `None` if that
+    /// never happened or is unknown.
     fn confirmed(&self) -> Option<Instant> {
         None
     }
 }
 
-/// What an attempt says of its upstream.
+/// Reachability of an upstream, as seen by an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// It has answered.
+    /// The upstream answered.
     Answered,
-    /// No connection to it could be made.
+    /// No connection to the upstream could be established.
     Unreachable,
 }
 
-/// A list that never changes.
+/// An endpoint list that never changes.
 #[derive(Clone, Debug, Default)]
 pub struct Fixed(Vec<Entry>);
 
 impl Fixed {
-    /// Upstreams that are ready, by name and address, all alike.
+    /// Creates a list of ready upstreams from names and addresses. All are in zone 0 with weight 1.
     pub fn new<'a>(upstreams: impl IntoIterator<Item = (&'a str, SocketAddr)>) -> Self {
         Self::listed(upstreams.into_iter().map(|(name, address)| (name, address, ZoneId(0), 1.0, false)))
     }
 
-    /// The same, each with its zone, its weight, and whether it drains.
+    /// Creates a list from tuples of name, address, zone, weight and a flag that marks draining upstreams.
     pub fn listed<'a>(upstreams: impl IntoIterator<Item = (&'a str, SocketAddr, ZoneId, f64, bool)>) -> Self {
-        let entry = |(name, address, zone, weight, drained): (&str, SocketAddr, ZoneId, f64, bool)| Entry {
-            id: stable_id(name),
-            zone,
-            kind: KindId(0),
-            cell: CellId(0),
-            weight,
-            state: EndpointState {
-                endpoint: Some(address),
-                availability: if drained { Availability::Draining } else { Availability::Ready },
-                boot_ms: 0,
-            },
-        };
+        let entry =
+            |(name, address, zone, weight, is_draining): (&str, SocketAddr, ZoneId, f64, bool)| Entry {
+                id: stable_id(name),
+                zone,
+                kind: KindId(0),
+                cell: CellId(0),
+                weight,
+                state: EndpointState {
+                    endpoint: Some(address),
+                    availability: if is_draining { Availability::Draining } else { Availability::Ready },
+                    boot_ms: 0,
+                },
+            };
         Self(upstreams.into_iter().map(entry).collect())
     }
 
-    /// Its entries.
+    /// Returns the entries of the list.
     pub fn into_entries(self) -> Vec<Entry> {
         self.0
     }
 
-    /// The list.
+    /// Returns an update that contains the complete list.
     pub fn full_update(&self) -> EndpointUpdate {
         EndpointUpdate { scope: UpdateScope::Full, entries: self.0.clone() }
     }
@@ -119,8 +123,8 @@
         Box::pin(std::future::ready(self.full_update()))
     }
 
-    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
-        tell(self.full_update());
+    fn watch<'a>(&'a self, on_update: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
+        on_update(self.full_update());
         Box::pin(std::future::pending())
     }
 
@@ -129,7 +133,7 @@
     }
 }
 
-/// FNV-1a: an id that no process, build or machine sees differently.
+/// Returns the FNV-1a hash of the uid, which is the same in every process, build and machine.
 pub fn stable_id(uid: &str) -> UpstreamId {
     UpstreamId(uid.bytes().fold(0xcbf2_9ce4_8422_2325, |hash: u64, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
--- a/crates/engine/tests/attempt_states.rs
+++ b/crates/engine/tests/attempt_states.rs
@@ -1,10 +1,13 @@
-//! The states of attempts and their connections, explored at random: clients leave, upstreams answer well, twice, by halves or
-//! not at all, connections end and are reset, the list changes, the process stops, in every order. Time plays no part in the
-//! verdict: whatever comes to pass has to keep the rules.
+//! Random exploration of the states of attempts and connections. Clients disconnect; upstreams answer once, twice, partially or
+//! never; connections are closed or reset; the endpoint list changes; attempts are aborted. The rules must hold for every order
+//! of these events, independent of their timing.
 
 mod common;
 
-use common::{BOOK, ERROR, KEYED, LOOK, Peer, TURNED_AWAY, WINDOW, asked, entry, ok, settings, upstreams};
+use common::{
+    AT_MOST_ONCE, DEDUP_WINDOW, DEDUPLICATED, ERROR_RESPONSE, IDEMPOTENT, ManualUpstream,
+    UNPROCESSED_RESPONSE, entry, ok_response, request_context, settings, upstreams,
+};
 use maplehook::parts::answer::ResponseBody;
 use maplehook::parts::driver::{Answer, Driver};
 use maplehook::source::{EndpointUpdate, Entry, Source, Task};
@@ -19,287 +22,335 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::Instant;
 
-/// Peers 0 and 1 share a zone, and with it the memory of keys.
-const PEERS: usize = 3;
+/// Number of upstream servers. Servers 0 and 1 share a zone and therefore deduplicate keys together.
+const SERVER_COUNT: usize = 3;
 
 #[derive(Clone, Debug)]
-enum Op {
-    Ask(u16),
-    Leave(usize),
-    /// Something becomes of a request that an upstream has.
-    Play(usize, Then),
-    List(usize, Availability),
-    Restart(usize),
-    Stop,
-    Pass,
+enum Event {
+    /// A client submits a request of this class.
+    Submit(u16),
+    Disconnect(usize),
+    /// An upstream responds to a request that it has received.
+    Respond(usize, Response),
+    SetAvailability(usize, Availability),
+    RestartUpstream(usize),
+    AbortAttempts,
+    Wait,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Then {
+enum Response {
     Answer,
-    /// With a second answer behind it.
+    /// A complete answer, followed by a second one that the balancer does not expect.
     AnswerTwice,
     Error,
-    TurnAway,
-    /// The head, and half of the body that it states.
-    Half,
-    /// The beginning of an answer without a length, and a reset.
-    HalfAndReset,
+    RejectUnprocessed,
+    /// The head and less of the body than `Content-Length` states.
+    PartialBody,
+    /// The beginning of an answer without `Content-Length`, followed by a reset.
+    PartialBodyThenReset,
     Close,
     Reset,
 }
 
-fn op() -> impl Strategy<Value = Op> {
-    use Then::{Answer, AnswerTwice, Close, Error, Half, HalfAndReset, Reset, TurnAway};
-    let then = prop::sample::select(vec![
+fn event() -> impl Strategy<Value = Event> {
+    use Response::{
+        Answer, AnswerTwice, Close, Error, PartialBody, PartialBodyThenReset, RejectUnprocessed, Reset,
+    };
+    let response = prop::sample::select(vec![
         Answer,
         Answer,
         AnswerTwice,
         Error,
-        TurnAway,
-        Half,
-        HalfAndReset,
+        RejectUnprocessed,
+        PartialBody,
+        PartialBodyThenReset,
         Close,
         Reset,
     ]);
     let state =
         prop::sample::select(vec![Availability::Ready, Availability::Draining, Availability::Removed]);
     prop_oneof![
-        6 => (0_u16..3).prop_map(Op::Ask),
-        1 => any::<usize>().prop_map(Op::Leave),
-        8 => (any::<usize>(), then).prop_map(|(pick, then)| Op::Play(pick, then)),
-        1 => (0..PEERS, state).prop_map(|(peer, state)| Op::List(peer, state)),
-        1 => (0..PEERS).prop_map(Op::Restart),
-        1 => Just(Op::Stop),
-        1 => Just(Op::Pass),
+        6 => (0_u16..3).prop_map(Event::Submit),
+        1 => any::<usize>().prop_map(Event::Disconnect),
+        8 => (any::<usize>(), response).prop_map(|(pick, response)| Event::Respond(pick, response)),
+        1 => (0..SERVER_COUNT, state).prop_map(|(server, state)| Event::SetAvailability(server, state)),
+        1 => (0..SERVER_COUNT).prop_map(Event::RestartUpstream),
+        1 => Just(Event::AbortAttempts),
+        1 => Just(Event::Wait),
     ]
 }
 
-/// A list that the test pushes.
-struct Pushed(RefCell<mpsc::UnboundedReceiver<EndpointUpdate>>);
+/// Source of endpoint updates that the test pushes.
+struct PushedSource(RefCell<mpsc::UnboundedReceiver<EndpointUpdate>>);
 
-impl Source for Pushed {
+impl Source for PushedSource {
     fn fetch(&self) -> Task<'_, EndpointUpdate> {
         Box::pin(std::future::ready(EndpointUpdate::failed()))
     }
 
-    fn watch<'a>(&'a self, tell: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
+    fn watch<'a>(&'a self, on_update: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
         Box::pin(std::future::poll_fn(move |cx| {
-            while let std::task::Poll::Ready(Some(news)) = self.0.borrow_mut().poll_recv(cx) {
-                tell(news);
+            while let std::task::Poll::Ready(Some(update)) = self.0.borrow_mut().poll_recv(cx) {
+                on_update(update);
             }
             std::task::Poll::Pending
         }))
     }
 }
 
-/// A request of a client.
-struct Asked {
+/// Request that a client has submitted.
+struct ClientRequest {
     class: u16,
     task: JoinHandle<(&'static str, String)>,
-    left: bool,
+    has_disconnected: bool,
     passage: Rc<Passage>,
-    /// Where it has come.
-    runs: Vec<Run>,
+    /// Attempts that upstreams have received, in order.
+    executions: Vec<Execution>,
 }
 
-/// An attempt that has come whole to an upstream.
-struct Run {
-    peer: usize,
-    link: usize,
-    at: Instant,
-    /// The upstream has done with it.
-    over: bool,
-    never_ran: bool,
+/// Attempt that an upstream has received completely.
+struct Execution {
+    server: usize,
+    connection: usize,
+    received_at: Instant,
+    /// True if the upstream has finished its response or closed the connection.
+    is_answered: bool,
+    /// True if the upstream has declared that it did not process the request.
+    is_unprocessed: bool,
 }
 
-struct World {
+struct Simulation {
     driver: Rc<Driver>,
-    news: mpsc::UnboundedSender<EndpointUpdate>,
-    peers: Vec<Peer>,
-    listed: Vec<Entry>,
-    asked: Vec<Asked>,
-    /// Connections on which no further request may come.
-    spoilt: HashSet<(usize, usize)>,
-    /// Answers that upstreams have given, each in its own words.
-    given: HashSet<String>,
+    updates: mpsc::UnboundedSender<EndpointUpdate>,
+    servers: Vec<ManualUpstream>,
+    listed_entries: Vec<Entry>,
+    requests: Vec<ClientRequest>,
+    /// Server and connection indices of the connections that must not carry another request.
+    unusable: HashSet<(usize, usize)>,
+    /// Bodies of all complete answers; each is unique.
+    sent_answers: HashSet<String>,
 }
 
-impl World {
-    fn start(settings: Settings, most_open: usize) -> Self {
-        let peers: Vec<_> = (0..PEERS).map(|_| Peer::start()).collect();
-        let ready = |(n, peer): (usize, &Peer)| Entry {
+impl Simulation {
+    fn start(settings: Settings, max_open: usize) -> Self {
+        let servers: Vec<_> = (0..SERVER_COUNT).map(|_| ManualUpstream::start()).collect();
+        let ready = |(n, server): (usize, &ManualUpstream)| Entry {
             zone: ZoneId(u8::from(n == 2)),
-            ..entry(n, peer.address, Availability::Ready, 0)
+            ..entry(n, server.address, Availability::Ready, 0)
         };
-        let listed: Vec<_> = peers.iter().enumerate().map(ready).collect();
-        let known = EndpointUpdate { scope: UpdateScope::Cached, entries: listed.clone() };
-        let (news, pushed) = mpsc::unbounded_channel();
-        let (upstreams, balancer) = (upstreams(&settings, most_open), Balancer::new(settings, 7).unwrap());
-        let source = Rc::new(Pushed(RefCell::new(pushed)));
+        let listed_entries: Vec<_> = servers.iter().enumerate().map(ready).collect();
+        let known = EndpointUpdate { scope: UpdateScope::Cached, entries: listed_entries.clone() };
+        let (updates, receiver) = mpsc::unbounded_channel();
+        let (upstreams, balancer) = (upstreams(&settings, max_open), Balancer::new(settings, 7).unwrap());
+        let source = Rc::new(PushedSource(RefCell::new(receiver)));
         let driver = Driver::start(balancer, upstreams, source, known);
         driver.follow_pushed_list();
-        let (asked, spoilt, given) = Default::default();
-        Self { driver, news, peers, listed, asked, spoilt, given }
+        let (requests, unusable, sent_answers) = Default::default();
+        Self { driver, updates, servers, listed_entries, requests, unusable, sent_answers }
     }
 
-    /// What upstreams have and have not done with, as request and attempt.
-    fn out(&self) -> Vec<(usize, usize)> {
-        let runs = self.asked.iter().enumerate().flat_map(|(n, a)| (0..a.runs.len()).map(move |k| (n, k)));
-        runs.filter(|(n, k)| !self.asked[*n].runs[*k].over).collect()
+    /// Returns the request and attempt indices of all unanswered attempts.
+    fn open_executions(&self) -> Vec<(usize, usize)> {
+        let executions =
+            self.requests.iter().enumerate().flat_map(|(n, a)| (0..a.executions.len()).map(move |k| (n, k)));
+        executions.filter(|(n, k)| !self.requests[*n].executions[*k].is_answered).collect()
     }
 
-    fn play(&mut self, op: &Op) {
-        match op {
-            Op::Ask(class) => self.ask(*class),
-            Op::Leave(pick) => {
-                let open: Vec<_> = (0..self.asked.len()).filter(|n| !self.asked[*n].left).collect();
+    fn apply(&mut self, event: &Event) {
+        match event {
+            Event::Submit(class) => self.submit_request(*class),
+            Event::Disconnect(pick) => {
+                let open: Vec<_> =
+                    (0..self.requests.len()).filter(|n| !self.requests[*n].has_disconnected).collect();
                 if let Some(n) = open.get(pick % open.len().max(1)) {
-                    self.asked[*n].task.abort();
-                    self.asked[*n].left = true;
+                    self.requests[*n].task.abort();
+                    self.requests[*n].has_disconnected = true;
                 }
             }
-            Op::Play(pick, then) => {
-                let out = self.out();
-                if let Some((n, k)) = out.get(pick % out.len().max(1)).copied() {
-                    self.becomes(n, k, *then);
+            Event::Respond(pick, response) => {
+                let open_executions = self.open_executions();
+                if let Some((n, k)) = open_executions.get(pick % open_executions.len().max(1)).copied() {
+                    self.respond(n, k, *response);
                 }
             }
-            Op::List(peer, state) => {
-                self.listed[*peer].state.availability = *state;
-                self.tell(*peer);
+            Event::SetAvailability(server, state) => {
+                self.listed_entries[*server].state.availability = *state;
+                self.push_update(*server);
             }
-            Op::Restart(peer) => {
-                self.listed[*peer].state.boot_ms += 1;
-                self.tell(*peer);
+            Event::RestartUpstream(server) => {
+                self.listed_entries[*server].state.boot_ms += 1;
+                self.push_update(*server);
             }
-            Op::Stop => self.driver.abort_attempts(),
-            Op::Pass => {}
+            Event::AbortAttempts => self.driver.abort_attempts(),
+            Event::Wait => {}
         }
     }
 
-    fn ask(&mut self, class: u16) {
-        let asked = asked(class, &self.asked.len().to_string());
-        let passage = Rc::clone(&asked.outgoing.passage);
-        let pending = self.driver.submit(asked);
+    fn submit_request(&mut self, class: u16) {
+        let context = request_context(class, &self.requests.len().to_string());
+        let passage = Rc::clone(&context.outgoing.passage);
+        let pending = self.driver.submit(context);
         let task = spawn_local(async move {
             match pending.answer().await.0 {
                 Answer::Served(served) => match served.body {
                     ResponseBody::Buffered(body) => ("served", String::from_utf8(body.to_vec()).unwrap()),
-                    ResponseBody::Stream(_) => ("streams", String::new()),
+                    ResponseBody::Stream(_) => ("streamed", String::new()),
                 },
-                Answer::Rejected(_) => ("refused", String::new()),
+                Answer::Rejected(_) => ("rejected", String::new()),
                 Answer::Failed => ("failed", String::new()),
             }
         });
-        self.asked.push(Asked { class, task, left: false, passage, runs: Vec::new() });
+        self.requests.push(ClientRequest {
+            class,
+            task,
+            has_disconnected: false,
+            passage,
+            executions: Vec::new(),
+        });
     }
 
-    fn tell(&self, peer: usize) {
-        let entries = vec![self.listed[peer].clone()];
-        self.news.send(EndpointUpdate { scope: UpdateScope::Changes, entries }).unwrap();
+    fn push_update(&self, server: usize) {
+        let entries = vec![self.listed_entries[server].clone()];
+        self.updates.send(EndpointUpdate { scope: UpdateScope::Changes, entries }).unwrap();
     }
 
-    /// An upstream does something about a request that it has.
-    fn becomes(&mut self, n: usize, k: usize, then: Then) {
-        let run = &mut self.asked[n].runs[k];
-        let (peer, link) = (run.peer, run.link);
-        // Nothing sensible follows half an answer.
-        let then = if self.spoilt.contains(&(peer, link)) { Then::Close } else { then };
-        run.over = then != Then::Half;
-        run.never_ran = then == Then::TurnAway;
-        let words = format!("{n} by {peer}");
-        let upstream = &mut self.peers[peer];
-        match then {
-            Then::Answer => upstream.answer(link, &words),
-            Then::AnswerTwice => upstream.write(link, &ok(&words).repeat(2)),
-            Then::Error => upstream.write(link, ERROR),
-            Then::TurnAway => upstream.write(link, TURNED_AWAY),
-            Then::Half => upstream.write(link, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
-            Then::HalfAndReset => {
-                upstream.write(link, "HTTP/1.1 200 OK\r\n\r\nhalf");
-                upstream.reset(link);
+    /// Lets an upstream respond to attempt `k` of request `n`.
+    fn respond(&mut self, n: usize, k: usize, response: Response) {
+        let execution = &mut self.requests[n].executions[k];
+        let (server, connection) = (execution.server, execution.connection);
+        // After a partial or second answer, nothing valid can follow on the connection.
+        let response = if self.unusable.contains(&(server, connection)) { Response::Close } else { response };
+        execution.is_answered = response != Response::PartialBody;
+        execution.is_unprocessed = response == Response::RejectUnprocessed;
+        let body = format!("{n} by {server}");
+        let upstream = &mut self.servers[server];
+        match response {
+            Response::Answer => upstream.answer(connection, &body),
+            Response::AnswerTwice => upstream.write(connection, &ok_response(&body).repeat(2)),
+            Response::Error => upstream.write(connection, ERROR_RESPONSE),
+            Response::RejectUnprocessed => upstream.write(connection, UNPROCESSED_RESPONSE),
+            Response::PartialBody => {
+                upstream.write(connection, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
+            }
+            Response::PartialBodyThenReset => {
+                upstream.write(connection, "HTTP/1.1 200 OK\r\n\r\nhalf");
+                upstream.reset(connection);
             }
-            Then::Close => upstream.close(link),
-            Then::Reset => upstream.reset(link),
+            Response::Close => upstream.close(connection),
+            Response::Reset => upstream.reset(connection),
         }
-        if matches!(then, Then::Answer | Then::AnswerTwice) {
-            self.given.insert(words);
+        if matches!(response, Response::Answer | Response::AnswerTwice) {
+            self.sent_answers.insert(body);
         }
-        if matches!(then, Then::AnswerTwice | Then::Half) {
-            self.spoilt.insert((peer, link));
+        if matches!(response, Response::AnswerTwice | Response::PartialBody) {
+            self.unusable.insert((server, connection));
         }
     }
 
-    /// Takes in what has come to upstreams, and holds it against the rules.
-    async fn look(&mut self) {
-        common::pass().await;
-        let mut come = Vec::new();
+    /// Reads the requests that upstreams have received and checks them against the rules.
+    async fn check_received(&mut self) {
+        common::run_tasks().await;
+        let mut received = Vec::new();
         loop {
-            let more = self.peers.iter_mut().enumerate().filter_map(|(n, peer)| Some((n, peer.next()?)));
-            let before = come.len();
-            come.extend(more);
-            if come.len() == before {
+            let new_requests = self
+                .servers
+                .iter_mut()
+                .enumerate()
+                .filter_map(|(n, server)| Some((n, server.next_request()?)));
+            let count_before = received.len();
+            received.extend(new_requests);
+            if received.len() == count_before {
                 break;
             }
         }
-        for (peer, come) in come {
-            let n: usize = come.id.parse().unwrap();
-            self.check(n, peer, come.link);
-            let run = Run { peer, link: come.link, at: Instant::now(), over: false, never_ran: false };
-            self.asked[n].runs.push(run);
+        for (server, request) in received {
+            let n: usize = request.id.parse().unwrap();
+            self.check_execution(n, server, request.connection);
+            let execution = Execution {
+                server,
+                connection: request.connection,
+                received_at: Instant::now(),
+                is_answered: false,
+                is_unprocessed: false,
+            };
+            self.requests[n].executions.push(execution);
         }
     }
 
-    fn check(&self, n: usize, peer: usize, link: usize) {
-        let Asked { class, left, runs, .. } = &self.asked[n];
-        assert!(!left, "{n} is sent after its client has left");
-        assert!(!self.spoilt.contains(&(peer, link)), "{n} on a spoilt connection");
-        assert_eq!(self.listed[peer].state.availability, Availability::Ready, "{n} to {peer}");
-        assert!(runs.len() < usize::from(settings().max_attempts), "{n}: too many attempts");
-        let in_flight = |run: &Run| !run.over && !self.peers[run.peer].links[run.link].ended;
-        assert!(!runs.iter().any(in_flight), "{n}: two in flight");
-        for run in runs.iter().filter(|run| !run.never_ran) {
+    fn check_execution(&self, n: usize, server: usize, connection: usize) {
+        let ClientRequest { class, has_disconnected, executions, .. } = &self.requests[n];
+        assert!(!has_disconnected, "request {n} was sent after its client had disconnected");
+        assert!(
+            !self.unusable.contains(&(server, connection)),
+            "request {n} was sent on an unusable connection"
+        );
+        assert_eq!(
+            self.listed_entries[server].state.availability,
+            Availability::Ready,
+            "request {n} was sent to server {server}, which is not ready"
+        );
+        assert!(executions.len() < usize::from(settings().max_attempts), "request {n}: too many attempts");
+        let in_flight = |execution: &Execution| {
+            !execution.is_answered
+                && !self.servers[execution.server].connections[execution.connection].is_closed
+        };
+        assert!(!executions.iter().any(in_flight), "request {n}: two attempts in flight");
+        for execution in executions.iter().filter(|execution| !execution.is_unprocessed) {
             match *class {
-                LOOK => {}
-                KEYED => {
-                    assert!(run.at.elapsed() < WINDOW, "{n}: outside the window");
-                    assert_eq!(run.peer == 2, peer == 2, "{n}: outside the group");
+                IDEMPOTENT => {}
+                DEDUPLICATED => {
+                    assert!(
+                        execution.received_at.elapsed() < DEDUP_WINDOW,
+                        "request {n}: repeated after the deduplication window"
+                    );
+                    assert_eq!(
+                        execution.server == 2,
+                        server == 2,
+                        "request {n}: repeated outside the deduplication group"
+                    );
                 }
-                BOOK => panic!("{n}: an effect may happen twice"),
+                AT_MOST_ONCE => panic!("request {n}: its effect may happen twice"),
                 _ => unreachable!(),
             }
         }
     }
 
-    /// Ends all that is out and sees that nothing is left.
-    async fn end(mut self) {
+    /// Closes all attempts, checks the final answers and checks that the driver has released every request.
+    async fn finish(mut self) {
         let start = Instant::now();
         loop {
-            for (n, k) in self.out() {
-                self.becomes(n, k, Then::Close);
+            for (n, k) in self.open_executions() {
+                self.respond(n, k, Response::Close);
             }
-            for (peer, link) in self.spoilt.clone() {
-                self.peers[peer].close(link);
+            for (server, connection) in self.unusable.clone() {
+                self.servers[server].close(connection);
             }
-            self.look().await;
-            if self.asked.iter().all(|asked| asked.task.is_finished()) {
+            self.check_received().await;
+            if self.requests.iter().all(|request| request.task.is_finished()) {
                 break;
             }
-            assert!(start.elapsed() < LONG, "a request has no answer");
+            assert!(start.elapsed() < LONG, "timed out waiting for the final answers");
         }
-        for (n, asked) in self.asked.into_iter().enumerate() {
-            let answer = asked.task.await;
-            assert_eq!(answer.is_err(), asked.left && answer.is_err(), "{n}");
-            if let Ok(("served", words)) = &answer {
-                assert!(words.starts_with(&format!("{n} by ")), "{n}: another's answer: {words}");
-                assert!(self.given.contains(words), "{n}: nobody's answer");
+        for (n, request) in self.requests.into_iter().enumerate() {
+            let answer = request.task.await;
+            assert_eq!(answer.is_err(), request.has_disconnected && answer.is_err(), "request {n} panicked");
+            if let Ok(("served", body)) = &answer {
+                assert!(
+                    body.starts_with(&format!("{n} by ")),
+                    "request {n} got the answer of another request: {body}"
+                );
+                assert!(self.sent_answers.contains(body), "request {n} got an answer that no upstream sent");
             }
-            if let Ok(("refused", _)) = &answer {
-                let ran = asked.runs.iter().any(|run| !run.never_ran);
-                assert!(!ran || asked.class == LOOK, "{n}: refused, and it may have run");
+            if let Ok(("rejected", _)) = &answer {
+                let may_have_run = request.executions.iter().any(|execution| !execution.is_unprocessed);
+                assert!(
+                    !may_have_run || request.class == IDEMPOTENT,
+                    "request {n} was rejected but may have run"
+                );
             }
-            common::settle("no entry is left over", || Rc::strong_count(&asked.passage) == 1).await;
+            common::wait_until("the driver releases the request", || Rc::strong_count(&request.passage) == 1)
+                .await;
         }
     }
 }
@@ -312,25 +363,25 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards the rules in every order of what may happen: one final answer, no forbidden repeat, no second copy where the
-    /// settings forbid one, no spoilt connection used again, nothing sent for a client that has left, no entry left over.
+    /// Checks for every order of events: one final answer per request, no forbidden repeats or hedges, no reuse of unusable
+    /// connections, nothing sent for disconnected clients, no leaked requests.
     #[test]
-    fn every_order_keeps_the_rules(
-        // Without a pass in between no task runs between one and the next.
-        ops in prop::collection::vec((op(), any::<bool>()), 1..60),
-        cancelling in any::<bool>(),
-        most_open in 1_usize..8,
+    fn attempts_follow_the_rules_for_every_order_of_events(
+        // The flag states whether tasks run before the next event.
+        events in prop::collection::vec((event(), any::<bool>()), 1..60),
+        allow_cancel in any::<bool>(),
+        max_open in 1_usize..8,
     ) {
         let local = tokio::runtime::Builder::new_current_thread().enable_all().build_local(Default::default());
         local.unwrap().block_on(async {
-            let mut world = World::start(Settings { can_cancel: cancelling, ..settings() }, most_open);
-            for (op, pass) in &ops {
-                world.play(op);
-                if *pass {
-                    world.look().await;
+            let mut simulation = Simulation::start(Settings { can_cancel: allow_cancel, ..settings() }, max_open);
+            for (event, runs_tasks) in &events {
+                simulation.apply(event);
+                if *runs_tasks {
+                    simulation.check_received().await;
                 }
             }
-            world.end().await;
+            simulation.finish().await;
         });
     }
 }
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A driver on this thread with upstreams that a test plays by hand: nothing is answered until the test says so.
+//! A driver on the test's thread, and upstreams that answer only when the test tells them to.
 
-#![allow(dead_code, reason = "each file of tests uses its part")]
+#![allow(dead_code, reason = "each test file uses only some of these helpers")]
 
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
@@ -27,16 +27,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-pub const LOOK: u16 = 0;
-pub const BOOK: u16 = 1;
-pub const KEYED: u16 = 2;
-/// How long a key is remembered.
-pub const WINDOW: Duration = Duration::from_secs(1);
+pub const IDEMPOTENT: u16 = 0;
+pub const AT_MOST_ONCE: u16 = 1;
+pub const DEDUPLICATED: u16 = 2;
+/// Time for which upstreams deduplicate requests with the same key.
+pub const DEDUP_WINDOW: Duration = Duration::from_secs(1);
 
-/// Three classes, one of each effect. No second copies, no calling back.
+/// Returns settings with one class for each effect, without hedging and without cancellation.
 pub fn settings() -> Settings {
     let class = |effect| Class { latency_objective: LONG, deadline: LONG, effect, ..Class::default() };
-    let keyed = Effect::Deduplicated { group: DedupGroup::Zone, ttl: WINDOW };
+    let keyed = Effect::Deduplicated { group: DedupGroup::Zone, ttl: DEDUP_WINDOW };
     Settings {
         classes: vec![class(Effect::Idempotent), class(Effect::AtMostOnce), class(keyed)],
         tenants: vec![Tenant { allowance_per_s: 1e4 }],
@@ -48,20 +48,21 @@
     }
 }
 
-/// None yet; so many connections to them may be open.
-pub fn upstreams(settings: &Settings, most_open: usize) -> Rc<Upstreams> {
+/// Creates an empty set of upstreams that may have `max_open` connections in total.
+pub fn upstreams(settings: &Settings, max_open: usize) -> Rc<Upstreams> {
     use maplehook_admission::descriptor_budget::{
         BASE_DESCRIPTORS, DISCOVERY_DESCRIPTORS, MIN_DESCRIPTORS, REJECTION_DESCRIPTORS,
     };
-    let shared_out =
+    let shared_descriptors =
         (MIN_DESCRIPTORS - BASE_DESCRIPTORS - DISCOVERY_DESCRIPTORS - REJECTION_DESCRIPTORS) as f64;
-    let descriptors = Descriptors::new(MIN_DESCRIPTORS, 0, (most_open as f64 + 0.5) / shared_out).unwrap();
-    assert_eq!(descriptors.limit_of(DescriptorClass::Upstreams), most_open);
-    let (room, forwarding) = (BodyMemory::new(1 << 20), Forwarding::platform());
-    Rc::new(Upstreams::new(settings, descriptors, room, forwarding, Arc::default()))
+    let descriptors =
+        Descriptors::new(MIN_DESCRIPTORS, 0, (max_open as f64 + 0.5) / shared_descriptors).unwrap();
+    assert_eq!(descriptors.limit_of(DescriptorClass::Upstreams), max_open);
+    let (body_memory, forwarding) = (BodyMemory::new(1 << 20), Forwarding::platform());
+    Rc::new(Upstreams::new(settings, descriptors, body_memory, forwarding, Arc::default()))
 }
 
-/// An entry of the list, in zone 0.
+/// Returns an endpoint list entry in zone 0 with id `n`.
 pub fn entry(n: usize, address: SocketAddr, availability: Availability, boot_ms: u64) -> Entry {
     Entry {
         id: UpstreamId(n as u64),
@@ -73,20 +74,20 @@
     }
 }
 
-pub fn driver(settings: Settings, upstreams: Rc<Upstreams>, peers: &[SocketAddr]) -> Rc<Driver> {
+pub fn driver(settings: Settings, upstreams: Rc<Upstreams>, addresses: &[SocketAddr]) -> Rc<Driver> {
     let ready = |(n, address): (usize, &SocketAddr)| entry(n, *address, Availability::Ready, 0);
-    let entries = peers.iter().enumerate().map(ready).collect();
+    let entries = addresses.iter().enumerate().map(ready).collect();
     let known = EndpointUpdate { scope: UpdateScope::Cached, entries };
     let balancer = Balancer::new(settings, 7).unwrap();
     Driver::start(balancer, upstreams, Rc::new(Fixed::default()), known)
 }
 
-/// A request under this id.
-pub fn outgoing(class: u16, id: &str) -> OutboundRequest {
+/// Returns a request of this class with `id` as its correlation id.
+pub fn outbound_request(class: u16, id: &str) -> OutboundRequest {
     let mut headers = HeaderMap::new();
     headers.insert("x-correlation-id", id.parse().unwrap());
-    let method = if class == LOOK { Method::GET } else { Method::POST };
-    let body = if class == LOOK { Bytes::new() } else { Bytes::from_static(b"words") };
+    let method = if class == IDEMPOTENT { Method::GET } else { Method::POST };
+    let body = if class == IDEMPOTENT { Bytes::new() } else { Bytes::from_static(b"body") };
     let passage = Rc::new(Passage::platform());
     OutboundRequest {
         method,
@@ -97,163 +98,169 @@
     }
 }
 
-pub fn asked(class: u16, id: &str) -> RequestContext {
+pub fn request_context(class: u16, id: &str) -> RequestContext {
     RequestContext {
         class: ClassId(class),
         tenant: TenantId(0),
         deadline: Instant::now() + LONG,
         work_ms: None,
         repeat: false,
-        outgoing: outgoing(class, id),
+        outgoing: outbound_request(class, id),
         label: Label::default(),
         presence: None,
     }
 }
 
-pub fn name(answer: &Answer) -> &'static str {
+pub fn answer_name(answer: &Answer) -> &'static str {
     match answer {
         Answer::Served(_) => "served",
-        Answer::Rejected(_) => "refused",
+        Answer::Rejected(_) => "rejected",
         Answer::Failed => "failed",
     }
 }
 
-/// Lets all tasks of this thread run until something holds.
-pub async fn settle(what: &str, mut holds: impl FnMut() -> bool) {
+/// Runs the tasks of this thread until the condition holds. Panics after [`LONG`].
+pub async fn wait_until(condition: &str, mut is_true: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < LONG, "in vain: {what}");
+    while !is_true() {
+        assert!(start.elapsed() < LONG, "timed out waiting for: {condition}");
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// Lets each task of this thread run that has been woken, once: they take turns in the order in which they were woken. (What
-/// `yield_now` lets go first is the look for what has come from outside.)
-pub async fn turn() {
-    let mut waits = true;
+/// Runs each woken task of this thread once, in the order in which they were woken. `yield_now` would poll for I/O events
+/// first.
+pub async fn yield_once() {
+    let mut is_first_poll = true;
     std::future::poll_fn(|cx| {
         cx.waker().wake_by_ref();
-        if std::mem::take(&mut waits) { Poll::Pending } else { Poll::Ready(()) }
+        if std::mem::take(&mut is_first_poll) { Poll::Pending } else { Poll::Ready(()) }
     })
     .await;
 }
 
-/// Lets all tasks run that can, a few times over.
-pub async fn pass() {
+/// Runs all runnable tasks for a few milliseconds.
+pub async fn run_tasks() {
     for _ in 0..4 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// An upstream without a task of its own.
-pub struct Peer {
+/// Upstream server that does nothing until the test calls its functions.
+pub struct ManualUpstream {
     listener: TcpListener,
     pub address: SocketAddr,
-    pub links: Vec<Link>,
+    pub connections: Vec<Connection>,
 }
 
-/// One of its connections.
-pub struct Link {
+/// Connection from the balancer to a [`ManualUpstream`].
+pub struct Connection {
     stream: TcpStream,
-    /// What has come and belongs to no whole request yet.
-    read: Vec<u8>,
-    /// The balancer has closed it.
-    pub ended: bool,
+    /// Received bytes that do not form a complete request yet.
+    buffered: Vec<u8>,
+    /// True if either side has closed the connection.
+    pub is_closed: bool,
 }
 
-/// A request that has come whole.
+/// Request that a [`ManualUpstream`] has received completely.
 #[derive(Clone, Debug)]
-pub struct Come {
-    pub link: usize,
+pub struct ReceivedRequest {
+    /// Index into [`ManualUpstream::connections`].
+    pub connection: usize,
+    /// Value of the `x-correlation-id` header.
     pub id: String,
-    /// What it was told of the time that is left.
-    pub told: Duration,
+    /// Value of the `x-time-left-ms` header.
+    pub time_left: Duration,
 }
 
-impl Peer {
+impl ManualUpstream {
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap();
-        Self { listener, address, links: Vec::new() }
+        Self { listener, address, connections: Vec::new() }
     }
 
-    /// Whether a connection has come that was not accepted yet; it is accepted.
+    /// Accepts a pending connection. Returns false if there is none.
     pub fn accept(&mut self) -> bool {
         let Ok((stream, _)) = self.listener.accept() else { return false };
         stream.set_nonblocking(true).unwrap();
-        self.links.push(Link { stream, read: Vec::new(), ended: false });
+        self.connections.push(Connection { stream, buffered: Vec::new(), is_closed: false });
         true
     }
 
-    /// Whether something has come that was not read yet.
-    pub fn has_begun(&self, link: usize) -> bool {
-        self.links[link].stream.peek(&mut [0]).is_ok_and(|n| n > 0)
+    /// Returns true if the connection has received bytes that are not read yet.
+    pub fn has_unread_bytes(&self, connection: usize) -> bool {
+        self.connections[connection].stream.peek(&mut [0]).is_ok_and(|n| n > 0)
     }
 
-    /// Takes in what has come, and returns the next whole request.
-    pub fn next(&mut self) -> Option<Come> {
+    /// Accepts connections, reads received bytes and returns the next complete request.
+    pub fn next_request(&mut self) -> Option<ReceivedRequest> {
         while self.accept() {}
-        self.links.iter_mut().enumerate().find_map(|(link, l)| l.next(link))
+        self.connections.iter_mut().enumerate().find_map(|(n, connection)| connection.next_request(n))
     }
 
-    pub fn write(&mut self, link: usize, text: &str) {
-        // The balancer may have closed it just now.
-        let _ = self.links[link].stream.write_all(text.as_bytes());
+    pub fn write(&mut self, connection: usize, text: &str) {
+        // The balancer may have closed the connection.
+        let _ = self.connections[connection].stream.write_all(text.as_bytes());
     }
 
-    pub fn answer(&mut self, link: usize, body: &str) {
-        self.write(link, &ok(body));
+    pub fn answer(&mut self, connection: usize, body: &str) {
+        self.write(connection, &ok_response(body));
     }
 
-    /// Ends a connection in order; it stays in its place.
-    pub fn close(&mut self, link: usize) {
-        let _ = self.links[link].stream.shutdown(std::net::Shutdown::Both);
-        self.links[link].ended = true;
+    /// Closes a connection gracefully. Its index stays in use.
+    pub fn close(&mut self, connection: usize) {
+        let _ = self.connections[connection].stream.shutdown(std::net::Shutdown::Both);
+        self.connections[connection].is_closed = true;
     }
 
-    /// Resets a connection; it stays in its place.
-    pub fn reset(&mut self, link: usize) {
-        let socket = socket2::SockRef::from(&self.links[link].stream);
+    /// Resets a connection. Its index stays in use.
+    pub fn reset(&mut self, connection: usize) {
+        let socket = socket2::SockRef::from(&self.connections[connection].stream);
         let _ = socket.set_linger(Some(Duration::ZERO));
-        // Its place is taken by one that leads nowhere.
-        let nowhere = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        self.links[link] = Link { stream: nowhere.into(), read: Vec::new(), ended: true };
+        // Dropping the stream sends the reset, so an unconnected socket replaces it.
+        let unconnected = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        self.connections[connection] =
+            Connection { stream: unconnected.into(), buffered: Vec::new(), is_closed: true };
     }
 }
 
-impl Link {
-    fn next(&mut self, link: usize) -> Option<Come> {
+impl Connection {
+    fn next_request(&mut self, connection: usize) -> Option<ReceivedRequest> {
         let mut buffer = [0; 64 * 1024];
-        while !self.ended {
+        while !self.is_closed {
             match self.stream.read(&mut buffer) {
-                Ok(0) => self.ended = true,
-                Ok(n) => self.read.extend_from_slice(&buffer[..n]),
+                Ok(0) => self.is_closed = true,
+                Ok(n) => self.buffered.extend_from_slice(&buffer[..n]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => self.ended = true,
+                Err(_) => self.is_closed = true,
             }
         }
-        let text = String::from_utf8_lossy(&self.read).into_owned();
+        let text = String::from_utf8_lossy(&self.buffered).into_owned();
         let (head, _) = text.split_once("\r\n\r\n")?;
-        let header = |name: &str| {
+        let header = |answer_name: &str| {
             let lines = head.lines().filter_map(|line| line.split_once(": "));
-            lines.filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.to_owned()).next()
+            lines
+                .filter(|(n, _)| n.eq_ignore_ascii_case(answer_name))
+                .map(|(_, value)| value.to_owned())
+                .next()
         };
-        let length: usize = header("content-length").map_or(0, |n| n.parse().unwrap());
-        let whole = head.len() + 4 + length;
-        if self.read.len() < whole {
+        let body_length: usize = header("content-length").map_or(0, |n| n.parse().unwrap());
+        let request_length = head.len() + 4 + body_length;
+        if self.buffered.len() < request_length {
             return None;
         }
         let id = header("x-correlation-id").unwrap_or_default();
-        let told = header("x-time-left-ms").map_or(0, |ms| ms.parse().unwrap());
-        self.read.drain(..whole);
-        Some(Come { link, id, told: Duration::from_millis(told) })
+        let time_left = header("x-time-left-ms").map_or(0, |ms| ms.parse().unwrap());
+        self.buffered.drain(..request_length);
+        Some(ReceivedRequest { connection, id, time_left: Duration::from_millis(time_left) })
     }
 }
 
-pub fn ok(body: &str) -> String {
+pub fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-pub const ERROR: &str = "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n";
-pub const TURNED_AWAY: &str = "HTTP/1.1 503 Later\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
+pub const ERROR_RESPONSE: &str = "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n";
+pub const UNPROCESSED_RESPONSE: &str = "HTTP/1.1 503 Later\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
--- a/crates/engine/tests/ledger.rs
+++ b/crates/engine/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: what it promises, on all orders of events.
+//! Guarantees of the ledger for random orders of events.
 
 use maplehook::ledger::{Bounds, EntryId, FinalAnswer, Identity, Ledger, OpenResult};
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
     Duration::from_millis(ms)
 }
 
-fn identity(n: u32) -> Identity {
+fn numbered_identity(n: u32) -> Identity {
     Identity { tenant: n % 3, class: 1, id: format!("order-{n}").into_bytes().into() }
 }
 
@@ -20,133 +20,135 @@
 #[derive(Clone, Debug)]
 enum Step {
     Open(u32),
-    Ended(usize, u8, usize),
-    Left(usize),
-    Wait(u64),
-    Back(u64),
+    Complete(usize, u8, usize),
+    RemoveWaiter(usize),
+    AdvanceClock(u64),
+    SetClockBack(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         5 => (0_u32..12).prop_map(Step::Open),
-        3 => (any::<usize>(), 0_u8..3, 0_usize..1000).prop_map(|(n, how, long)| Step::Ended(n, how, long)),
-        1 => any::<usize>().prop_map(Step::Left),
-        2 => (0_u64..700).prop_map(Step::Wait),
-        1 => (0_u64..5000).prop_map(Step::Back),
+        3 => (any::<usize>(), 0_u8..3, 0_usize..1000).prop_map(|(n, kind, length)| Step::Complete(n, kind, length)),
+        1 => any::<usize>().prop_map(Step::RemoveWaiter),
+        2 => (0_u64..700).prop_map(Step::AdvanceClock),
+        1 => (0_u64..5000).prop_map(Step::SetClockBack),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
-    /// Guards the promises: sent once while open or remembered, one ending for all, bounds, nobody forgotten.
+    /// While an entry is open or retained, its request is sent once and all callers get the same answer. The ledger stays
+    /// within its bounds and drops no live entry.
     #[test]
-    fn whatever_happens_no_effect_is_sent_twice(steps in prop::collection::vec(step(), 0..200)) {
+    fn requests_are_sent_once_for_every_order_of_events(steps in prop::collection::vec(step(), 0..200)) {
         let mut ledger: Ledger<u32> = Ledger::new(bounds(), 7).unwrap();
-        let (mut now, mut highest) = (Duration::ZERO, Duration::ZERO);
+        let (mut now, mut latest) = (Duration::ZERO, Duration::ZERO);
         let mut open: HashMap<Identity, (EntryId, Vec<u64>)> = HashMap::new();
-        let mut ended: HashMap<Identity, (FinalAnswer<u32>, Duration)> = HashMap::new();
-        let mut told: HashSet<u64> = HashSet::new();
+        let mut answered: HashMap<Identity, (FinalAnswer<u32>, Duration)> = HashMap::new();
+        let mut notified: HashSet<u64> = HashSet::new();
         for (k, step) in steps.into_iter().enumerate() {
             let waiter = k as u64;
             let pick = |n: usize| {
-                let mut all: Vec<_> = open.keys().cloned().collect();
-                all.sort_by(|a, b| a.id.cmp(&b.id));
-                (!all.is_empty()).then(|| all[n % all.len()].clone())
+                let mut identities: Vec<_> = open.keys().cloned().collect();
+                identities.sort_by(|a, b| a.id.cmp(&b.id));
+                (!identities.is_empty()).then(|| identities[n % identities.len()].clone())
             };
             match step {
-                Step::Wait(more) => { now += ms(more); }
-                Step::Back(less) => { now = now.saturating_sub(ms(less)); }
+                Step::AdvanceClock(delta) => { now += ms(delta); }
+                Step::SetClockBack(delta) => { now = now.saturating_sub(ms(delta)); }
                 Step::Open(n) => {
-                    let who = identity(n);
-                    highest = highest.max(now);
-                    ended.retain(|_, (_, at)| highest < *at + ms(1000));
-                    match ledger.open(now, &who, waiter) {
+                    let identity = numbered_identity(n);
+                    latest = latest.max(now);
+                    answered.retain(|_, (_, at)| latest < *at + ms(1000));
+                    match ledger.open(now, &identity, waiter) {
                         OpenResult::First(id) => {
-                            prop_assert!(!open.contains_key(&who) && !ended.contains_key(&who), "sent twice");
-                            open.insert(who, (id, vec![waiter]));
+                            prop_assert!(!open.contains_key(&identity) && !answered.contains_key(&identity), "a live request was sent again");
+                            open.insert(identity, (id, vec![waiter]));
                         }
                         OpenResult::Joined(id) => {
-                            let (first, waiters) = open.get_mut(&who).expect("joins what is open");
+                            let (first, waiters) = open.get_mut(&identity).expect("a joined entry is open");
                             prop_assert_eq!(*first, id);
                             waiters.push(waiter);
                             prop_assert!(waiters.len() <= 3);
                         }
-                        OpenResult::Answered(ending) => prop_assert_eq!(Some(&ending), ended.get(&who).map(|e| &e.0)),
-                        OpenResult::TooManyWaiters => prop_assert_eq!(open[&who].1.len(), 3),
+                        OpenResult::Answered(answer) => prop_assert_eq!(Some(&answer), answered.get(&identity).map(|e| &e.0)),
+                        OpenResult::TooManyWaiters => prop_assert_eq!(open[&identity].1.len(), 3),
                         OpenResult::Full => {
-                            prop_assert!(!open.contains_key(&who) && !ended.contains_key(&who));
-                            let charged = open.len() * (160 + 512) + ended.len() * 160;
-                            prop_assert!(ledger.len() == 8 || charged + 160 + 512 > 8192 - 2000);
+                            prop_assert!(!open.contains_key(&identity) && !answered.contains_key(&identity));
+                            let expected_bytes = open.len() * (160 + 512) + answered.len() * 160;
+                            prop_assert!(ledger.len() == 8 || expected_bytes + 160 + 512 > 8192 - 2000);
                         }
                     }
                 }
-                Step::Ended(n, how, long) => if let Some(who) = pick(n) {
-                    let (id, waiters) = open.remove(&who).unwrap();
-                    let ending = match how { 0 => FinalAnswer::Served(k as u32), 1 => FinalAnswer::Failed, _ => FinalAnswer::Rejected };
-                    highest = highest.max(now);
-                    let got = ledger.complete(now, id, ending.clone(), long);
-                    prop_assert_eq!(&got, &waiters, "all who wait are told, once");
-                    prop_assert!(got.iter().all(|w| told.insert(*w)));
-                    // A second ending is nobody's.
+                Step::Complete(n, kind, length) => if let Some(identity) = pick(n) {
+                    let (id, waiters) = open.remove(&identity).unwrap();
+                    let answer = match kind { 0 => FinalAnswer::Served(k as u32), 1 => FinalAnswer::Failed, _ => FinalAnswer::Rejected };
+                    latest = latest.max(now);
+                    let notified_waiters = ledger.complete(now, id, answer.clone(), length);
+                    prop_assert_eq!(&notified_waiters, &waiters, "complete() returns every waiter once");
+                    prop_assert!(notified_waiters.iter().all(|w| notified.insert(*w)));
+                    // A second answer notifies no waiter.
                     prop_assert!(ledger.complete(now, id, FinalAnswer::Failed, 0).is_empty());
-                    let kept = match ending {
-                        FinalAnswer::Served(_) if long > 512 => Some(FinalAnswer::ServedNotCached),
+                    let retained = match answer {
+                        FinalAnswer::Served(_) if length > 512 => Some(FinalAnswer::ServedNotCached),
                         FinalAnswer::Rejected => None,
                         other => Some(other),
                     };
-                    if let Some(kept) = kept { ended.insert(who, (kept, highest)); }
+                    if let Some(retained) = retained { answered.insert(identity, (retained, latest)); }
                 },
-                Step::Left(n) => if let Some(who) = pick(n) {
-                    let (id, waiters) = open.get_mut(&who).unwrap();
+                Step::RemoveWaiter(n) => if let Some(identity) = pick(n) {
+                    let (id, waiters) = open.get_mut(&identity).unwrap();
                     if let Some(waiter) = waiters.pop() {
                         prop_assert_eq!(ledger.remove_waiter(*id, waiter), waiters.is_empty());
                     }
                 },
             }
-            prop_assert!(ledger.len() <= 8 && ledger.bytes() <= 8192, "{} {}", ledger.len(), ledger.bytes());
+            prop_assert!(ledger.len() <= 8 && ledger.bytes() <= 8192, "{} entries, {} bytes", ledger.len(), ledger.bytes());
             prop_assert!(ledger.len() >= open.len());
         }
     }
 }
 
-/// Guards live entries: a flood of new ones, open or ended, pushes none of them out, and once their time is
-/// over there is room again.
+/// A flood of new requests must not evict live entries, open or answered. Expired entries free their capacity.
 #[test]
-fn a_flood_is_refused_and_forgets_nobody() {
+fn a_full_ledger_rejects_new_requests_and_evicts_no_entry() {
     let mut ledger: Ledger<u32> = Ledger::new(bounds(), 7).unwrap();
-    let OpenResult::First(first) = ledger.open(ms(0), &identity(0), 0) else { panic!() };
-    let OpenResult::First(second) = ledger.open(ms(0), &identity(1), 1) else { panic!() };
+    let OpenResult::First(first) = ledger.open(ms(0), &numbered_identity(0), 0) else { panic!() };
+    let OpenResult::First(second) = ledger.open(ms(0), &numbered_identity(1), 1) else { panic!() };
     ledger.complete(ms(0), second, FinalAnswer::Served(5), 100);
-    let refused = (2..10_000).filter(|n| ledger.open(ms(1), &identity(*n), 9) == OpenResult::Full).count();
-    assert_eq!(refused, 9_998 - 6);
-    assert_eq!(ledger.open(ms(999), &identity(1), 2), OpenResult::Answered(FinalAnswer::Served(5)));
-    assert_eq!(ledger.open(ms(999), &identity(0), 3), OpenResult::Joined(first));
-    // An open entry is never too old.
-    assert_eq!(ledger.open(ms(100_000), &identity(0), 4), OpenResult::Joined(first));
-    assert!(matches!(ledger.open(ms(100_000), &identity(1), 5), OpenResult::First(_)));
+    let rejected_count =
+        (2..10_000).filter(|n| ledger.open(ms(1), &numbered_identity(*n), 9) == OpenResult::Full).count();
+    assert_eq!(rejected_count, 9_998 - 6);
+    assert_eq!(ledger.open(ms(999), &numbered_identity(1), 2), OpenResult::Answered(FinalAnswer::Served(5)));
+    assert_eq!(ledger.open(ms(999), &numbered_identity(0), 3), OpenResult::Joined(first));
+    // An open entry never expires.
+    assert_eq!(ledger.open(ms(100_000), &numbered_identity(0), 4), OpenResult::Joined(first));
+    assert!(matches!(ledger.open(ms(100_000), &numbered_identity(1), 5), OpenResult::First(_)));
 }
 
-/// Guards a caller that has gone between sending and answer: the next one gets the ending that was its own.
+/// A caller that disconnects before the answer must not cause a second send: a repeat joins the open entry and gets its answer.
 #[test]
-fn who_comes_back_after_leaving_has_the_same_ending() {
+fn a_repeat_after_a_disconnect_gets_the_same_answer() {
     let mut ledger: Ledger<u32> = Ledger::new(bounds(), 7).unwrap();
-    let OpenResult::First(id) = ledger.open(ms(0), &identity(0), 0) else { panic!() };
+    let OpenResult::First(id) = ledger.open(ms(0), &numbered_identity(0), 0) else { panic!() };
     assert!(ledger.remove_waiter(id, 0));
-    assert_eq!(ledger.open(ms(1), &identity(0), 1), OpenResult::Joined(id));
+    assert_eq!(ledger.open(ms(1), &numbered_identity(0), 1), OpenResult::Joined(id));
     assert_eq!(ledger.complete(ms(2), id, FinalAnswer::Failed, 0), [1]);
-    assert_eq!(ledger.open(ms(3), &identity(0), 2), OpenResult::Answered(FinalAnswer::Failed));
+    assert_eq!(ledger.open(ms(3), &numbered_identity(0), 2), OpenResult::Answered(FinalAnswer::Failed));
     // The same id of another tenant or class is another effect.
-    let other = Identity { tenant: 2, ..identity(0) };
+    let other = Identity { tenant: 2, ..numbered_identity(0) };
     assert!(matches!(ledger.open(ms(3), &other, 3), OpenResult::First(_)));
-    let other = Identity { class: 2, ..identity(0) };
+    let other = Identity { class: 2, ..numbered_identity(0) };
     assert!(matches!(ledger.open(ms(3), &other, 4), OpenResult::First(_)));
 }
 
+/// Bounds without room for one entry would make the ledger reject every request.
 #[test]
-fn bounds_that_no_ledger_keeps_are_refused() {
-    let refused = |b: Bounds| Ledger::<u32>::new(b, 7).err().unwrap().to_string();
-    assert!(refused(Bounds { entries: 0, ..bounds() }).starts_with("entries"));
-    assert!(refused(Bounds { bytes: 600, ..bounds() }).starts_with("bytes"));
+fn invalid_bounds_are_rejected() {
+    let error_of = |b: Bounds| Ledger::<u32>::new(b, 7).err().unwrap().to_string();
+    assert!(error_of(Bounds { entries: 0, ..bounds() }).starts_with("entries"));
+    assert!(error_of(Bounds { bytes: 600, ..bounds() }).starts_with("bytes"));
     assert!(Ledger::<u32>::new(Bounds::default(), 7).is_ok());
 }
--- a/crates/engine/tests/places.rs
+++ b/crates/engine/tests/traffic_split.rs
@@ -1,4 +1,4 @@
-//! TrafficSplit on their way to the module, and sights on their way back, over real sockets.
+//! Traffic splits that the driver applies, and the locality observations that it returns, over real sockets.
 
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
@@ -22,7 +22,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-fn start(addresses: &[(SocketAddr, u8)]) -> Rc<Driver> {
+fn start_driver(addresses_and_zones: &[(SocketAddr, u8)]) -> Rc<Driver> {
     let settings = Settings {
         zone: ZoneId(1),
         classes: vec![Class {
@@ -50,13 +50,13 @@
         weight: 1.0,
         state: EndpointState { endpoint: Some(*address), availability: Availability::Ready, boot_ms: 0 },
     };
-    let entries = addresses.iter().enumerate().map(entry).collect();
+    let entries = addresses_and_zones.iter().enumerate().map(entry).collect();
     let balancer = Balancer::new(settings, 7).unwrap();
     let known = EndpointUpdate { scope: UpdateScope::Cached, entries };
     Driver::start(balancer, Rc::new(upstreams), Rc::new(Fixed::default()), known)
 }
 
-async fn ask(driver: &Rc<Driver>) -> Answer {
+async fn send_request(driver: &Rc<Driver>) -> Answer {
     let outgoing = OutboundRequest {
         method: Method::GET,
         target: Uri::from_static("/look"),
@@ -64,7 +64,7 @@
         body: Payload::Buffered(Bytes::new()),
         passage: Rc::new(Passage::general(Effect::Idempotent)),
     };
-    let asked = RequestContext {
+    let context = RequestContext {
         class: ClassId(0),
         tenant: TenantId(0),
         deadline: Instant::now() + LONG,
@@ -74,43 +74,53 @@
         label: Label::default(),
         presence: None,
     };
-    driver.submit(asked).answer().await.0
+    driver.submit(context).answer().await.0
 }
 
-fn shares(to: &[(u8, f64)]) -> TrafficSplit {
-    let to = to.iter().map(|(zone, share)| (ZoneId(*zone), *share)).collect();
-    let row =
-        GroupSplit { zone_shares: to, region: vec![ZoneId(1)], forbidden: Vec::new(), max_cross_region: 1.0 };
-    TrafficSplit { groups: vec![0], tenants: 1, rows: vec![row] }
+fn split_by_zone(zone_shares: &[(u8, f64)]) -> TrafficSplit {
+    let shares = zone_shares.iter().map(|(zone, share)| (ZoneId(*zone), *share)).collect();
+    let group = GroupSplit {
+        zone_shares: shares,
+        region: vec![ZoneId(1)],
+        forbidden: Vec::new(),
+        max_cross_region: 1.0,
+    };
+    TrafficSplit { groups: vec![0], tenants: 1, rows: vec![group] }
 }
 
+/// A split that is ignored, or counted in the wrong zone, would misdirect traffic and the decisions about it.
 #[tokio::test(flavor = "local")]
-async fn requests_go_where_the_shares_say_and_are_seen_there() {
+async fn requests_follow_the_traffic_split_and_are_counted_by_zone() {
     let (near, far) = (Upstream::start(Then::Answer(OK)), Upstream::start(Then::Answer(OK)));
-    let driver = start(&[(near.address, 1), (far.address, 2)]);
-    driver.set_traffic_split(Some(shares(&[(2, 0.75)]))).unwrap();
-    let mut refused = 0;
+    let driver = start_driver(&[(near.address, 1), (far.address, 2)]);
+    driver.set_traffic_split(Some(split_by_zone(&[(2, 0.75)]))).unwrap();
+    let mut rejected_count = 0;
     for _ in 0..40 {
-        refused += u64::from(matches!(ask(&driver).await, Answer::Rejected(_)));
+        rejected_count += u64::from(matches!(send_request(&driver).await, Answer::Rejected(_)));
     }
-    assert_eq!((near.seen().len(), far.seen().len(), refused), (0, 30, 10));
-    let sights = driver.observations();
-    assert_eq!(sights.groups, [GroupObservation { requests: 40, rejected: 10 }]);
-    let seen: Vec<(u8, f64, u64, u64)> =
-        sights.zones.iter().map(|z| (z.zone.0, z.usable_weight, z.sent, z.succeeded)).collect();
-    assert_eq!(seen, [(1, 1.0, 0, 0), (2, 1.0, 30, 30)]);
-    let [(ZoneId(2), connects)] = sights.connects[..] else { panic!("{:?}", sights.connects) };
-    assert!(connects.count >= 1 && connects.total_time > Duration::ZERO, "{connects:?}");
+    assert_eq!((near.seen().len(), far.seen().len(), rejected_count), (0, 30, 10));
+    let observations = driver.observations();
+    assert_eq!(observations.groups, [GroupObservation { requests: 40, rejected: 10 }]);
+    let by_zone: Vec<(u8, f64, u64, u64)> =
+        observations.zones.iter().map(|z| (z.zone.0, z.usable_weight, z.sent, z.succeeded)).collect();
+    assert_eq!(by_zone, [(1, 1.0, 0, 0), (2, 1.0, 30, 30)]);
+    let [(ZoneId(2), connect_times)] = observations.connects[..] else {
+        panic!("expected connects only to zone 2: {:?}", observations.connects)
+    };
+    assert!(connect_times.count >= 1 && connect_times.total_time > Duration::ZERO, "{connect_times:?}");
 
-    // What can't be acted on is refused, and changes nothing.
-    assert_eq!(driver.set_traffic_split(Some(shares(&[(1, 2.0)]))), Err(TrafficSplitError::OutOfRange(0)));
-    driver.set_traffic_split(Some(shares(&[(1, 1.0)]))).unwrap();
-    ask(&driver).await;
+    // An invalid split is rejected and changes nothing.
+    assert_eq!(
+        driver.set_traffic_split(Some(split_by_zone(&[(1, 2.0)]))),
+        Err(TrafficSplitError::OutOfRange(0))
+    );
+    driver.set_traffic_split(Some(split_by_zone(&[(1, 1.0)]))).unwrap();
+    send_request(&driver).await;
     assert_eq!((near.seen().len(), far.seen().len()), (1, 30));
     driver.set_traffic_split(None).unwrap();
     for _ in 0..20 {
-        ask(&driver).await;
+        send_request(&driver).await;
     }
-    assert!(near.seen().len() > 5 && far.seen().len() > 35, "both take turns again");
+    assert!(near.seen().len() > 5 && far.seen().len() > 35, "both zones get requests again without a split");
     assert!(driver.observations().groups.is_empty());
 }
--- /dev/null
+++ b/crates/engine/tests/unsolicited_responses.rs
@@ -0,0 +1,178 @@
+//! Unsolicited bytes from upstreams: they must not reach a client as an answer, and their connection must not be reused.
+
+mod common;
+
+use bytes::Bytes;
+use common::{
+    AT_MOST_ONCE, ManualUpstream, entry, ok_response, outbound_request, settings, upstreams, wait_until,
+};
+use http_body_util::{BodyExt, Full};
+use hyper::Method;
+use hyper::body::Body;
+use maplehook::parts::attempt::{AttemptResult, OutboundRequest};
+use maplehook::parts::attempt_limits::AttemptLimits;
+use maplehook::parts::body::{Payload, Upload, UploadTimeouts};
+use maplehook::parts::upstream::Upstreams;
+use maplehook_core::{Availability, Effect, Outcome, UpstreamId, ZoneId};
+use maplehook_http_semantics::Passage;
+use maplehook_test_servers::{LONG, Then, Upstream};
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::{JoinHandle, spawn_local};
+use tokio::time::Instant;
+
+const ID: UpstreamId = UpstreamId(0);
+/// Body length that exceeds the socket buffers of both sides, in bytes.
+const LONG_BODY_BYTES: usize = 64 << 20;
+
+fn start_upstream() -> (ManualUpstream, Rc<Upstreams>) {
+    let (server, upstreams) = (ManualUpstream::start(), upstreams(&settings(), 8));
+    upstreams.update_endpoint(ID, ZoneId(0), &entry(0, server.address, Availability::Ready, 0).state);
+    (server, upstreams)
+}
+
+fn start_attempt(upstreams: &Rc<Upstreams>, request: OutboundRequest) -> JoinHandle<AttemptResult> {
+    let upstreams = Rc::clone(upstreams);
+    spawn_local(
+        async move { upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)).await },
+    )
+}
+
+/// A client must not get the answer to another request. Upstreams start a request only after its last byte, so that an earlier
+/// answer belongs to another request. The request itself has not run.
+#[tokio::test(flavor = "local")]
+async fn answers_before_the_end_of_the_request_are_discarded() {
+    let (mut server, upstreams) = start_upstream();
+    let body = Payload::Buffered(Bytes::from(vec![b'y'; LONG_BODY_BYTES]));
+    let request = OutboundRequest { body, ..outbound_request(AT_MOST_ONCE, "one") };
+    let attempt = start_attempt(&upstreams, request);
+    wait_until("the upstream accepts the connection", || server.accept()).await;
+    wait_until("the upstream receives the first bytes", || server.has_unread_bytes(0)).await;
+    server.write(0, &ok_response("of another request"));
+    let result = attempt.await.unwrap();
+    assert_eq!(result.outcome, Outcome::ConnectFailed);
+    assert!(result.response.is_none());
+}
+
+/// A request must not queue behind unsent body bytes of an earlier request. After an early answer, a connection is reusable only
+/// when the complete request has been written to the socket, not when its last bytes are buffered.
+#[tokio::test(flavor = "local")]
+async fn connections_with_unsent_bytes_are_not_reused() {
+    let (mut server, upstreams) = start_upstream();
+    let timeouts = UploadTimeouts { idle: LONG, sender: LONG, total: LONG, answer: LONG };
+    let (max_length, length) = (u64::MAX, LONG_BODY_BYTES as u64);
+    let stream = Full::new(Bytes::from(vec![b'y'; LONG_BODY_BYTES])).map_err(|never| match never {});
+    let upload = Upload::new(Bytes::new(), Box::pin(stream), Some(length), max_length, timeouts);
+    let passage = Rc::new(Passage::general(Effect::Idempotent));
+    let request = OutboundRequest {
+        body: Payload::Upload(Rc::clone(&upload)),
+        passage,
+        ..outbound_request(AT_MOST_ONCE, "one")
+    };
+    let attempt = start_attempt(&upstreams, request);
+    wait_until("the upstream accepts the connection", || server.accept()).await;
+    wait_until("the complete body is buffered for sending", || upload.is_complete()).await;
+    server.write(0, &ok_response("early answer"));
+    assert_eq!(attempt.await.unwrap().outcome, Outcome::Ok);
+    let next = start_attempt(&upstreams, outbound_request(AT_MOST_ONCE, "two"));
+    wait_until("the balancer opens another connection", || server.accept()).await;
+    next.abort();
+}
+
+/// The next client must not get an unexpected body as its answer. A body after an answer that has none by its status or method
+/// must end the connection.
+#[tokio::test(flavor = "local")]
+async fn an_unexpected_body_ends_the_connection() {
+    let passage = Rc::new(Passage::general(Effect::Idempotent));
+    let with_body = |line: &str| format!("HTTP/1.1 {line}\r\nContent-Length: 4\r\n\r\nHTTP");
+    let cases =
+        [(Method::HEAD, "200 OK"), (Method::GET, "204 No Content"), (Method::GET, "304 Not Modified")];
+    for ((method, line), sends_together) in
+        cases.into_iter().flat_map(|case| [(case.clone(), true), (case, false)])
+    {
+        let (mut server, upstreams) = start_upstream();
+        let request = OutboundRequest {
+            method,
+            passage: Rc::clone(&passage),
+            body: Payload::Buffered(Bytes::new()),
+            ..outbound_request(AT_MOST_ONCE, "1")
+        };
+        let attempt = start_attempt(&upstreams, request.clone());
+        wait_until("the upstream receives the request", || server.next_request().is_some()).await;
+        let response = with_body(line);
+        let (first_part, rest) =
+            response.split_at(if sends_together { response.len() } else { response.len() - 4 });
+        server.write(0, first_part);
+        let result = attempt.await.unwrap();
+        assert_eq!(result.outcome, Outcome::Ok, "{line}");
+        assert!(result.response.unwrap().body.is_end_stream());
+        server.write(0, rest);
+        let next = start_attempt(&upstreams, request);
+        wait_until("the balancer opens another connection", || {
+            server.next_request();
+            server.connections.len() == 2
+        })
+        .await;
+        next.abort();
+    }
+}
+
+/// A client must not get a duplicate answer to an earlier request that arrives some milliseconds late. After the first duplicate
+/// on an idle connection, every connection pauses before its next request, so that a duplicate is noticed while it is idle.
+/// Before that, connections are reused at once.
+#[tokio::test(flavor = "local")]
+async fn connections_pause_before_reuse_after_a_duplicate_answer() {
+    const PAUSE: Duration = Duration::from_millis(20);
+    let (mut server, upstreams) = start_upstream();
+    let mut answered_at: HashMap<usize, Instant> = HashMap::new();
+    for n in 0..8 {
+        let attempt = start_attempt(&upstreams, outbound_request(AT_MOST_ONCE, "one"));
+        let mut request = None;
+        wait_until("the upstream receives the request", || {
+            request = server.next_request();
+            request.is_some()
+        })
+        .await;
+        let connection = request.unwrap().connection;
+        match answered_at.get(&connection) {
+            _ if n <= 1 => assert_eq!(connection, 0, "the first connection is reused at once"),
+            Some(at) => assert!(
+                at.elapsed() >= PAUSE,
+                "connection {connection} was reused after only {:?}",
+                at.elapsed()
+            ),
+            None => {}
+        }
+        answered_at.insert(connection, Instant::now());
+        server.answer(connection, "done");
+        assert_eq!(attempt.await.unwrap().outcome, Outcome::Ok);
+        if n == 1 {
+            server.answer(connection, "done");
+            wait_until("the balancer closes the connection", || {
+                server.next_request();
+                server.connections[connection].is_closed
+            })
+            .await;
+        }
+    }
+    // Connections are reused after the pause.
+    let connection_count = server.connections.len();
+    tokio::time::sleep(2 * PAUSE).await;
+    let attempt = start_attempt(&upstreams, outbound_request(AT_MOST_ONCE, "one"));
+    wait_until("the upstream receives the request", || server.next_request().is_some()).await;
+    assert_eq!(server.connections.len(), connection_count);
+    attempt.abort();
+}
+
+/// An upstream that sends interim responses without end must not occupy the thread: the attempt fails well before its deadline.
+#[tokio::test(flavor = "local")]
+async fn endless_interim_responses_fail_the_attempt() {
+    let responses = "HTTP/1.1 103 Early Hints\r\nX-A: b\r\n\r\n".repeat(10_000);
+    let upstream = Upstream::start(Then::Answer(responses.leak()));
+    let upstreams = upstreams(&settings(), 8);
+    upstreams.update_endpoint(ID, ZoneId(0), &entry(0, upstream.address, Availability::Ready, 0).state);
+    let limits = AttemptLimits::first(Instant::now() + Duration::from_secs(3));
+    let result = upstreams.attempt(ID, &outbound_request(AT_MOST_ONCE, "one"), limits).await;
+    assert_eq!(result.outcome, Outcome::Error);
+}
