--- a/crates/engine/src/call.rs
+++ b/crates/engine/src/call.rs
@@ -22,8 +22,8 @@
     pub tenant: TenantId,
     /// Time that the caller waits for the answer, from now on; capped by the deadline of the class.
     pub wait: Duration,
-    /// Request id that identifies repeated calls. If set, a request that must not run twice goes through the ledger:
-    /// it is sent once, and callers that repeat it get the same final answer.
+    /// Request id that identifies repeated calls. If set, a request that must not run twice goes through the
+    /// ledger: it is sent once, and callers that repeat it get the same final answer.
     pub id: Option<Box<[u8]>>,
     /// HTTP method.
     pub method: Method,
@@ -41,7 +41,8 @@
 pub enum CallBody {
     /// Complete body in memory.
     Buffered(Bytes),
-    /// Body that the engine's thread reads on demand. A body longer than the class's buffer is sent only once.
+    /// Body that the engine's thread reads on demand. A body longer than the class's buffer is sent only
+    /// once.
     Stream(Pin<Box<dyn Body<Data = Bytes, Error = Failure> + Send>>),
 }
 
@@ -155,7 +156,8 @@
 pub enum ReplyBody {
     /// Complete body in memory.
     Buffered(Bytes),
-    /// Body that is forwarded as it is received, with backpressure. Dropping it closes the upstream connection.
+    /// Body that is forwarded as it is received, with backpressure. Dropping it closes the upstream
+    /// connection.
     Stream(StreamedBody),
 }
 
@@ -167,8 +169,8 @@
     pub(crate) has_ended: bool,
 }
 
-/// Result of one poll of a body: a frame, an error, or `None` at the end. A channel that closes without a `None` means
-/// that the engine stopped in the middle of the body.
+/// Result of one poll of a body: a frame, an error, or `None` at the end. A channel that closes without a
+/// `None` means that the engine stopped in the middle of the body.
 pub(crate) type StreamItem = Option<Result<Frame<Bytes>, Failure>>;
 
 impl ReplyBody {
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,7 +1,7 @@
 //! The embeddable engine: a core on a dedicated thread, and handles that work from any runtime.
 //!
-//! The core runs one `Balancer`, its connections and its ledger on a current-thread runtime without locks. A [`Handle`]
-//! sends commands to the core through a bounded queue. Engines share no state with one another.
+//! The core runs one `Balancer`, its connections and its ledger on a current-thread runtime without locks. A
+//! [`Handle`] sends commands to the core through a bounded queue. Engines share no state with one another.
 
 mod forward_body;
 
@@ -97,13 +97,15 @@
         self
     }
 
-    /// Limits the memory for buffered bodies, in bytes. The default is 16 MiB. Bodies that do not fit are streamed.
+    /// Limits the memory for buffered bodies, in bytes. The default is 16 MiB. Bodies that do not fit are
+    /// streamed.
     pub fn body_memory(mut self, bytes: usize) -> Self {
         self.body_memory = bytes;
         self
     }
 
-    /// Sets the forwarding rules of each class, in the order of the classes. The default is [`Passage::general`].
+    /// Sets the forwarding rules of each class, in the order of the classes. The default is
+    /// [`Passage::general`].
     pub fn passages(mut self, passages: Vec<Passage>) -> Self {
         self.passages = Some(passages);
         self
@@ -226,15 +228,16 @@
     pub passages: Vec<Passage>,
     /// Lease that limits how long the engine may act on this version.
     pub lease: Lease,
-    /// New endpoint list, if it changed. The engine's thread sets it and completes the adoption once the balancer has
-    /// received the list.
+    /// New endpoint list, if it changed. The engine's thread sets it and completes the adoption once the
+    /// balancer has received the list.
     pub list: Option<(EndpointList, Vec<Entry>)>,
 }
 
 /// Error that prevents an engine from adopting a version. The previous rules stay in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdoptError {
-    /// The version has fewer classes or tenants than before, so that indices of calls in flight would be invalid.
+    /// The version has fewer classes or tenants than before, so that indices of calls in flight would be
+    /// invalid.
     ClassesOrTenantsRemoved,
     /// The number of passages differs from the number of classes.
     PassageCountMismatch,
@@ -309,8 +312,9 @@
 }
 
 impl Handle {
-    /// Sends a request to an upstream and returns its final answer. Dropping the future cancels the attempts in flight,
-    /// except for a request in the ledger, which continues so that a repeated call gets its answer.
+    /// Sends a request to an upstream and returns its final answer. Dropping the future cancels the attempts
+    /// in flight, except for a request in the ledger, which continues so that a repeated call gets its
+    /// answer.
     pub async fn call(&self, call: Call) -> Outcome {
         let (reply, outcome) = oneshot::channel();
         let command = Command::Call { call: Box::new(call), sent: Instant::now(), reply };
@@ -327,8 +331,8 @@
         outcome.await.unwrap_or(Outcome::Failed)
     }
 
-    /// Adopts a new version of the rules and returns when they are in force. Learned state, tokens and connections are
-    /// preserved, and calls in flight keep their class and tenant indices.
+    /// Adopts a new version of the rules and returns when they are in force. Learned state, tokens and
+    /// connections are preserved, and calls in flight keep their class and tenant indices.
     pub async fn adopt(&self, version: Version) -> Result<(), AdoptError> {
         let (reply, adopted) = oneshot::channel();
         let command = Command::Adopt { version: Box::new(version), reply };
@@ -342,9 +346,9 @@
         let _ = self.commands.send(Command::Lease(lease)).await;
     }
 
-    /// Shuts the engine down and returns when it has stopped. New calls are rejected. Calls in flight have the time
-    /// `within` to complete; after that, they get their final answers at once. Several calls of this function are one
-    /// shutdown with the earliest deadline.
+    /// Shuts the engine down and returns when it has stopped. New calls are rejected. Calls in flight have
+    /// the time `within` to complete; after that, they get their final answers at once. Several calls of this
+    /// function are one shutdown with the earliest deadline.
     pub async fn shutdown(&self, within: Duration) {
         let mut stopped = self.stopped.clone();
         let _ = self.commands.send(Command::Shutdown(Instant::now() + within)).await;
@@ -425,13 +429,16 @@
                     }
                     Some(Command::Adopt { version, reply }) => self.adopt(*version, reply),
                     Some(Command::Lease(lease)) => self.upstreams.set_lease(lease),
-                    Some(Command::Call { call, sent, reply }) => Rc::clone(&self).start_call(*call, sent, reply),
-                    Some(Command::Shutdown(at)) => shutdown_at = Some(shutdown_at.map_or(at, |earlier| earlier.min(at))),
+                    Some(Command::Call { call, sent, reply }) =>
+                        Rc::clone(&self).start_call(*call, sent, reply),
+                    Some(Command::Shutdown(at)) =>
+                        shutdown_at = Some(shutdown_at.map_or(at, |earlier| earlier.min(at))),
                     // All handles are dropped.
                     None => break,
                 },
                 () = self.dispatcher.wait_until_idle(), if shutdown_at.is_some() => break,
-                () = sleep_until(deadline.unwrap_or_else(tokio::time::Instant::now)), if shutdown_at.is_some() => break,
+                () = sleep_until(deadline.unwrap_or_else(tokio::time::Instant::now)),
+                    if shutdown_at.is_some() => break,
             }
         }
         commands.close();
@@ -504,7 +511,8 @@
         let traced_answer = self.dispatcher.dispatch(context, identity).await;
         upload.iter().for_each(Upload::discard_rest);
         match (&traced_answer.0, upload.and_then(|upload| upload.fault())) {
-            // A request that is rejected after a body fault is idempotent, so it does not matter whether it ran.
+            // A request that is rejected after a body fault is idempotent, so it does not matter whether it
+            // ran.
             (Answer::Rejected(_), Some(Fault::TooLong)) => Err(RejectionReason::BodyTooLong),
             (Answer::Rejected(_), Some(_)) => Err(RejectionReason::BodyIncomplete),
             _ => Ok(traced_answer),
--- a/crates/engine/src/engine/forward_body.rs
+++ b/crates/engine/src/engine/forward_body.rs
@@ -6,8 +6,8 @@
 use http_body_util::BodyExt;
 use tokio::sync::mpsc;
 
-/// Forwards body frames until the last frame or until the reader drops the body. The request counts as in flight
-/// until then.
+/// Forwards body frames until the last frame or until the reader drops the body. The request counts as in
+/// flight until then.
 pub(super) async fn forward_body(
     mut body: ResponseBody,
     frames: mpsc::Sender<StreamItem>,
--- a/crates/engine/src/ledger.rs
+++ b/crates/engine/src/ledger.rs
@@ -1,21 +1,22 @@
-//! Ledger of effects, which deduplicates requests that must not run twice. A request is identified by its tenant, class
-//! and id. Callers that repeat a request get the same final answer.
+//! Ledger of effects, which deduplicates requests that must not run twice. A request is identified by its
+//! tenant, class and id. Callers that repeat a request get the same final answer.
 //!
 //! The ledger does no I/O and reads no clock: callers pass the time. The embedder calls:
 //!
-//! 1. [`Ledger::open`] before it sends a request. [`OpenResult::First`] means that this caller alone sends it.
+//! 1. [`Ledger::open`] before it sends a request. [`OpenResult::First`] means that this caller alone sends
+//!    it.
 //! 2. [`Ledger::complete`] with the final answer, from any task. It returns the waiters to notify.
 //! 3. [`Ledger::remove_waiter`] when a waiting caller disconnects.
 //!
 //! # Guarantees
 //!
-//! - A request is sent at most once while its entry is open or retained. The exception is a request that provably did
-//!   not run ([`FinalAnswer::Rejected`]): its entry is removed at once because a repeat is safe.
+//! - A request is sent at most once while its entry is open or retained. The exception is a request that
+//!   provably did not run ([`FinalAnswer::Rejected`]): its entry is removed at once because a repeat is safe.
 //! - All callers with the same identity get the same final answer while the entry is open or retained.
-//! - A live entry, open or retained, is never evicted. A full ledger rejects new requests ([`OpenResult::Full`]), which
-//!   is safe because they have not run.
-//! - Entries, bytes and waiters are bounded. An open entry is charged for the longest answer that may be stored, so
-//!   that its answer always fits.
+//! - A live entry, open or retained, is never evicted. A full ledger rejects new requests
+//!   ([`OpenResult::Full`]), which is safe because they have not run.
+//! - Entries, bytes and waiters are bounded. An open entry is charged for the longest answer that may be
+//!   stored, so that its answer always fits.
 
 use rustc_hash::FxSeededState;
 use std::collections::{HashMap, VecDeque};
@@ -95,7 +96,8 @@
     Joined(EntryId),
     /// The request already has this final answer.
     Answered(FinalAnswer<A>),
-    /// The entry has the maximum number of waiters. Reject this caller; the request is already in flight for others.
+    /// The entry has the maximum number of waiters. Reject this caller; the request is already in flight for
+    /// others.
     TooManyWaiters,
     /// The ledger is full. Reject the request, which has not run.
     Full,
@@ -141,14 +143,16 @@
 }
 
 impl<A: Clone> Ledger<A> {
-    /// Creates an empty ledger. The seed randomizes the hash, so that clients, who choose the ids, cannot provoke
-    /// collisions.
+    /// Creates an empty ledger. The seed randomizes the hash, so that clients, who choose the ids, cannot
+    /// provoke collisions.
     pub fn new(bounds: Bounds, seed: u64) -> Result<Self, BoundsError> {
         if bounds.entries == 0 || bounds.entries >= u32::MAX as usize {
             return Err(BoundsError("entries: must be from 1 to 2^32 - 2"));
         }
         if bounds.bytes < bounds.max_answer_bytes.saturating_add(2 * ENTRY_OVERHEAD_BYTES) {
-            return Err(BoundsError("bytes: must be at least the longest answer plus 320"));
+            return Err(BoundsError(
+                "bytes: must be at least the length of the longest answer plus 320 bytes",
+            ));
         }
         Ok(Self {
             bounds,
@@ -176,8 +180,8 @@
         self.bytes
     }
 
-    /// Looks up an effect and opens an entry if there is none. `waiter` waits for the answer unless the result is
-    /// `Answered`, `TooManyWaiters` or `Full`.
+    /// Looks up an effect and opens an entry if there is none. `waiter` waits for the answer unless the
+    /// result is `Answered`, `TooManyWaiters` or `Full`.
     pub fn open(&mut self, now: Duration, identity: &Identity, waiter: Waiter) -> OpenResult<A> {
         self.expire(now);
         if let Some(&slot) = self.index.get(identity) {
@@ -215,8 +219,9 @@
         OpenResult::First(EntryId { slot, generation: self.entries[slot as usize].generation })
     }
 
-    /// Records the final answer of an open entry and returns the waiters to notify. `length` is the size of the stored
-    /// answer in bytes. Only the first answer counts: further calls change nothing and return no waiters.
+    /// Records the final answer of an open entry and returns the waiters to notify. `length` is the size of
+    /// the stored answer in bytes. Only the first answer counts: further calls change nothing and return no
+    /// waiters.
     pub fn complete(
         &mut self,
         now: Duration,
@@ -248,8 +253,8 @@
         waiters
     }
 
-    /// Removes a waiter and returns true if the open entry has no waiters left. The entry stays open until its final
-    /// answer is known, which repeats of the request then get.
+    /// Removes a waiter and returns true if the open entry has no waiters left. The entry stays open until
+    /// its final answer is known, which repeats of the request then get.
     pub fn remove_waiter(&mut self, id: EntryId, waiter: Waiter) -> bool {
         let entry = self.entries.get_mut(id.slot as usize).filter(|e| e.generation == id.generation);
         match entry.map(|e| &mut e.state) {
@@ -283,8 +288,8 @@
     }
 }
 
-/// Handles a free entry in the index, which is a bug: [`Ledger::remove_entry`] removes an entry from the index before it
-/// frees the slot.
+/// Handles a free entry in the index, which is a bug: [`Ledger::remove_entry`] removes an entry from the
+/// index before it frees the slot.
 fn report_free_entry<A>() -> OpenResult<A> {
     debug_assert!(false, "the index refers to a free entry");
     OpenResult::Full
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,6 +1,6 @@
-//! An embeddable load balancer. The `maplehook_core` library decides; this crate carries the decisions out. It runs
-//! the attempts, manages connections, hides discovery behind one trait and keeps a ledger of non-repeatable requests.
-//! Every call gets exactly one final answer, and no effect happens twice.
+//! An embeddable load balancer. The `maplehook_core` library decides; this crate carries the decisions out. It
+//! runs the attempts, manages connections, hides discovery behind one trait and keeps a ledger of
+//! non-repeatable requests. Every call gets exactly one final answer, and no effect happens twice.
 //!
 //! ```
 //! use maplehook_core::{Class, ClassId, Effect, Settings, Tenant, TenantId};
--- a/crates/engine/src/metrics.rs
+++ b/crates/engine/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Metrics for operators about requests, attempts and the endpoint list. Any thread may read them.
 //!
-//! Each accepted request holds a [`PendingRequest`], which counts it exactly once when its answer ends: as answered,
-//! deferred or errored. If the client disconnects earlier, none of the three counters changes.
+//! Each accepted request holds a [`PendingRequest`], which counts it exactly once when its answer ends: as
+//! answered, deferred or errored. If the client disconnects earlier, none of the three counters changes.
 
 mod reason_counters;
 
@@ -226,7 +226,8 @@
         }
     }
 
-    /// Counts the outcome of a streamed answer. A cancelled stream is not counted because its client has disconnected.
+    /// Counts the outcome of a streamed answer. A cancelled stream is not counted because its client has
+    /// disconnected.
     pub fn record_stream_end(self, outcome: Outcome) {
         match outcome {
             Outcome::Ok => self.count(RequestResult::Served),
@@ -309,8 +310,8 @@
         }
     }
 
-    /// Counters must never decrease: a class that is removed and added again keeps its counts, and a request in flight
-    /// counts for the class it started with.
+    /// Counters must never decrease: a class that is removed and added again keeps its counts, and a request
+    /// in flight counts for the class it started with.
     #[test]
     fn counters_survive_the_removal_of_their_class() {
         let metrics = Arc::new(Metrics::default());
@@ -329,7 +330,8 @@
         assert!(has_line(&metrics, "balancer_errored_total{group=\"b\"} 2"));
     }
 
-    /// An observer must be notified once about each request that starts while it is set, and must be released afterwards.
+    /// An observer must be notified once about each request that starts while it is set, and must be released
+    /// afterwards.
     #[test]
     fn observers_are_notified_once_per_request() {
         #[derive(Default)]
--- a/crates/engine/src/metrics/reason_counters.rs
+++ b/crates/engine/src/metrics/reason_counters.rs
@@ -9,7 +9,8 @@
     reason: &'static str,
 }
 
-/// One metric with a counter per reason. Reasons are string constants, so that the number of counters is bounded.
+/// One metric with a counter per reason. Reasons are string constants, so that the number of counters is
+/// bounded.
 #[derive(Clone, Debug, Default)]
 pub struct ReasonCounters(Family<Reason, Counter>);
 
--- a/crates/engine/src/source.rs
+++ b/crates/engine/src/source.rs
@@ -48,9 +48,9 @@
 /// Future of a source. It runs on the engine's thread.
 pub type Task<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// A source of the endpoint list. The decision core requests a fetch when it needs the list and schedules the retries
-/// after a failure, so that a source needs no retry timers. [`maplehook_core::discovery_timing`] defines the time limits
-/// of fetches and watches.
+/// A source of the endpoint list. The decision core requests a fetch when it needs the list and schedules the
+/// retries after a failure, so that a source needs no retry timers. [`maplehook_core::discovery_timing`]
+/// defines the time limits of fetches and watches.
 pub trait Source {
     /// Fetches the complete list, or returns [`EndpointUpdate::failed`].
     fn fetch(&self) -> Task<'_, EndpointUpdate>;
@@ -59,12 +59,12 @@
     /// [`EndpointUpdate::failed`].
     fn watch<'a>(&'a self, on_update: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()>;
 
-    /// Records the result of an attempt. A working connection is stronger evidence about an upstream than its absence
-    /// from a list.
+    /// Records the result of an attempt. A working connection is stronger evidence about an upstream than its
+    /// absence from a list.
     fn record_reachability(&self, _upstream: UpstreamId, _reachability: Reachability) {}
 
-    /// Returns the last time when all updates had been delivered and the list matched its origin, or `None` if that
-    /// never happened or is unknown.
+    /// Returns the last time when all updates had been delivered and the list matched its origin, or `None`
+    /// if that never happened or is unknown.
     fn confirmed(&self) -> Option<Instant> {
         None
     }
--- a/crates/engine/tests/attempt_states.rs
+++ b/crates/engine/tests/attempt_states.rs
@@ -1,6 +1,6 @@
-//! Random exploration of the states of attempts and connections. Clients disconnect; upstreams answer once, twice, partially or
-//! never; connections are closed or reset; the endpoint list changes; attempts are aborted. The rules must hold for every order
-//! of these events, independent of their timing.
+//! Random exploration of the states of attempts and connections. Clients disconnect; upstreams answer once,
+//! twice, partially or never; connections are closed or reset; the endpoint list changes; attempts are
+//! aborted. The rules must hold for every order of these events, independent of their timing.
 
 mod common;
 
@@ -334,7 +334,11 @@
         }
         for (n, request) in self.requests.into_iter().enumerate() {
             let answer = request.task.await;
-            assert_eq!(answer.is_err(), request.has_disconnected && answer.is_err(), "request {n} panicked");
+            assert_eq!(
+                answer.is_err(),
+                request.has_disconnected && answer.is_err(),
+                "request {n} panicked or was aborted"
+            );
             if let Ok(("served", body)) = &answer {
                 assert!(
                     body.starts_with(&format!("{n} by ")),
@@ -363,8 +367,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Checks for every order of events: one final answer per request, no forbidden repeats or hedges, no reuse of unusable
-    /// connections, nothing sent for disconnected clients, no leaked requests.
+    /// Checks for every order of events: one final answer per request, no forbidden repeats or hedges, no
+    /// reuse of unusable connections, nothing sent for disconnected clients, no leaked requests.
     #[test]
     fn attempts_follow_the_rules_for_every_order_of_events(
         // The flag states whether tasks run before the next event.
@@ -372,9 +376,12 @@
         allow_cancel in any::<bool>(),
         max_open in 1_usize..8,
     ) {
-        let local = tokio::runtime::Builder::new_current_thread().enable_all().build_local(Default::default());
-        local.unwrap().block_on(async {
-            let mut simulation = Simulation::start(Settings { can_cancel: allow_cancel, ..settings() }, max_open);
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build_local(Default::default());
+        runtime.unwrap().block_on(async {
+            let mut simulation =
+                Simulation::start(Settings { can_cancel: allow_cancel, ..settings() }, max_open);
             for (event, runs_tasks) in &events {
                 simulation.apply(event);
                 if *runs_tasks {
--- a/crates/engine/tests/checks_before_write.rs
+++ b/crates/engine/tests/checks_before_write.rs
@@ -1,5 +1,5 @@
-//! Changes between the decision on an attempt and the write of its first byte. Each test makes a change after the request is
-//! passed to its connection and before the task of the connection runs.
+//! Changes between the decision on an attempt and the write of its first byte. Each test makes a change after
+//! the request is passed to its connection and before the task of the connection runs.
 
 mod common;
 
@@ -19,7 +19,7 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::Instant;
 
-const ID: UpstreamId = UpstreamId(0);
+const UPSTREAM_ID: UpstreamId = UpstreamId(0);
 
 /// Starts an upstream and opens an idle connection to it.
 async fn upstream_with_idle_connection() -> (Rc<Upstreams>, ManualUpstream) {
@@ -38,16 +38,18 @@
 }
 
 fn update_endpoint(upstreams: &Upstreams, address: SocketAddr, availability: Availability, boot_ms: u64) {
-    upstreams.update_endpoint(ID, ZoneId(0), &entry(0, address, availability, boot_ms).state);
+    upstreams.update_endpoint(UPSTREAM_ID, ZoneId(0), &entry(0, address, availability, boot_ms).state);
 }
 
 fn start_attempt(upstreams: &Rc<Upstreams>, limits: AttemptLimits) -> JoinHandle<AttemptResult> {
     let upstreams = Rc::clone(upstreams);
-    spawn_local(async move { upstreams.attempt(ID, &outbound_request(AT_MOST_ONCE, "one"), limits).await })
+    spawn_local(async move {
+        upstreams.attempt(UPSTREAM_ID, &outbound_request(AT_MOST_ONCE, "one"), limits).await
+    })
 }
 
-/// Starts an attempt on the idle connection and runs `change` before the task of that connection. This works because the thread
-/// runs its tasks in the order in which they were woken.
+/// Starts an attempt on the idle connection and runs `change` before the task of that connection. This works
+/// because the thread runs its tasks in the order in which they were woken.
 fn start_attempt_then(
     upstreams: &Rc<Upstreams>,
     limits: AttemptLimits,
@@ -58,8 +60,8 @@
     attempt
 }
 
-/// An attempt must not be written if its upstream, lease, deduplication window or deadline has become invalid since the
-/// decision. Such an attempt provably did not run.
+/// An attempt must not be written if its upstream, lease, deduplication window or deadline has become invalid
+/// since the decision. Such an attempt provably did not run.
 #[tokio::test(flavor = "local")]
 async fn attempts_with_outdated_conditions_are_not_written() {
     type Change = fn(&Upstreams, SocketAddr);
@@ -99,7 +101,8 @@
     }
 }
 
-/// Upstreams must not work for a client that disconnects before the write, even if no task has noticed the disconnect.
+/// Upstreams must not work for a client that disconnects before the write, even if no task has noticed the
+/// disconnect.
 #[tokio::test(flavor = "local")]
 async fn attempts_of_disconnected_clients_are_not_written() {
     let (upstreams, mut server) = upstream_with_idle_connection().await;
@@ -116,8 +119,9 @@
     .await;
 }
 
-/// Upstreams must not work past the deadline. The remaining time in the request must be correct when the request is written, even
-/// if the process was suspended before. The request is encoded again in that case because no byte of it was sent.
+/// Upstreams must not work past the deadline. The remaining time in the request must be correct when the
+/// request is written, even if the process was suspended before. The request is encoded again in that case
+/// because no byte of it was sent.
 #[tokio::test(flavor = "local")]
 async fn the_remaining_time_is_computed_at_the_write() {
     let (upstreams, mut server) = upstream_with_idle_connection().await;
@@ -140,8 +144,8 @@
     assert_eq!(attempt.await.unwrap().outcome, Outcome::Ok);
 }
 
-/// A repeat must not be written after the deduplication window of its key: it is decided in time, but the process is suspended
-/// before the write.
+/// A repeat must not be written after the deduplication window of its key: it is decided in time, but the
+/// process is suspended before the write.
 #[tokio::test(flavor = "local")]
 async fn repeats_are_not_written_after_the_deduplication_window() {
     use common::{DEDUP_WINDOW, DEDUPLICATED, ERROR_RESPONSE, answer_name, request_context, yield_once};
@@ -161,7 +165,8 @@
     servers[n].write(connection, ERROR_RESPONSE);
     let [one, two] = servers;
     let mut other = if n == 0 { two } else { one };
-    // Blocks the thread when the upstream has accepted the connection of the repeat and the balancer has not noticed that yet.
+    // Blocks the thread when the upstream has accepted the connection of the repeat and the balancer has not
+    // noticed that yet.
     let blocked = spawn_local(async move {
         while !other.accept() {
             yield_once().await;
--- a/crates/engine/tests/client_disconnects.rs
+++ b/crates/engine/tests/client_disconnects.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect at each stage of an attempt. An attempt that is not written by then is never written, even if
-//! the settings forbid cancellation.
+//! Clients that disconnect at each stage of an attempt. An attempt that is not written by then is never
+//! written, even if the settings forbid cancellation.
 
 mod common;
 
@@ -12,7 +12,8 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Waits for the request with this id. Returns the indices of the server that received it and of its connection.
+/// Waits for the request with this id. Returns the indices of the server that received it and of its
+/// connection.
 async fn wait_for_request(servers: &mut [ManualUpstream], id: &str) -> (usize, usize) {
     let mut received = None;
     wait_until("a server receives the request", || {
@@ -28,7 +29,8 @@
     (n, request.connection)
 }
 
-/// Disconnects the client when `servers[index]` has accepted a connection that the balancer has not noticed yet.
+/// Disconnects the client when `servers[index]` has accepted a connection that the balancer has not noticed
+/// yet.
 async fn disconnect_during_connect<const N: usize>(
     servers: [ManualUpstream; N],
     index: usize,
@@ -61,7 +63,8 @@
     [false, true].into_iter().map(|allow_cancel| Settings { can_cancel: allow_cancel, ..settings() })
 }
 
-/// Upstreams must not work for disconnected clients: the client disconnects while its attempt waits for a descriptor.
+/// Upstreams must not work for disconnected clients: the client disconnects while its attempt waits for a
+/// descriptor.
 #[tokio::test(flavor = "local")]
 async fn attempts_waiting_for_a_descriptor_are_not_written_after_a_disconnect() {
     for settings in settings_with_and_without_cancellation() {
@@ -83,7 +86,8 @@
     }
 }
 
-/// Upstreams must not work for disconnected clients: the client disconnects before its connection is established.
+/// Upstreams must not work for disconnected clients: the client disconnects before its connection is
+/// established.
 #[tokio::test(flavor = "local")]
 async fn attempts_are_not_written_if_the_client_disconnects_during_the_connect() {
     for settings in settings_with_and_without_cancellation() {
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -128,8 +128,8 @@
     }
 }
 
-/// Runs each woken task of this thread once, in the order in which they were woken. `yield_now` would poll for I/O events
-/// first.
+/// Runs each woken task of this thread once, in the order in which they were woken. `yield_now` would poll
+/// for I/O events first.
 pub async fn yield_once() {
     let mut is_first_poll = true;
     std::future::poll_fn(|cx| {
--- a/crates/engine/tests/descriptor_limit.rs
+++ b/crates/engine/tests/descriptor_limit.rs
@@ -9,8 +9,8 @@
 use maplehook_core::Settings;
 use maplehook_test_servers::LONG;
 
-/// Waiting attempts must continue when a connection becomes idle, for the same or another upstream. Earlier, only a closed
-/// connection woke them, and they timed out next to an idle connection.
+/// Waiting attempts must continue when a connection becomes idle, for the same or another upstream. If only a
+/// closed connection wakes them, they time out next to an idle connection.
 #[tokio::test(flavor = "local")]
 async fn idle_connections_serve_waiting_attempts() {
     for upstream_count in [1, 2] {
@@ -38,8 +38,8 @@
     }
 }
 
-/// At shutdown, an attempt aborted before its first byte never ran and must be rejected, which tells the client that a repeat
-/// is safe. An attempt that was written must fail.
+/// At shutdown, an attempt aborted before its first byte never ran and must be rejected, which tells the
+/// client that a repeat is safe. An attempt that was written must fail.
 #[tokio::test(flavor = "local")]
 async fn aborted_attempts_are_rejected_if_they_were_not_written() {
     let mut server = ManualUpstream::start();
--- a/crates/engine/tests/duplicate_attempts.rs
+++ b/crates/engine/tests/duplicate_attempts.rs
@@ -1,5 +1,5 @@
-//! Requests that may have only one attempt in flight: the connection of the first attempt is closed before the second attempt
-//! is written.
+//! Requests that may have only one attempt in flight: the connection of the first attempt is closed before
+//! the second attempt is written.
 
 mod common;
 
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
 
-/// A fleet without hedging must not work on two attempts of a request at the same time. The first attempt ends either by
-/// cancellation when it is overdue or by a time limit set at its start.
+/// A fleet without hedging must not work on two attempts of a request at the same time. The first attempt
+/// ends either by cancellation when it is overdue or by a time limit set at its start.
 #[tokio::test(flavor = "local")]
 async fn the_first_attempt_is_closed_before_the_second_is_written() {
     for allow_cancel in [true, false] {
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -1,5 +1,5 @@
-//! The engine as a host program uses it: calls from several threads, repeated and dropped calls, shutdown, and hosts
-//! whose runtime ends.
+//! The engine as a host program uses it: calls from several threads, repeated and dropped calls, shutdown,
+//! and hosts whose runtime ends.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -70,7 +70,8 @@
     }
 }
 
-/// Upstreams must receive the request as the host passed it, and the host must learn which upstream served it.
+/// Upstreams must receive the request as the host passed it, and the host must learn which upstream served
+/// it.
 #[test]
 fn calls_are_forwarded_unchanged_and_served() {
     let upstream = Upstream::start(Then::Answer(OK));
@@ -97,8 +98,8 @@
     host.block_on(engine.shutdown(LONG));
 }
 
-/// A repeated call must not cause a second effect, whether the first call is in flight, served or failed. Only a call that
-/// never ran is sent again.
+/// A repeated call must not cause a second effect, whether the first call is in flight, served or failed.
+/// Only a call that never ran is sent again.
 #[test]
 fn repeated_calls_get_the_first_answer_and_are_not_sent_again() {
     let host = host_runtime();
@@ -121,7 +122,7 @@
         }
         let sent_count =
             |id: &str| upstream.seen().iter().filter(|m| m.header("x-correlation-id") == Some(id)).count();
-        assert_eq!(sent_count("one"), 1, "sent once, outcome {outcome}");
+        assert_eq!(sent_count("one"), 1, "a call that is {outcome} must be sent exactly once");
         // The same id of another tenant is another request.
         let other_tenant = Call { tenant: TenantId(1), ..call(AT_MOST_ONCE, Some("one")) };
         assert_eq!(outcome_name(&host.block_on(handle.call(other_tenant))), outcome);
@@ -136,8 +137,8 @@
     }
 }
 
-/// A call dropped while its request is in flight continues if it is in the ledger, and a repeat gets its answer. Without an id,
-/// its attempt is cancelled.
+/// A call dropped while its request is in flight continues if it is in the ledger, and a repeat gets its
+/// answer. Without an id, its attempt is cancelled.
 #[test]
 fn dropped_calls_are_cancelled_or_continue_in_the_ledger() {
     let (silent, host) = (Upstream::start(Then::Mute), host_runtime());
@@ -162,8 +163,8 @@
     assert_eq!(silent.seen().len(), 2);
 }
 
-/// At shutdown, each of 50 calls in flight must get one final answer, and none may be sent twice. Repeated and concurrent
-/// shutdowns are one shutdown.
+/// At shutdown, each of 50 calls in flight must get one final answer, and none may be sent twice. Repeated
+/// and concurrent shutdowns are one shutdown.
 #[test]
 fn shutdown_gives_each_call_one_final_answer() {
     for then in [Then::Mute, Then::Answer(OK)] {
@@ -209,8 +210,8 @@
     }
 }
 
-/// When the runtime of a host is dropped, the engine continues, and a repeated call from another runtime gets the answer from
-/// the ledger.
+/// When the runtime of a host is dropped, the engine continues, and a repeated call from another runtime gets
+/// the answer from the ledger.
 #[test]
 fn answers_survive_the_end_of_the_host_runtime() {
     let silent = Upstream::start(Then::Mute);
@@ -225,8 +226,8 @@
     assert_eq!(silent.seen().len(), 1);
 }
 
-/// Engines must not affect one another: a request id is independent in each engine, and the shutdown of one engine does not stop
-/// another.
+/// Engines must not affect one another: a request id is independent in each engine, and the shutdown of one
+/// engine does not stop another.
 #[test]
 fn engines_share_no_state() {
     let (upstream, host) = (Upstream::start(Then::Answer(OK)), host_runtime());
@@ -243,7 +244,8 @@
     drop(two);
 }
 
-/// A full ledger must reject new requests before they are sent and must still answer repeats of the requests it holds.
+/// A full ledger must reject new requests before they are sent and must still answer repeats of the requests
+/// it holds.
 #[test]
 fn a_full_ledger_rejects_new_requests_and_answers_repeats() {
     let (upstream, host) = (Upstream::start(Then::Answer(OK)), host_runtime());
@@ -315,8 +317,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 10, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A thousand calls, ten runs of 100, repeat ids at random. Upstreams must receive each id at most once, and all calls with an
-    /// id that are not rejected must get the same outcome.
+    /// A thousand calls, ten runs of 100, repeat ids at random. Upstreams must receive each id at most once,
+    /// and all calls with an id that are not rejected must get the same outcome.
     #[test]
     fn repeated_ids_are_sent_at_most_once(script in prop::collection::vec((0_u8..30, 0_u64..300), 100)) {
         let upstreams =
--- a/crates/engine/tests/ledger.rs
+++ b/crates/engine/tests/ledger.rs
@@ -29,7 +29,8 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         5 => (0_u32..12).prop_map(Step::Open),
-        3 => (any::<usize>(), 0_u8..3, 0_usize..1000).prop_map(|(n, kind, length)| Step::Complete(n, kind, length)),
+        3 => (any::<usize>(), 0_u8..3, 0_usize..1000)
+            .prop_map(|(n, kind, length)| Step::Complete(n, kind, length)),
         1 => any::<usize>().prop_map(Step::RemoveWaiter),
         2 => (0_u64..700).prop_map(Step::AdvanceClock),
         1 => (0_u64..5000).prop_map(Step::SetClockBack),
@@ -39,8 +40,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
-    /// While an entry is open or retained, its request is sent once and all callers get the same answer. The ledger stays
-    /// within its bounds and drops no live entry.
+    /// While an entry is open or retained, its request is sent once and all callers get the same answer. The
+    /// ledger stays within its bounds and drops no live entry.
     #[test]
     fn requests_are_sent_once_for_every_order_of_events(steps in prop::collection::vec(step(), 0..200)) {
         let mut ledger: Ledger<u32> = Ledger::new(bounds(), 7).unwrap();
@@ -64,7 +65,10 @@
                     answered.retain(|_, (_, at)| latest < *at + ms(1000));
                     match ledger.open(now, &identity, waiter) {
                         OpenResult::First(id) => {
-                            prop_assert!(!open.contains_key(&identity) && !answered.contains_key(&identity), "a live request was sent again");
+                            prop_assert!(
+                                !open.contains_key(&identity) && !answered.contains_key(&identity),
+                                "a live request was sent again"
+                            );
                             open.insert(identity, (id, vec![waiter]));
                         }
                         OpenResult::Joined(id) => {
@@ -73,7 +77,8 @@
                             waiters.push(waiter);
                             prop_assert!(waiters.len() <= 3);
                         }
-                        OpenResult::Answered(answer) => prop_assert_eq!(Some(&answer), answered.get(&identity).map(|e| &e.0)),
+                        OpenResult::Answered(answer) =>
+                            prop_assert_eq!(Some(&answer), answered.get(&identity).map(|e| &e.0)),
                         OpenResult::TooManyWaiters => prop_assert_eq!(open[&identity].1.len(), 3),
                         OpenResult::Full => {
                             prop_assert!(!open.contains_key(&identity) && !answered.contains_key(&identity));
@@ -84,7 +89,11 @@
                 }
                 Step::Complete(n, kind, length) => if let Some(identity) = pick(n) {
                     let (id, waiters) = open.remove(&identity).unwrap();
-                    let answer = match kind { 0 => FinalAnswer::Served(k as u32), 1 => FinalAnswer::Failed, _ => FinalAnswer::Rejected };
+                    let answer = match kind {
+                        0 => FinalAnswer::Served(k as u32),
+                        1 => FinalAnswer::Failed,
+                        _ => FinalAnswer::Rejected,
+                    };
                     latest = latest.max(now);
                     let notified_waiters = ledger.complete(now, id, answer.clone(), length);
                     prop_assert_eq!(&notified_waiters, &waiters, "complete() returns every waiter once");
@@ -105,13 +114,19 @@
                     }
                 },
             }
-            prop_assert!(ledger.len() <= 8 && ledger.bytes() <= 8192, "{} entries, {} bytes", ledger.len(), ledger.bytes());
+            prop_assert!(
+                ledger.len() <= 8 && ledger.bytes() <= 8192,
+                "{} entries, {} bytes",
+                ledger.len(),
+                ledger.bytes()
+            );
             prop_assert!(ledger.len() >= open.len());
         }
     }
 }
 
-/// A flood of new requests must not evict live entries, open or answered. Expired entries free their capacity.
+/// A flood of new requests must not evict live entries, open or answered. Expired entries free their
+/// capacity.
 #[test]
 fn a_full_ledger_rejects_new_requests_and_evicts_no_entry() {
     let mut ledger: Ledger<u32> = Ledger::new(bounds(), 7).unwrap();
@@ -128,7 +143,8 @@
     assert!(matches!(ledger.open(ms(100_000), &numbered_identity(1), 5), OpenResult::First(_)));
 }
 
-/// A caller that disconnects before the answer must not cause a second send: a repeat joins the open entry and gets its answer.
+/// A caller that disconnects before the answer must not cause a second send: a repeat joins the open entry
+/// and gets its answer.
 #[test]
 fn a_repeat_after_a_disconnect_gets_the_same_answer() {
     let mut ledger: Ledger<u32> = Ledger::new(bounds(), 7).unwrap();
--- a/crates/engine/tests/unsolicited_responses.rs
+++ b/crates/engine/tests/unsolicited_responses.rs
@@ -1,4 +1,5 @@
-//! Unsolicited bytes from upstreams: they must not reach a client as an answer, and their connection must not be reused.
+//! Unsolicited bytes from upstreams: they must not reach a client as an answer, and their connection must not
+//! be reused.
 
 mod common;
 
@@ -22,25 +23,29 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::Instant;
 
-const ID: UpstreamId = UpstreamId(0);
+const UPSTREAM_ID: UpstreamId = UpstreamId(0);
 /// Body length that exceeds the socket buffers of both sides, in bytes.
 const LONG_BODY_BYTES: usize = 64 << 20;
 
 fn start_upstream() -> (ManualUpstream, Rc<Upstreams>) {
     let (server, upstreams) = (ManualUpstream::start(), upstreams(&settings(), 8));
-    upstreams.update_endpoint(ID, ZoneId(0), &entry(0, server.address, Availability::Ready, 0).state);
+    upstreams.update_endpoint(
+        UPSTREAM_ID,
+        ZoneId(0),
+        &entry(0, server.address, Availability::Ready, 0).state,
+    );
     (server, upstreams)
 }
 
 fn start_attempt(upstreams: &Rc<Upstreams>, request: OutboundRequest) -> JoinHandle<AttemptResult> {
     let upstreams = Rc::clone(upstreams);
-    spawn_local(
-        async move { upstreams.attempt(ID, &request, AttemptLimits::first(Instant::now() + LONG)).await },
-    )
+    spawn_local(async move {
+        upstreams.attempt(UPSTREAM_ID, &request, AttemptLimits::first(Instant::now() + LONG)).await
+    })
 }
 
-/// A client must not get the answer to another request. Upstreams start a request only after its last byte, so that an earlier
-/// answer belongs to another request. The request itself has not run.
+/// A client must not get the answer to another request. Upstreams start a request only after its last byte,
+/// so that an earlier answer belongs to another request. The request itself has not run.
 #[tokio::test(flavor = "local")]
 async fn answers_before_the_end_of_the_request_are_discarded() {
     let (mut server, upstreams) = start_upstream();
@@ -55,8 +60,9 @@
     assert!(result.response.is_none());
 }
 
-/// A request must not queue behind unsent body bytes of an earlier request. After an early answer, a connection is reusable only
-/// when the complete request has been written to the socket, not when its last bytes are buffered.
+/// A request must not queue behind unsent body bytes of an earlier request. After an early answer, a
+/// connection is reusable only when the complete request has been written to the socket, not when its last
+/// bytes are buffered.
 #[tokio::test(flavor = "local")]
 async fn connections_with_unsent_bytes_are_not_reused() {
     let (mut server, upstreams) = start_upstream();
@@ -80,8 +86,8 @@
     next.abort();
 }
 
-/// The next client must not get an unexpected body as its answer. A body after an answer that has none by its status or method
-/// must end the connection.
+/// The next client must not get an unexpected body as its answer. A body after an answer that has none by its
+/// status or method must end the connection.
 #[tokio::test(flavor = "local")]
 async fn an_unexpected_body_ends_the_connection() {
     let passage = Rc::new(Passage::general(Effect::Idempotent));
@@ -118,9 +124,9 @@
     }
 }
 
-/// A client must not get a duplicate answer to an earlier request that arrives some milliseconds late. After the first duplicate
-/// on an idle connection, every connection pauses before its next request, so that a duplicate is noticed while it is idle.
-/// Before that, connections are reused at once.
+/// A client must not get a duplicate answer to an earlier request that arrives some milliseconds late. After
+/// the first duplicate on an idle connection, every connection pauses before its next request, so that a
+/// duplicate is noticed while it is idle. Before that, connections are reused at once.
 #[tokio::test(flavor = "local")]
 async fn connections_pause_before_reuse_after_a_duplicate_answer() {
     const PAUSE: Duration = Duration::from_millis(20);
@@ -165,14 +171,19 @@
     attempt.abort();
 }
 
-/// An upstream that sends interim responses without end must not occupy the thread: the attempt fails well before its deadline.
+/// An upstream that sends interim responses without end must not occupy the thread: the attempt fails well
+/// before its deadline.
 #[tokio::test(flavor = "local")]
 async fn endless_interim_responses_fail_the_attempt() {
     let responses = "HTTP/1.1 103 Early Hints\r\nX-A: b\r\n\r\n".repeat(10_000);
     let upstream = Upstream::start(Then::Answer(responses.leak()));
     let upstreams = upstreams(&settings(), 8);
-    upstreams.update_endpoint(ID, ZoneId(0), &entry(0, upstream.address, Availability::Ready, 0).state);
+    upstreams.update_endpoint(
+        UPSTREAM_ID,
+        ZoneId(0),
+        &entry(0, upstream.address, Availability::Ready, 0).state,
+    );
     let limits = AttemptLimits::first(Instant::now() + Duration::from_secs(3));
-    let result = upstreams.attempt(ID, &outbound_request(AT_MOST_ONCE, "one"), limits).await;
+    let result = upstreams.attempt(UPSTREAM_ID, &outbound_request(AT_MOST_ONCE, "one"), limits).await;
     assert_eq!(result.outcome, Outcome::Error);
 }
