--- a/crates/engine/src/call.rs
+++ b/crates/engine/src/call.rs
@@ -1,4 +1,4 @@
-//! What a host hands to an engine, and what it gets.
+//! Requests that a host program passes to an engine, and the answers it receives.
 
 use crate::parts::body::Failure;
 use bytes::Bytes;
@@ -13,40 +13,41 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// A request to be balanced.
+/// A request for the engine to balance.
 #[derive(Debug)]
 pub struct Call {
-    /// Its class: a position in [`Settings::classes`](maplehook_core::Settings::classes).
+    /// Class, as an index into [`Settings::classes`](maplehook_core::Settings::classes).
     pub class: ClassId,
-    /// Its tenant: a position in [`Settings::tenants`](maplehook_core::Settings::tenants).
+    /// Tenant, as an index into [`Settings::tenants`](maplehook_core::Settings::tenants).
     pub tenant: TenantId,
-    /// How long the caller waits, from now. The class's deadline is the most.
+    /// Time that the caller waits for the answer, from now on; capped by the deadline of the class.
     pub wait: Duration,
-    /// By what it is known again. With one, a request that may not run twice goes through the ledger: it is sent
-    /// once, and whoever repeats it gets the same final answer.
+    /// Request id that identifies repeated calls. If set, a request that must not run twice goes through the
+    /// ledger: it is sent once, and callers that repeat it get the same final answer.
     pub id: Option<Box<[u8]>>,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its target; what goes on is path and query.
+    /// Request target. Only its path and query are forwarded.
     pub target: Uri,
-    /// Its headers; `Host` among them. What speaks of one hop is taken off.
+    /// Headers, including `Host`. Hop-by-hop headers are removed before forwarding.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Request body, buffered or streamed.
     pub body: CallBody,
-    /// Who asked, if upstreams are to be told.
+    /// Client that sent the request; set it to forward the client's address to upstreams.
     pub peer: Option<Peer>,
 }
 
-/// The body of a call.
+/// Request body of a call.
 pub enum CallBody {
-    /// In hand.
-    Whole(Bytes),
-    /// Read as it is needed, on the engine's thread. What is longer than its class's buffer is sent once.
+    /// Complete body in memory.
+    Buffered(Bytes),
+    /// Body that the engine's thread reads on demand. A body longer than the class's buffer is sent only
+    /// once.
     Stream(Pin<Box<dyn Body<Data = Bytes, Error = Failure> + Send>>),
 }
 
 impl CallBody {
-    /// One that is read as it is needed.
+    /// Creates a body that the engine reads on demand.
     pub fn stream<B>(body: B) -> Self
     where
         B: Body<Data = Bytes> + Send + 'static,
@@ -59,7 +60,7 @@
 impl fmt::Debug for CallBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Whole(body) => write!(f, "{} bytes", body.len()),
+            Self::Buffered(body) => write!(f, "{} bytes", body.len()),
             Self::Stream(body) => write!(f, "a stream of {:?}", body.size_hint()),
         }
     }
@@ -67,112 +68,114 @@
 
 impl From<Bytes> for CallBody {
     fn from(body: Bytes) -> Self {
-        Self::Whole(body)
+        Self::Buffered(body)
     }
 }
 
 impl From<&'static str> for CallBody {
     fn from(body: &'static str) -> Self {
-        Self::Whole(body.into())
+        Self::Buffered(body.into())
     }
 }
 
-/// The final answer to a call. There is exactly one.
+/// Final answer to a call. Each call gets exactly one.
 #[derive(Debug)]
 pub enum Outcome {
-    /// An upstream's answer, whatever its status.
+    /// An upstream answered, with any status.
     Served(Reply),
-    /// It never ran; trying again is harmless.
-    Refused(Refusal),
-    /// It may have run.
+    /// The call never ran. It is safe to repeat it.
+    Rejected(Rejection),
+    /// The call may have run, but there is no answer.
     Failed,
 }
 
-/// Why a call was not run.
+/// Rejection of a call that did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
-    /// Why.
-    pub why: Why,
-    /// How long the caller should stay away, if that is known.
+pub struct Rejection {
+    /// Cause of the rejection.
+    pub reason: RejectionReason,
+    /// Time to wait before the caller repeats the call, if known.
     pub retry_after: Option<Duration>,
 }
 
-/// Why a call was not run.
+/// Reason why the engine did not run a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    /// The balancer has no room for it, no upstream took it, or the ledger is full.
-    NoRoom,
-    /// Too many calls wait for the engine.
-    Busy,
-    /// The engine ends, or has ended.
-    Ending,
-    /// Its body is longer than its class allows.
-    TooLong,
-    /// Its body broke off, or did not come in time.
-    BrokeOff,
-    /// There is no such class, or a header that can't be passed on.
-    Unfit,
-}
-
-impl fmt::Display for Refusal {
+pub enum RejectionReason {
+    /// The balancer has no capacity for the call, no upstream accepted it, or the ledger is full.
+    NoCapacity,
+    /// The engine's command queue is full.
+    QueueFull,
+    /// The engine is shutting down or has stopped.
+    ShuttingDown,
+    /// The request body exceeds the limit of the class.
+    BodyTooLong,
+    /// The request body ended early or was not received in time.
+    BodyIncomplete,
+    /// The class does not exist, or a header cannot be forwarded.
+    InvalidCall,
+}
+
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self.why {
-            Why::NoRoom => "refused: no room",
-            Why::Busy => "refused: too many calls wait",
-            Why::Ending => "refused: the engine ends",
-            Why::TooLong => "refused: the body is too long",
-            Why::BrokeOff => "refused: the body did not come whole",
-            Why::Unfit => "refused: no such class, or an unfit head",
+        f.write_str(match self.reason {
+            RejectionReason::NoCapacity => "refused: no capacity",
+            RejectionReason::QueueFull => "refused: too many calls are queued",
+            RejectionReason::ShuttingDown => "refused: the engine is shutting down",
+            RejectionReason::BodyTooLong => "refused: the body is too long",
+            RejectionReason::BodyIncomplete => "refused: the body is incomplete",
+            RejectionReason::InvalidCall => "refused: unknown class or invalid headers",
         })
     }
 }
 
-impl std::error::Error for Refusal {}
+impl std::error::Error for Rejection {}
 
-impl From<Why> for Refusal {
-    fn from(why: Why) -> Self {
-        Self { why, retry_after: None }
+impl From<RejectionReason> for Rejection {
+    fn from(reason: RejectionReason) -> Self {
+        Self { reason, retry_after: None }
     }
 }
 
-/// An upstream's answer.
+/// Response of an upstream.
 #[derive(Debug)]
 pub struct Reply {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its end-to-end headers.
+    /// End-to-end headers; hop-by-hop headers are removed.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Response body, buffered or streamed.
     pub body: ReplyBody,
-    /// Attempts that it took.
+    /// Number of attempts made for the call.
     pub attempts: u8,
-    /// Who served it.
+    /// Upstream that sent the response, if known.
     pub upstream: Option<UpstreamId>,
 }
 
-/// The body of an answer.
+/// Response body of a call.
 #[derive(Debug)]
 pub enum ReplyBody {
-    /// In hand.
-    Whole(Bytes),
-    /// As it comes. Its reader sets the pace; when it is dropped, the upstream's connection closes.
-    Stream(Streaming),
+    /// Complete body in memory.
+    Buffered(Bytes),
+    /// Body that is forwarded as it is received, with backpressure. Dropping it closes the upstream
+    /// connection.
+    Stream(StreamedBody),
 }
 
-/// A body that comes from the engine's thread.
+/// Response body that the engine's thread streams to the caller.
 #[derive(Debug)]
-pub struct Streaming {
-    pub(crate) frames: mpsc::Receiver<Piece>,
-    pub(crate) hint: SizeHint,
-    pub(crate) ended: bool,
+pub struct StreamedBody {
+    pub(crate) frames: mpsc::Receiver<StreamItem>,
+    pub(crate) size_hint: SizeHint,
+    pub(crate) has_ended: bool,
 }
 
-/// A piece of a body; `None` is its end. Without one it has broken off.
-pub(crate) type Piece = Option<Result<Frame<Bytes>, Failure>>;
+/// Result of one poll of a body: a frame, an error, or `None` at the end. A channel that closes without a
+/// `None` means that the engine stopped in the middle of the body.
+pub(crate) type StreamItem = Option<Result<Frame<Bytes>, Failure>>;
 
 impl ReplyBody {
-    /// All of it.
-    pub async fn whole(self) -> Result<Bytes, Failure> {
+    /// Reads the complete body.
+    pub async fn into_bytes(self) -> Result<Bytes, Failure> {
         Ok(BodyExt::collect(self).await?.to_bytes())
     }
 }
@@ -186,28 +189,30 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Failure>>> {
         match &mut *self {
-            Self::Whole(body) if body.is_empty() => Poll::Ready(None),
-            Self::Whole(body) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(body))))),
-            Self::Stream(streaming) if streaming.ended => Poll::Ready(None),
-            Self::Stream(streaming) => {
-                let piece = ready!(streaming.frames.poll_recv(cx));
-                streaming.ended = !matches!(piece, Some(Some(Ok(_))));
-                Poll::Ready(piece.unwrap_or_else(|| Some(Err("the engine has ended".into()))))
+            Self::Buffered(body) if body.is_empty() => Poll::Ready(None),
+            Self::Buffered(body) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(body))))),
+            Self::Stream(stream) if stream.has_ended => Poll::Ready(None),
+            Self::Stream(stream) => {
+                let item = ready!(stream.frames.poll_recv(cx));
+                stream.has_ended = !matches!(item, Some(Some(Ok(_))));
+                Poll::Ready(
+                    item.unwrap_or_else(|| Some(Err("the engine stopped before the end of the body".into()))),
+                )
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.is_empty(),
-            Self::Stream(streaming) => streaming.ended,
+            Self::Buffered(body) => body.is_empty(),
+            Self::Stream(stream) => stream.has_ended,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => SizeHint::with_exact(body.len() as u64),
-            Self::Stream(streaming) => streaming.hint,
+            Self::Buffered(body) => SizeHint::with_exact(body.len() as u64),
+            Self::Stream(stream) => stream.size_hint,
         }
     }
 }
--- /dev/null
+++ b/crates/engine/src/metrics.rs
@@ -0,0 +1,364 @@
+//! Metrics for operators about requests, attempts and the endpoint list. Any thread may read them.
+//!
+//! Each accepted request holds a [`PendingRequest`], which counts it exactly once when its answer ends: as
+//! answered, deferred or errored. If the client disconnects earlier, none of the three counters changes.
+
+mod reason_counters;
+
+pub use reason_counters::ReasonCounters;
+
+use crate::parts::answer::{ResponseBody, UpstreamResponse};
+use crate::parts::driver::Answer;
+use maplehook_core::{ClassId, Outcome, TenantId};
+use prometheus_client::encoding::EncodeLabelSet;
+use prometheus_client::encoding::text::encode;
+use prometheus_client::metrics::counter::Counter;
+use prometheus_client::metrics::family::Family;
+use prometheus_client::metrics::gauge::Gauge;
+use prometheus_client::registry::Registry;
+use std::cell::RefCell;
+use std::fmt;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Content type of [`Metrics::openmetrics_text`].
+pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
+struct Group {
+    group: String,
+}
+
+/// Metrics of one process. All start at zero, and counters never decrease.
+#[derive(Debug)]
+pub struct Metrics {
+    registry: Registry,
+    answered: Family<Group, Counter>,
+    deferred: Family<Group, Counter>,
+    errored: Family<Group, Counter>,
+    /// Number of attempts written completely to upstreams.
+    pub sends: Counter,
+    /// Number of requests in flight.
+    pub current: Gauge,
+    /// Number of upstreams in the endpoint list.
+    pub cluster_size: Gauge,
+    /// Number of listed upstreams that the balancer currently avoids.
+    pub cluster_unhealthy: Gauge,
+    /// Number of configurations loaded on SIGHUP.
+    pub conf_loaded: Counter,
+    /// Number of invalid configurations rejected on SIGHUP.
+    pub conf_invalid: Counter,
+    /// Number of closed client connections, by reason.
+    pub clients_ended: ReasonCounters,
+    /// Number of clients rejected before a request was read, by reason.
+    pub clients_refused: ReasonCounters,
+    /// Number of invalid requests, by response status.
+    pub unfit: ReasonCounters,
+    /// Number of completed attempts, by outcome.
+    pub attempts_ended: ReasonCounters,
+    /// Number of attempts after the first attempt of a request.
+    pub retries: Counter,
+}
+
+impl Default for Metrics {
+    fn default() -> Self {
+        let mut registry = Registry::with_prefix("balancer");
+        let (answered, deferred, errored) = <(Family<_, _>, Family<_, _>, Family<_, _>)>::default();
+        let (sends, conf_loaded, conf_invalid) = <(Counter, Counter, Counter)>::default();
+        let [clients_ended, clients_refused, unfit, attempts_ended] = <[ReasonCounters; 4]>::default();
+        let retries = Counter::default();
+        let (current, cluster_size, cluster_unhealthy) = <(Gauge, Gauge, Gauge)>::default();
+        registry.register("answered", "Requests served", Family::clone(&answered));
+        registry.register("deferred", "Requests refused: trying again is harmless", Family::clone(&deferred));
+        registry.register("errored", "Requests failed", Family::clone(&errored));
+        registry.register("sends", "Attempts written whole to upstreams", sends.clone());
+        registry.register("current", "Requests taken and not ended", current.clone());
+        registry.register("cluster_size", "Upstreams in the list", cluster_size.clone());
+        registry.register("cluster_unhealthy", "Listed upstreams avoided now", cluster_unhealthy.clone());
+        registry.register("conf_loaded", "Configurations taken at SIGHUP", conf_loaded.clone());
+        registry.register("conf_invalid", "Configurations turned down at SIGHUP", conf_invalid.clone());
+        registry.register("clients_ended", "Connections of clients that ended", clients_ended.family());
+        registry.register("clients_refused", "Clients turned away at the door", clients_refused.family());
+        registry.register("unfit", "What was answered as no fit request", unfit.family());
+        registry.register("attempts_ended", "Attempts that ended", attempts_ended.family());
+        registry.register("retries", "Attempts after a request's first", retries.clone());
+        Self {
+            registry,
+            answered,
+            deferred,
+            errored,
+            sends,
+            current,
+            cluster_size,
+            cluster_unhealthy,
+            conf_loaded,
+            conf_invalid,
+            clients_ended,
+            clients_refused,
+            unfit,
+            attempts_ended,
+            retries,
+        }
+    }
+}
+
+impl Metrics {
+    /// Returns all metrics in the OpenMetrics 1.0 text format.
+    pub fn openmetrics_text(&self) -> String {
+        let mut text = String::new();
+        // Writing to a string cannot fail.
+        let _ = encode(&mut text, &self.registry);
+        text
+    }
+}
+
+/// Counters of one class.
+struct ClassCounters {
+    answered: Counter,
+    deferred: Counter,
+    errored: Counter,
+}
+
+/// Result of a request, as passed to a [`RequestObserver`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RequestResult {
+    /// An upstream served the request.
+    Served,
+    /// The request was rejected without running. It is safe to repeat it.
+    Rejected,
+    /// The request failed and may have run.
+    Failed,
+}
+
+/// Observer of completed requests. It runs on the thread that serves requests and must not block.
+pub trait RequestObserver {
+    /// Called when a request has ended; `duration` is the time since the request was accepted.
+    fn request_ended(&self, class: ClassId, tenant: TenantId, result: RequestResult, duration: Duration);
+}
+
+/// Updates the metrics of requests. It stays on the thread that serves the requests.
+pub struct RequestMetrics {
+    metrics: Arc<Metrics>,
+    /// Counters of each class, by class index.
+    classes: RefCell<Vec<Rc<ClassCounters>>>,
+    observer: RefCell<Option<Rc<dyn RequestObserver>>>,
+}
+
+impl RequestMetrics {
+    /// Creates counters in `metrics` for classes with these names, in the order of their indices.
+    pub fn new(metrics: Arc<Metrics>, class_names: &[String]) -> Rc<Self> {
+        let request_metrics = Self { metrics, classes: RefCell::default(), observer: RefCell::default() };
+        request_metrics.set_classes(class_names);
+        Rc::new(request_metrics)
+    }
+
+    /// Replaces the classes. A class that keeps its name keeps its counts.
+    pub fn set_classes(&self, class_names: &[String]) {
+        let class_counters = |name: &String| {
+            let group = Group { group: name.clone() };
+            let Metrics { answered, deferred, errored, .. } = &*self.metrics;
+            let [answered, deferred, errored] =
+                [answered, deferred, errored].map(|family| family.get_or_create(&group).clone());
+            Rc::new(ClassCounters { answered, deferred, errored })
+        };
+        *self.classes.borrow_mut() = class_names.iter().map(class_counters).collect();
+    }
+
+    /// Returns the metrics that the requests are counted in.
+    pub fn metrics(&self) -> &Arc<Metrics> {
+        &self.metrics
+    }
+
+    /// Sets the observer of requests that start from now on, or removes it.
+    pub fn set_observer(&self, observer: Option<Rc<dyn RequestObserver>>) {
+        *self.observer.borrow_mut() = observer;
+    }
+
+    /// Counts an accepted request as in flight until the returned [`PendingRequest`] is dropped.
+    pub fn start_request(&self, class: ClassId, tenant: TenantId) -> PendingRequest {
+        let observed = self.observer.borrow().clone().map(|observer| ObservedRequest {
+            observer,
+            class,
+            tenant,
+            started_at: Instant::now(),
+        });
+        let class = self.classes.borrow().get(usize::from(class.0)).cloned();
+        self.metrics.current.inc();
+        PendingRequest { class, current: self.metrics.current.clone(), observed }
+    }
+}
+
+/// A request that an observer is notified about.
+struct ObservedRequest {
+    observer: Rc<dyn RequestObserver>,
+    class: ClassId,
+    tenant: TenantId,
+    started_at: Instant,
+}
+
+/// Request in flight. Dropping it without an answer means that the client has disconnected.
+pub struct PendingRequest {
+    class: Option<Rc<ClassCounters>>,
+    current: Gauge,
+    observed: Option<ObservedRequest>,
+}
+
+impl fmt::Debug for PendingRequest {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Owed").finish_non_exhaustive()
+    }
+}
+
+impl PendingRequest {
+    /// Counts the answer. A streamed answer is counted later, at the end of its body.
+    pub fn record_answer(self, answer: &mut Answer) {
+        match answer {
+            Answer::Served(UpstreamResponse { body: ResponseBody::Stream(stream), .. }) => {
+                stream.track_outcome(self)
+            }
+            Answer::Served(UpstreamResponse { status, .. }) if status.is_server_error() => {
+                self.count(RequestResult::Failed)
+            }
+            Answer::Served(_) => self.count(RequestResult::Served),
+            Answer::Rejected(_) => self.count(RequestResult::Rejected),
+            Answer::Failed => self.count(RequestResult::Failed),
+        }
+    }
+
+    /// Counts the outcome of a streamed answer. A cancelled stream is not counted because its client has
+    /// disconnected.
+    pub fn record_stream_end(self, outcome: Outcome) {
+        match outcome {
+            Outcome::Ok => self.count(RequestResult::Served),
+            Outcome::Cancelled => {}
+            _ => self.count(RequestResult::Failed),
+        }
+    }
+
+    fn count(self, result: RequestResult) {
+        if let Some(class) = &self.class {
+            match result {
+                RequestResult::Served => class.answered.inc(),
+                RequestResult::Rejected => class.deferred.inc(),
+                RequestResult::Failed => class.errored.inc(),
+            };
+        }
+        if let Some(ObservedRequest { observer, class, tenant, started_at }) = &self.observed {
+            observer.request_ended(*class, *tenant, result, started_at.elapsed());
+        }
+    }
+}
+
+impl Drop for PendingRequest {
+    fn drop(&mut self) {
+        self.current.dec();
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+    use bytes::Bytes;
+    use hyper::{HeaderMap, StatusCode};
+
+    fn served(status: StatusCode) -> Answer {
+        let body = ResponseBody::Buffered(Bytes::new());
+        Answer::Served(UpstreamResponse { status, headers: HeaderMap::new(), body })
+    }
+
+    fn has_line(metrics: &Metrics, line: &str) -> bool {
+        metrics.openmetrics_text().lines().any(|l| l == line)
+    }
+
+    /// Tools of operators depend on the metric names. A request must count exactly once, however it ends.
+    #[test]
+    fn each_request_is_counted_once_in_its_class() {
+        let metrics = Arc::new(Metrics::default());
+        let request_metrics = RequestMetrics::new(Arc::clone(&metrics), &["look".into(), "bo\"ok".into()]);
+        assert!(has_line(&metrics, "balancer_answered_total{group=\"look\"} 0"));
+        let requests: Vec<PendingRequest> =
+            (0..6).map(|n| request_metrics.start_request(ClassId(n % 2), TenantId(0))).collect();
+        assert!(has_line(&metrics, "balancer_current 6"));
+        let answers = [
+            Some(served(StatusCode::OK)),
+            Some(Answer::Rejected(None)),
+            Some(Answer::Failed),
+            Some(served(StatusCode::BAD_GATEWAY)),
+            None,
+            Some(served(StatusCode::NOT_FOUND)),
+        ];
+        for (request, answer) in requests.into_iter().zip(answers) {
+            if let Some(mut answer) = answer {
+                request.record_answer(&mut answer);
+            }
+        }
+        for line in [
+            "balancer_answered_total{group=\"look\"} 1",
+            "balancer_deferred_total{group=\"bo\\\"ok\"} 1",
+            "balancer_errored_total{group=\"look\"} 1",
+            "balancer_errored_total{group=\"bo\\\"ok\"} 1",
+            "balancer_answered_total{group=\"bo\\\"ok\"} 1",
+            "balancer_current 0",
+            "balancer_sends_total 0",
+            "balancer_cluster_size 0",
+            "balancer_cluster_unhealthy 0",
+            "balancer_conf_loaded_total 0",
+            "balancer_conf_invalid_total 0",
+        ] {
+            assert!(has_line(&metrics, line), "missing line {line:?} in:\n{}", metrics.openmetrics_text());
+        }
+    }
+
+    /// Counters must never decrease: a class that is removed and added again keeps its counts, and a request
+    /// in flight counts for the class it started with.
+    #[test]
+    fn counters_survive_the_removal_of_their_class() {
+        let metrics = Arc::new(Metrics::default());
+        let request_metrics = RequestMetrics::new(Arc::clone(&metrics), &["a".into(), "b".into()]);
+        let (request_a, request_b) = (
+            request_metrics.start_request(ClassId(0), TenantId(0)),
+            request_metrics.start_request(ClassId(1), TenantId(0)),
+        );
+        request_metrics.set_classes(&["b".into()]);
+        request_a.record_answer(&mut Answer::Failed);
+        request_b.record_answer(&mut Answer::Failed);
+        request_metrics.start_request(ClassId(0), TenantId(0)).record_answer(&mut Answer::Failed);
+        request_metrics.set_classes(&["a".into(), "b".into()]);
+        request_metrics.start_request(ClassId(0), TenantId(0)).record_answer(&mut Answer::Failed);
+        assert!(has_line(&metrics, "balancer_errored_total{group=\"a\"} 2"));
+        assert!(has_line(&metrics, "balancer_errored_total{group=\"b\"} 2"));
+    }
+
+    /// An observer must be notified once about each request that starts while it is set, and must be released
+    /// afterwards.
+    #[test]
+    fn observers_are_notified_once_per_request() {
+        #[derive(Default)]
+        struct Recorder(RefCell<Vec<(u16, RequestResult)>>);
+        impl RequestObserver for Recorder {
+            fn request_ended(&self, class: ClassId, _: TenantId, result: RequestResult, duration: Duration) {
+                assert!(duration < Duration::from_secs(60));
+                self.0.borrow_mut().push((class.0, result));
+            }
+        }
+        let request_metrics = RequestMetrics::new(Arc::default(), &["a".into()]);
+        let recorder = Rc::new(Recorder::default());
+        let started_before = request_metrics.start_request(ClassId(0), TenantId(0));
+        request_metrics.set_observer(Some(Rc::clone(&recorder) as Rc<dyn RequestObserver>));
+        started_before.record_answer(&mut Answer::Failed);
+        let [served_request, rejected, dropped, streamed] =
+            [0; 4].map(|_| request_metrics.start_request(ClassId(0), TenantId(0)));
+        request_metrics.set_observer(None);
+        request_metrics.start_request(ClassId(0), TenantId(0)).record_answer(&mut Answer::Failed);
+        served_request.record_answer(&mut served(StatusCode::OK));
+        rejected.record_answer(&mut Answer::Rejected(None));
+        streamed.record_stream_end(Outcome::Reset);
+        drop(dropped);
+        assert_eq!(
+            *recorder.0.borrow(),
+            [(0, RequestResult::Served), (0, RequestResult::Rejected), (0, RequestResult::Failed)]
+        );
+        assert_eq!(Rc::strong_count(&recorder), 1);
+    }
+}
--- a/crates/proxy/src/counts.rs
+++ b/crates/proxy/src/counts.rs
@@ -2,7 +2,7 @@
 //! each interval.
 
 use crate::failover::NamesById;
-use maplehook::tally::{Counting, End, Looks};
+use maplehook::metrics::{RequestMetrics, RequestObserver, RequestResult};
 use maplehook_canary::IntervalReport;
 use maplehook_core::{ClassId, TenantId};
 use maplehook_rollout_agent::taking::Serving;
@@ -47,13 +47,13 @@
         self: Rc<Self>,
         mut interval_settings: watch::Receiver<Option<Duration>>,
         reports: tokio::sync::mpsc::Sender<IntervalReport>,
-        request_counting: Rc<Counting>,
+        request_counting: Rc<RequestMetrics>,
     ) {
         let (mut current, mut next_report, mut interval_number) = (None, Instant::now(), 0u64);
         loop {
             let interval = *interval_settings.borrow_and_update();
             if mem::replace(&mut current, interval) != interval {
-                request_counting.look(interval.map(|_| Rc::clone(&self) as Rc<dyn Looks>));
+                request_counting.set_observer(interval.map(|_| Rc::clone(&self) as Rc<dyn RequestObserver>));
                 drop(self.take_report(0));
                 next_report = Instant::now() + interval.unwrap_or_default();
             }
@@ -70,15 +70,15 @@
     }
 }
 
-impl Looks for IntervalCounts {
-    fn ended(&self, class: ClassId, tenant: TenantId, end: End, after: Duration) {
+impl RequestObserver for IntervalCounts {
+    fn request_ended(&self, class: ClassId, tenant: TenantId, end: RequestResult, after: Duration) {
         let names = self.names.borrow();
         let (class_index, tenant) = (usize::from(class.0), names.tenants.get(tenant.0 as usize));
         let Some(class) = names.classes.get(class_index) else { return };
         let mut report = self.report.borrow_mut();
         let counts = report.counts_mut(class, tenant.map_or("", String::as_str));
         match end {
-            End::Served => {
+            RequestResult::Served => {
                 let is_late = self
                     .latency_objectives
                     .borrow()
@@ -86,8 +86,8 @@
                     .is_some_and(|objective| after > *objective);
                 counts.record_served(u64::try_from(after.as_micros()).unwrap_or(u64::MAX), is_late);
             }
-            End::Refused => counts.rejected += 1,
-            End::Failed => counts.failed += 1,
+            RequestResult::Rejected => counts.rejected += 1,
+            RequestResult::Failed => counts.failed += 1,
         }
     }
 }
@@ -112,12 +112,12 @@
         let counts = IntervalCounts::new(names);
         counts.set_latency_objectives(vec![Duration::from_millis(10)]);
         let (class, tenant) = (ClassId(0), TenantId(0));
-        counts.ended(class, tenant, End::Served, Duration::from_millis(9));
-        counts.ended(class, tenant, End::Served, Duration::from_millis(8));
-        counts.ended(class, tenant, End::Served, Duration::from_millis(11));
-        counts.ended(class, TenantId(9), End::Refused, Duration::ZERO);
-        counts.ended(class, tenant, End::Failed, Duration::ZERO);
-        counts.ended(ClassId(7), tenant, End::Failed, Duration::ZERO);
+        counts.request_ended(class, tenant, RequestResult::Served, Duration::from_millis(9));
+        counts.request_ended(class, tenant, RequestResult::Served, Duration::from_millis(8));
+        counts.request_ended(class, tenant, RequestResult::Served, Duration::from_millis(11));
+        counts.request_ended(class, TenantId(9), RequestResult::Rejected, Duration::ZERO);
+        counts.request_ended(class, tenant, RequestResult::Failed, Duration::ZERO);
+        counts.request_ended(ClassId(7), tenant, RequestResult::Failed, Duration::ZERO);
         let mut report = counts.take_report(3);
         let class_counts = report.counts_mut("look", "acme").clone();
         assert_eq!(
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -142,7 +142,7 @@
                 has_evicted
             }
             Err(rejection) => {
-                self.dispatcher.tally().clients_refused.count(rejection.reason.name());
+                self.dispatcher.tally().clients_refused.increment(rejection.reason.name());
                 self.rejection_warnings
                     .warn(|| format!("{address}: connection rejected: {:?}", rejection.reason));
                 self.rejections.reject(stream, &rejection);
--- a/crates/proxy/src/server/connection.rs
+++ b/crates/proxy/src/server/connection.rs
@@ -69,7 +69,7 @@
 
     /// Logs and counts the end of a connection.
     fn record_end(&self, client: &ClientConnection, peer: IpAddr, end_reason: EndReason) {
-        self.dispatcher.tally().clients_ended.count(end_reason.name());
+        self.dispatcher.tally().clients_ended.increment(end_reason.name());
         let (reason, state, silent) = (end_reason.name(), client.state(), client.time_since_received());
         let (received_bytes, label) = (client.bytes_since_response(), client.label());
         tracing::debug!(%peer, reason, ?state, ?silent, received_bytes, %label, "client connection ended");
--- a/crates/proxy/src/server/respond.rs
+++ b/crates/proxy/src/server/respond.rs
@@ -77,7 +77,7 @@
 
     /// Counts a response to an invalid request.
     pub(super) fn count_invalid(&self, unfit: &Unfit) {
-        self.dispatcher.tally().unfit.count(unfit.status.canonical_reason().unwrap_or("other"));
+        self.dispatcher.tally().unfit.increment(unfit.status.canonical_reason().unwrap_or("other"));
     }
 
     async fn dispatch(&self, client: &ClientConnection, ready: ReadyRequest) -> Response<ResponseBody> {
