--- a/crates/failover/src/compose.rs
+++ b/crates/failover/src/compose.rs
@@ -64,8 +64,8 @@
             let names: Vec<&str> =
                 zones_in(unreachable_from).map(|from| self.topology.zone_name(Zone(from as u16))).collect();
             let reason = match (is_partitioned, names.is_empty()) {
-                (true, true) => "can't reach most other zones".to_owned(),
-                (true, false) => format!("unreachable from {}", names.join(", ")),
+                (true, true) => "reaches most others no more".to_owned(),
+                (true, false) => format!("out of reach from {}", names.join(", ")),
                 _ => health.reason.clone(),
             };
             let capacity = self.observed.capacities.get(zone).copied().unwrap_or_default();
--- a/crates/failover/src/verdict.rs
+++ b/crates/failover/src/verdict.rs
@@ -230,7 +230,7 @@
         let failing_when_reached = failing > unreachable || local_verdict == Verdict::Unreachable;
         let (state, observers, reason) = if is_unreachable && supporting >= 2 && unreachable > 0 {
             let silence = if silent { ", its own balancers are silent" } else { "" };
-            (ZoneState::Unreachable, supporting, format!("unreachable from {unreachable} zones{silence}"))
+            (ZoneState::Unreachable, supporting, format!("out of reach from {unreachable} zones{silence}"))
         } else if failing > healthy
             && failing_when_reached
             && (failing >= 2 && local_verdict != Verdict::Healthy || local_verdict.is_failing())
@@ -238,13 +238,13 @@
             (
                 ZoneState::Unhealthy,
                 failing,
-                format!("slow or failing for {failing} zones, healthy for {healthy}"),
+                format!("slow or failing for {failing} zones, well for {healthy}"),
             )
         } else if unreachable > 0 {
             (
                 ZoneState::Partitioned,
                 unreachable,
-                format!("unreachable from {unreachable} zones, otherwise healthy"),
+                format!("out of reach from {unreachable} zones, well in itself"),
             )
         } else {
             (ZoneState::Serving, reaching, String::new())
--- a/crates/failover/src/zone_decision.rs
+++ b/crates/failover/src/zone_decision.rs
@@ -138,7 +138,7 @@
         let has_traffic = failed.iter().any(|zone| self.zone_health[*zone].admitted_share > 0.0);
         (affected_share > self.bounds.shared_cause_share + 1e-9 && has_traffic).then(|| {
             format!(
-                "{} of {} zones with {:.0} % of the capacity fail at once: no traffic is moved",
+                "{} of {} zones with {:.0} % of the capacity seem ill at once: nothing moves",
                 failed.len(),
                 capacity_shares.len(),
                 affected_share * 100.0
@@ -173,13 +173,13 @@
         let remaining = others().filter(|other| admitted_share(*other) > 0.0).count();
         if removed + capacity_shares[zone] > self.bounds.max_capacity_removed + 1e-9 {
             return FailureResponse::Retain(format!(
-                "at most {:.0} % of the capacity may be out of service",
+                "no more than {:.0} % may be away",
                 self.bounds.max_capacity_removed * 100.0
             ));
         }
         if remaining < self.bounds.min_zones_in_service {
             return FailureResponse::Retain(format!(
-                "at least {} zones have to stay in service",
+                "{} zones have to stay",
                 self.bounds.min_zones_in_service
             ));
         }
--- a/crates/failover/src/zone_health.rs
+++ b/crates/failover/src/zone_health.rs
@@ -179,7 +179,7 @@
             FailureResponse::Remove => 0.0,
             FailureResponse::Reduce => REDUCED_SHARE.min(self.admitted_share),
             FailureResponse::Retain(reason) => {
-                self.reason = format!("{}; kept in service: {reason}", self.reason);
+                self.reason = format!("{}; held in: {reason}", self.reason);
                 1.0
             }
         };
@@ -200,7 +200,7 @@
             // If the zone still fails at the reduced share, overload is not the cause.
             ZoneState::Unhealthy if self.fails_at_reduced_share(now, bounds) => self.admitted_share = 0.0,
             ZoneState::Unhealthy | ZoneState::Unreachable if is_healthy && !suppressed => {
-                self.begin_return(now, "recovered")
+                self.begin_return(now, "well again")
             }
             ZoneState::Returning => {
                 let growth = elapsed.as_secs_f64() / bounds.return_time.as_secs_f64().max(1e-3);
--- a/crates/failover/tests/all/bounds.rs
+++ b/crates/failover/tests/all/bounds.rs
@@ -43,7 +43,7 @@
         anyway: true,
     };
     let rejected = sim.decider.order(sim.now, order).unwrap_err();
-    assert!(rejected.to_string().contains("no traffic is moved"), "unexpected rejection: {rejected}");
+    assert!(rejected.to_string().contains("nothing moves"), "unexpected rejection: {rejected}");
     sim.zones.iter_mut().zip(capacities).for_each(|(zone, capacity)| zone.capacity = capacity);
     sim.run(5.0);
     assert_eq!((sim.document.shared_cause.as_ref(), &sim.document.plan.rows), (None, &rows));
--- a/crates/failover/tests/all/orders_and_leaders.rs
+++ b/crates/failover/tests/all/orders_and_leaders.rs
@@ -257,7 +257,7 @@
     assert_eq!((document.zone_statuses[1].state, document.plan.epoch), (ZoneState::Unreachable, epoch));
     assert!(
         document.zone_statuses[1].since_ms >= previous_status.since_ms
-            && document.zone_statuses[1].reason.contains("unreachable from")
+            && document.zone_statuses[1].reason.contains("out of reach")
     );
     let row = document.plan.row(0, Zone(1)).unwrap();
     assert!(row.part(Zone(2)) >= 5000 && row.is_sound(), "most traffic of zone a must go to zone b: {row:?}");
