--- a/crates/address-announcement/src/explore/mod.rs
+++ b/crates/address-announcement/src/explore/mod.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use world::{Action, InjectedBug, World};
+use world::{Action, Bug, World};
 
 /// Actions that affect the holder, the leader and the log.
 const HOLDER_ACTIONS: [Action; 7] = [
@@ -44,7 +44,7 @@
 
 /// Explores all histories with the given number of actions and of any length. A world whose fingerprint was
 /// seen before with at least as many remaining actions is not expanded again.
-fn explore(bug: InjectedBug, max_actions: u32, actions: &[Action]) -> Result<Explored, String> {
+fn explore(bug: Bug, max_actions: u32, actions: &[Action]) -> Result<Explored, String> {
     let mut steps = 0;
     let mut seen: BTreeMap<Vec<u64>, u32> = BTreeMap::new();
     let mut recovery_starts: Vec<Node> = Vec::new();
@@ -101,7 +101,7 @@
 
 #[track_caller]
 fn assert_no_violation(max_actions: u32, actions: &[Action], min_worlds: usize) {
-    let seen = explore(InjectedBug::NoBug, max_actions, actions).unwrap();
+    let seen = explore(Bug::NotInjected, max_actions, actions).unwrap();
     assert!(
         seen.worlds >= min_worlds && seen.steps > seen.worlds,
         "exploration was smaller than expected: {seen:?}"
@@ -124,20 +124,20 @@
 }
 
 #[track_caller]
-fn assert_violation_found(bug: InjectedBug, max_actions: u32, actions: &[Action]) {
+fn assert_violation_found(bug: Bug, max_actions: u32, actions: &[Action]) {
     let violation = explore(bug, max_actions, actions).expect_err("the injected bug must be detected");
     assert!(violation.contains("both sites announce"), "{violation}");
 }
 
 #[test]
 fn detects_a_leader_that_does_not_wait_in_a_handover() {
-    assert_violation_found(InjectedBug::NoHandoverWait, 1, &HOLDER_ACTIONS);
+    assert_violation_found(Bug::NoHandoverWait, 1, &HOLDER_ACTIONS);
 }
 
 #[test]
 fn detects_a_lease_counted_from_its_reply() {
     assert_violation_found(
-        InjectedBug::LeaseFromReply,
+        Bug::LeaseFromReply,
         3,
         &[Action::ToggleReplyDelay(0), Action::ToggleCut(0), Action::Move],
     );
@@ -145,29 +145,25 @@
 
 #[test]
 fn detects_an_answer_that_outlasts_the_lease() {
-    assert_violation_found(InjectedBug::AnswerPastLease, 1, &HOLDER_ACTIONS);
+    assert_violation_found(Bug::AnswerPastLease, 1, &HOLDER_ACTIONS);
 }
 
 #[test]
 fn detects_a_new_leader_that_ignores_existing_leases() {
-    assert_violation_found(
-        InjectedBug::LeaderIgnoresLeases,
-        3,
-        &[Action::KillLeader, Action::ToggleCut(0), Action::Move],
-    );
+    assert_violation_found(Bug::IgnoresLeases, 3, &[Action::KillLeader, Action::ToggleCut(0), Action::Move]);
 }
 
 #[test]
 fn detects_a_router_that_counts_validity_from_the_arrival() {
-    assert_violation_found(InjectedBug::ValidityFromArrival, 2, &HOLDER_ACTIONS);
+    assert_violation_found(Bug::ValidityFromArrival, 2, &HOLDER_ACTIONS);
 }
 
 #[test]
 fn detects_a_late_state_that_is_applied() {
-    assert_violation_found(InjectedBug::AppliesAnyState, 4, &LOG_ACTIONS);
+    assert_violation_found(Bug::AppliesAnyState, 4, &LOG_ACTIONS);
 }
 
 #[test]
 fn detects_an_answer_cached_while_the_process_is_stopped() {
-    assert_violation_found(InjectedBug::CachedAnswer, 1, &HOLDER_ACTIONS);
+    assert_violation_found(Bug::CachedAnswer, 1, &HOLDER_ACTIONS);
 }
--- a/crates/address-announcement/src/explore/world.rs
+++ b/crates/address-announcement/src/explore/world.rs
@@ -1,5 +1,4 @@
-//! Model of two sites with one balancer and one router each, a leader that may fail, and one address of kind
-//! `One`. It advances in steps of a common clock.
+//! Clock-stepped model: two sites (a balancer and a router each), a leader that may fail, one `One` address.
 
 use crate::{Address, AddressState, Announce, Answer, Decider, LocalBalancer, Order, SiteHealth, State};
 use maplehook_locality::Region;
@@ -7,8 +6,7 @@
 use std::time::Duration;
 
 pub const STEP: Duration = Duration::from_millis(500);
-/// Lease duration on the balancer's clock. The leader assumes [`LEADER_LEASE`], which includes the clock
-/// drift.
+/// Lease duration on the balancer's clock. The leader assumes [`LEADER_LEASE`], which includes clock drift.
 pub const LEASE: Duration = Duration::from_millis(4000);
 pub const LEADER_LEASE: Duration = Duration::from_millis(4081);
 /// Number of steps without a request after which a site counts as cut off.
@@ -17,8 +15,8 @@
 
 /// Bug that can be injected into the protocol. The exploration must detect each bug.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InjectedBug {
-    NoBug,
+pub enum Bug {
+    NotInjected,
     /// The next site holds the address without waiting.
     NoHandoverWait,
     /// A balancer counts its lease from the reply instead of from the request.
@@ -26,7 +24,7 @@
     /// An answer may outlast the lease.
     AnswerPastLease,
     /// A new leader assumes that no lease is in force.
-    LeaderIgnoresLeases,
+    IgnoresLeases,
     /// A router counts the validity of an answer from its arrival.
     ValidityFromArrival,
     /// A state is applied even if it does not follow the current one.
@@ -42,8 +40,7 @@
     ToggleStop(usize),
     /// Cuts or restores the connection between a site and the leader.
     ToggleCut(usize),
-    /// Starts or stops delaying the leader's replies to a site. The first delayed reply is delivered at the
-    /// end.
+    /// Starts or stops delaying leader replies to a site. The first delayed reply is delivered at the end.
     ToggleReplyDelay(usize),
     /// Starts or stops delaying a router's poll of a site. The delayed answer is delivered at the end.
     TogglePollDelay(usize),
@@ -61,7 +58,7 @@
 struct Leader {
     decider: Decider,
     lease_ends: [Duration; 2],
-    acked_numbers: [u64; 2],
+    acked: [u64; 2],
     last_requests: [Option<u32>; 2],
 }
 
@@ -72,8 +69,7 @@
     is_cut: bool,
     delays_replies: bool,
     delayed_reply: Option<(Duration, State)>,
-    /// Poll received while the balancer was stopped: the time it was sent, and the answer that
-    /// [`InjectedBug::CachedAnswer`] sends.
+    /// Send time of a poll received by the stopped balancer, and the answer that [`Bug::CachedAnswer`] sends.
     queued_poll: Option<(Duration, Answer)>,
     delays_polls: bool,
     delayed_poll: Option<(Duration, Answer)>,
@@ -83,11 +79,11 @@
 
 #[derive(Clone, Debug)]
 pub struct World {
-    bug: InjectedBug,
+    bug: Bug,
     pub step_number: u32,
     leader: Option<Leader>,
     delays_commits: bool,
-    delayed_proposal: Option<State>,
+    proposal: Option<State>,
     committed: State,
     sites: [Site; 2],
 }
@@ -107,7 +103,7 @@
 
 impl World {
     /// Creates a world and runs it until the first site holds the address.
-    pub fn new(bug: InjectedBug) -> Self {
+    pub fn new(bug: Bug) -> Self {
         let mut sites = [Site::default(), Site::default()];
         for (site, name) in sites.iter_mut().zip(NAMES) {
             site.balancer =
@@ -118,7 +114,7 @@
             step_number: 0,
             leader: None,
             delays_commits: false,
-            delayed_proposal: None,
+            proposal: None,
             committed: State::default(),
             sites,
         };
@@ -134,69 +130,56 @@
     }
 
     pub fn holder(&self) -> Option<&str> {
-        self.committed
-            .addresses
-            .get("front")
-            .and_then(|address_state: &AddressState| address_state.holder.as_deref())
+        self.committed.addresses.get("front").and_then(|entry: &AddressState| entry.holder.as_deref())
     }
 
-    /// Returns the part of the world that can affect later steps, with numbers and times relative to the
-    /// current ones.
+    /// Returns the state that can affect later steps, with numbers and times relative to the current ones.
     pub fn fingerprint(&self) -> Vec<u64> {
         let now = self.now();
-        let time_left = |end: Duration| end.saturating_sub(now).as_millis() as u64;
+        let ttl = |end: Duration| end.saturating_sub(now).as_millis() as u64;
         let age = |at: Duration| now.saturating_sub(at).min(STEP * 8).as_millis() as u64;
         let name = |name: &Option<String>| name.as_deref().map_or(0, |name| 1 + u64::from(name == "b"));
         let state = |state: Option<&State>| {
             let Some(state) = state else { return u64::MAX };
             let lag = self.committed.number.wrapping_sub(state.number) & 0xff;
-            let address_state = state.addresses.get("front");
-            let holders_of = |s: &AddressState| (name(&s.holder) * 3 + name(&s.last)) * 3 + name(&s.next);
-            let flags_of =
-                |s: &AddressState| u64::from(s.pinned.is_some()) * 2 + u64::from(s.all_stay.is_some());
-            lag * 1000 + address_state.map_or(999, |s| holders_of(s) * 4 + flags_of(s))
+            let entry = state.addresses.get("front");
+            let holders = |s: &AddressState| (name(&s.holder) * 3 + name(&s.last)) * 3 + name(&s.next);
+            let bits = |s: &AddressState| u64::from(s.pinned.is_some()) * 2 + u64::from(s.all_stay.is_some());
+            lag * 1000 + entry.map_or(999, |s| holders(s) * 4 + bits(s))
         };
-        let mut fingerprint = vec![
-            u64::from(self.delays_commits),
-            state(self.delayed_proposal.as_ref()),
-            state(Some(&self.committed)),
-        ];
-        for record in self.committed.addresses.values().flat_map(|address_state| address_state.sites.values())
-        {
+        let mut values =
+            vec![u64::from(self.delays_commits), state(self.proposal.as_ref()), state(Some(&self.committed))];
+        for record in self.committed.addresses.values().flat_map(|entry| entry.sites.values()) {
             let health_flags = [record.ill, record.penalty <= 0.0].map(u64::from);
-            fingerprint.extend([health_flags[0], health_flags[1], record.ill_for_ms.min(600)]);
+            values.extend([health_flags[0], health_flags[1], record.ill_for_ms.min(600)]);
         }
         for site in &self.sites {
             let lease = site.delayed_reply.as_ref();
             let answer = |delayed: &Option<(Duration, Answer)>| {
                 let Some((at, answer)) = delayed else { return [0, 0] };
                 let Answer::Announces { good_for, .. } = answer else { return [1, 0] };
-                [2, time_left(*at + *good_for)]
+                [2, ttl(*at + *good_for)]
             };
             let flags = [site.is_stopped, site.is_cut, site.delays_replies, site.delays_polls];
-            fingerprint.extend(flags.map(u64::from));
-            fingerprint.extend([state(site.balancer.state.as_ref()), state(lease.map(|(_, state)| state))]);
-            fingerprint.push(lease.map_or(0, |(at, _)| age(*at)));
-            fingerprint.extend([
-                time_left(site.balancer.lease_until.unwrap_or_default()),
-                time_left(site.announced_until),
-            ]);
-            fingerprint.extend(answer(&site.queued_poll).into_iter().chain(answer(&site.delayed_poll)));
+            values.extend(flags.map(u64::from));
+            values.extend([state(site.balancer.state.as_ref()), state(lease.map(|(_, state)| state))]);
+            values.push(lease.map_or(0, |(at, _)| age(*at)));
+            values.extend([ttl(site.balancer.lease_until.unwrap_or_default()), ttl(site.announced_until)]);
+            values.extend(answer(&site.queued_poll).into_iter().chain(answer(&site.delayed_poll)));
         }
         if let Some(leader) = &self.leader {
             for n in 0..2 {
-                let behind = u64::from(leader.acked_numbers[n] < self.committed.number);
+                let behind = u64::from(leader.acked[n] < self.committed.number);
                 let silent_steps = leader.last_requests[n]
                     .map_or(9, |at| u64::from((self.step_number - at).min(MAX_SILENT_STEPS + 1)));
-                fingerprint.extend([behind, silent_steps, time_left(leader.lease_ends[n])]);
+                values.extend([behind, silent_steps, ttl(leader.lease_ends[n])]);
             }
-            fingerprint.push(u64::from(leader.decider.state().number == self.committed.number));
-            fingerprint.extend(leader.decider.fingerprint());
+            values.push(u64::from(leader.decider.state().number == self.committed.number));
+            values.extend(leader.decider.fingerprint());
         }
-        fingerprint
+        values
     }
 
-    /// Ends all faults.
     pub fn end_faults(&mut self) {
         for n in 0..2 {
             let site = &self.sites[n];
@@ -227,8 +210,7 @@
             self.apply_action(action);
         }
         self.run_leader();
-        // A resumed balancer may be polled before or after it receives the leader's reply, so both orders are
-        // checked.
+        // Checks both orders: a resumed balancer may be polled before or after it gets the leader's reply.
         self.poll_balancers();
         let first = self.check_single_announcer();
         self.deliver_replies();
@@ -258,7 +240,7 @@
             }
             Action::ToggleCommitDelay => {
                 self.delays_commits = !self.delays_commits;
-                if let (false, Some(state)) = (self.delays_commits, self.delayed_proposal.take()) {
+                if let (false, Some(state)) = (self.delays_commits, self.proposal.take()) {
                     self.apply(state);
                 }
             }
@@ -281,29 +263,20 @@
         let names = NAMES.map(str::to_owned).to_vec();
         let before = (self.committed.number > 0).then_some(&self.committed);
         let decider = Decider::new(vec![address()], names, before, self.now());
-        let lease_end = if self.bug == InjectedBug::LeaderIgnoresLeases {
-            Duration::ZERO
-        } else {
-            self.now() + LEADER_LEASE
-        };
-        self.leader = Some(Leader {
-            decider,
-            lease_ends: [lease_end; 2],
-            acked_numbers: [0; 2],
-            last_requests: [None; 2],
-        });
+        let end = if self.bug == Bug::IgnoresLeases { Duration::ZERO } else { self.now() + LEADER_LEASE };
+        self.leader = Some(Leader { decider, lease_ends: [end; 2], acked: [0; 2], last_requests: [None; 2] });
     }
 
     fn propose(&mut self, state: State) {
-        if self.delays_commits && self.delayed_proposal.is_none() {
-            self.delayed_proposal = Some(state);
+        if self.delays_commits && self.proposal.is_none() {
+            self.proposal = Some(state);
         } else {
             self.apply(state);
         }
     }
 
     fn apply(&mut self, state: State) {
-        if state.follows(Some(&self.committed)) || self.bug == InjectedBug::AppliesAnyState {
+        if state.follows(Some(&self.committed)) || self.bug == Bug::AppliesAnyState {
             self.committed = state;
             if let Some(leader) = &mut self.leader {
                 leader.decider.accepted(&self.committed);
@@ -322,7 +295,7 @@
         let Some(leader) = &mut self.leader else { return };
         let mut behind = BTreeMap::new();
         for n in 0..2 {
-            if leader.acked_numbers[n] < self.committed.number && leader.lease_ends[n] > now {
+            if leader.acked[n] < self.committed.number && leader.lease_ends[n] > now {
                 behind.insert(Region(n as u16), leader.lease_ends[n] - now);
             }
         }
@@ -332,12 +305,11 @@
             SiteHealth { region: Region(n as u16), served: 1.0, near: 1.0, ready, cut_off }
         });
         if let Some(mut state) = leader.decider.tick(now, &health, &behind) {
-            if self.bug == InjectedBug::NoHandoverWait {
-                for address_state in state.addresses.values_mut() {
-                    if address_state.holder.is_none() && address_state.last.is_some() {
-                        address_state.holder = address_state.next.take();
-                        address_state.announcing =
-                            address_state.holder.iter().map(|site| (site.clone(), 1)).collect();
+            if self.bug == Bug::NoHandoverWait {
+                for entry in state.addresses.values_mut() {
+                    if entry.holder.is_none() && entry.last.is_some() {
+                        entry.holder = entry.next.take();
+                        entry.announcing = entry.holder.iter().map(|site| (site.clone(), 1)).collect();
                     }
                 }
             }
@@ -345,8 +317,7 @@
         }
     }
 
-    /// Sends a lease request from each balancer with its state number. The leader replies with the current
-    /// state.
+    /// Sends each balancer's lease request with its state number. The leader replies with the current state.
     fn send_lease_requests(&mut self) {
         let now = self.now();
         let Some(leader) = &mut self.leader else { return };
@@ -356,7 +327,7 @@
             }
             let number = site.balancer.state.as_ref().map_or(0, |state| state.number);
             leader.last_requests[n] = Some(self.step_number);
-            leader.acked_numbers[n] = leader.acked_numbers[n].max(number);
+            leader.acked[n] = leader.acked[n].max(number);
             leader.lease_ends[n] = leader.lease_ends[n].max(now + LEADER_LEASE);
             if !site.delays_replies || site.delayed_reply.is_none() {
                 site.delayed_reply = Some((now, self.committed.clone()));
@@ -371,10 +342,9 @@
             if site.balancer.state.as_ref().is_some_and(|known| known.number > state.number) {
                 continue;
             }
-            let from = if self.bug == InjectedBug::LeaseFromReply { now } else { requested_at };
-            let lease_end = from + LEASE;
-            site.balancer.lease_until =
-                Some(site.balancer.lease_until.map_or(lease_end, |before| before.max(lease_end)));
+            let from = if self.bug == Bug::LeaseFromReply { now } else { requested_at };
+            let end = from + LEASE;
+            site.balancer.lease_until = Some(site.balancer.lease_until.map_or(end, |before| before.max(end)));
             site.balancer.state = Some(state);
         }
     }
@@ -383,7 +353,7 @@
         let (now, bug) = (self.now(), self.bug);
         for site in &mut self.sites {
             let mut balancer = site.balancer.clone();
-            if bug == InjectedBug::AnswerPastLease {
+            if bug == Bug::AnswerPastLease {
                 balancer.lease_until = balancer.lease_until.map(|end| end.max(now + LEASE));
             }
             let answer = balancer.answer("front", now);
@@ -392,9 +362,9 @@
                 continue;
             }
             if let Some((polled, cached)) = site.queued_poll.take() {
-                let sent_answer = if bug == InjectedBug::CachedAnswer { &cached } else { &answer };
+                let sent_answer = if bug == Bug::CachedAnswer { &cached } else { &answer };
                 // Another router has polled the balancer just now and receives the same cached answer.
-                let polled = if bug == InjectedBug::CachedAnswer { now } else { polled };
+                let polled = if bug == Bug::CachedAnswer { now } else { polled };
                 site.handle_answer(polled, sent_answer, now, bug);
             }
             site.handle_answer(now, &answer, now, bug);
@@ -403,10 +373,9 @@
 
     fn check_single_announcer(&self) -> Result<(), String> {
         let now = self.now();
-        let announces_now = |site: &Site| {
-            let answers =
-                !site.is_stopped && matches!(site.balancer.answer("front", now), Answer::Announces { .. });
-            answers || site.announced_until > now
+        let announces_now = |s: &Site| {
+            let claims = !s.is_stopped && matches!(s.balancer.answer("front", now), Answer::Announces { .. });
+            claims || s.announced_until > now
         };
         if self.sites.iter().all(announces_now) {
             return Err(format!("at {now:?} both sites announce the address: {:#?}", self.committed));
@@ -417,9 +386,9 @@
 
 impl Site {
     /// Handles an answer received by the router.
-    fn handle_answer(&mut self, polled: Duration, answer: &Answer, now: Duration, bug: InjectedBug) {
+    fn handle_answer(&mut self, polled: Duration, answer: &Answer, now: Duration, bug: Bug) {
         if let Answer::Announces { good_for, .. } = answer {
-            let from = if bug == InjectedBug::ValidityFromArrival { now } else { polled };
+            let from = if bug == Bug::ValidityFromArrival { now } else { polled };
             self.announced_until = self.announced_until.max(from + *good_for);
         }
     }
