--- a/crates/failover-agent/src/taking.rs
+++ b/crates/failover-agent/src/agent.rs
@@ -1,10 +1,10 @@
 //! A balancer's part in places as whoever serves sees it: a thread that is started, watched, and ends.
 
-use crate::board::{Board, Stands};
 use crate::config::Config;
 use crate::history::Writer;
-use crate::rates::Seen;
-use crate::run::Runner;
+use crate::rates::CounterSnapshot;
+use crate::runner::Runner;
+use crate::status_board::{LocalState, StatusBoard};
 use maplehook_consensus::{PartChannels, SharedDocumentStatus};
 use maplehook_failover::EffectiveRouting;
 use maplehook_transport::MeasuredRtts;
@@ -22,11 +22,11 @@
 /// A balancer's part in the agreement, as far as places go.
 pub struct Link {
     /// How it stands with what is agreed on.
-    pub standing: watch::Receiver<SharedDocumentStatus>,
+    pub document_status: watch::Receiver<SharedDocumentStatus>,
     /// By which number is acted.
-    pub acts: watch::Sender<u64>,
+    pub applied_number: watch::Sender<u64>,
     /// The ways.
-    pub places: PartChannels,
+    pub channels: PartChannels,
 }
 
 /// What it takes part with.
@@ -34,17 +34,17 @@
     /// Its name, in reports and histories.
     pub name: String,
     /// Its start, which rises with each.
-    pub start: u64,
+    pub generation: u64,
     /// What is in force; another one whenever a version changes it. `None`: this version has no places.
     pub config: watch::Receiver<Option<Arc<Config>>>,
     /// What is seen.
-    pub seen: watch::Receiver<Seen>,
+    pub counters: watch::Receiver<CounterSnapshot>,
     /// The agreement, where there is one.
     pub link: Option<Link>,
     /// Round trips to other balancers, where there is a tier.
-    pub trips: Option<watch::Receiver<MeasuredRtts>>,
+    pub rtts: Option<watch::Receiver<MeasuredRtts>>,
     /// How many balancers there are, this one among them.
-    pub balancers: usize,
+    pub balancer_count: usize,
     /// Whether this balancer takes clients.
     pub ready: Arc<AtomicBool>,
     /// The file that a history goes to.
@@ -52,25 +52,25 @@
 }
 
 /// A balancer's part in places; it ends when this is dropped.
-pub struct Taking {
+pub struct Agent {
     /// By what to act; `None` before there is anything, and where the version has no places.
-    pub acted: watch::Receiver<Option<Arc<Acted>>>,
+    pub active_routing: watch::Receiver<Option<Arc<ActiveRouting>>>,
     /// Answers operators and routers.
-    pub board: Board,
+    pub status_board: StatusBoard,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 /// What is acted on here.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Acted {
+pub struct ActiveRouting {
     /// What it rests on.
     pub config: Arc<Config>,
     /// Shares, rule by rule.
-    pub acts: EffectiveRouting,
+    pub routing: EffectiveRouting,
 }
 
-impl Taking {
+impl Agent {
     /// Begins.
     pub fn start(setup: Setup) -> Result<Self, String> {
         let writer = match &setup.history {
@@ -78,14 +78,14 @@
                 .map_err(|e| format!("operator.history: {}: {e}", path.display()))?,
             None => Writer::default(),
         };
-        let (stands, shows) = watch::channel(Stands::default());
+        let (stands, shows) = watch::channel(LocalState::default());
         let (acted_to, acted) = watch::channel(None);
         let (wishes, wished) = mpsc::channel(WISHES_MOST);
         let (stop, stopped) = oneshot::channel();
         let epoch = Instant::now();
-        let board = Board {
+        let board = StatusBoard {
             stands: shows,
-            standing: setup.link.as_ref().map(|link| link.standing.clone()),
+            standing: setup.link.as_ref().map(|link| link.document_status.clone()),
             wishes,
             past: Arc::new(Mutex::new(VecDeque::new())),
             writer: writer.clone(),
@@ -100,11 +100,11 @@
             .stack_size(1024 * 1024)
             .spawn(move || runtime.block_on(runner.run(wished, stopped)))
             .map_err(|e| e.to_string())?;
-        Ok(Self { acted, board, stop: Some(stop), thread: Some(thread) })
+        Ok(Self { active_routing: acted, status_board: board, stop: Some(stop), thread: Some(thread) })
     }
 }
 
-impl Drop for Taking {
+impl Drop for Agent {
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
--- a/crates/failover-agent/src/config.rs
+++ b/crates/failover-agent/src/config.rs
@@ -13,7 +13,7 @@
     /// The rules, by this process's numbers of classes and tenants.
     pub rules: Rules,
     /// The own zone.
-    pub own: Zone,
+    pub own_zone: Zone,
     /// Bounds that no evidence moves.
     pub bounds: Bounds,
     /// Service addresses.
@@ -23,14 +23,14 @@
     /// Where no tenant has a name there is one that has none.
     pub tenants: Vec<String>,
     /// Requests a second for one of weight, by zone; `None` where that is not stated for all upstreams of a zone.
-    pub rooms: Vec<Option<f64>>,
+    pub capacity_per_weight: Vec<Option<f64>>,
     /// Of the topology and the rules, whatever the numbers of classes and tenants are.
     pub digest: u64,
 }
 
 impl Config {
     /// Of a file's or a version's places; `None` where it has none.
-    pub fn of(proxy: &Proxy) -> Option<Self> {
+    pub fn from_proxy(proxy: &Proxy) -> Option<Self> {
         let places = proxy.places.as_ref()?;
         let Places { topology, own, rules, bounds, addresses, .. } = places;
         let room = |zone: Zone| {
@@ -39,16 +39,16 @@
             let weight: f64 = of_it().map(|of| of.weight).sum();
             room.filter(|_| weight > 0.0).map(|room| room / weight)
         };
-        let rooms = topology.zones().map(room).collect();
+        let capacity_per_weight = topology.zones().map(room).collect();
         Some(Self {
             topology: topology.clone(),
             rules: rules.clone(),
-            own: *own,
+            own_zone: *own,
             bounds: *bounds,
             addresses: addresses.clone(),
             classes: proxy.classes.clone(),
             tenants: if proxy.tenants.is_empty() { vec![String::new()] } else { proxy.tenants.clone() },
-            rooms,
+            capacity_per_weight,
             digest: digest(topology, rules),
         })
     }
--- a/crates/failover-agent/src/golden_tests.rs
+++ b/crates/failover-agent/src/golden_tests.rs
@@ -1,30 +1,30 @@
 //! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
 
-use crate::board::{Announced, Past, ShownAddress, ShownSite};
-use crate::shown::{Shown, ShownPlace, ShownRow, ShownShare, ShownTrip};
-use crate::talk::{Agreed, Reply, Say, Wish};
+use crate::messages::{AgentMessage, AgreedState, OperatorRequest, Reply};
+use crate::status::{FailoverStatus, RowStatus, RttStatus, ShareStatus, ZoneStatus};
+use crate::status_board::{AddressStatus, Announcement, PastPlan, SiteStatus};
 use maplehook_golden::{assert_text, golden_types, hex, samples};
 
 golden_types! {
-    announced: Json Announced;
-    past: Json Past;
-    shown_address: Json ShownAddress;
-    shown_site: Json ShownSite;
-    shown: Json Shown;
-    shown_place: Json ShownPlace;
-    shown_row: Json ShownRow;
-    shown_share: Json ShownShare;
-    shown_trip: Json ShownTrip;
-    agreed: Postcard Agreed;
-    wish: Json Wish;
-    wish_by_position: Postcard Wish;
+    announced: Json Announcement;
+    past: Json PastPlan;
+    shown_address: Json AddressStatus;
+    shown_site: Json SiteStatus;
+    shown: Json FailoverStatus;
+    shown_place: Json ZoneStatus;
+    shown_row: Json RowStatus;
+    shown_share: Json ShareStatus;
+    shown_trip: Json RttStatus;
+    agreed: Postcard AgreedState;
+    wish: Json OperatorRequest;
+    wish_by_position: Postcard OperatorRequest;
     reply: Postcard Reply;
-    message: Postcard Say;
+    message: Postcard AgentMessage;
 }
 
 #[test]
 fn the_agreed_document_is_written_as_it_was() {
-    let documents: Vec<Agreed> = samples(maplehook_golden::TEXTS);
+    let documents: Vec<AgreedState> = samples(maplehook_golden::TEXTS);
     let lines: String = documents.iter().map(|document| hex(&document.encode()) + "\n").collect();
     assert_text("agreed-encoded.txt", &lines);
 }
--- a/crates/failover-agent/src/lead.rs
+++ b/crates/failover-agent/src/leader.rs
@@ -2,7 +2,7 @@
 //! on its way to the log; what is decided meanwhile goes with the next.
 
 use crate::config::Config;
-use crate::talk::{Agreed, Reply, Wish};
+use crate::messages::{AgreedState, OperatorRequest, Reply};
 use maplehook_address_announcement::{self as addresses, SiteHealth};
 use maplehook_cluster::hash::fnv1a;
 use maplehook_failover::rtt::{PeerRtt, RttEstimator, RttTable};
@@ -12,15 +12,15 @@
 use std::time::Duration;
 
 /// A leader's state. It begins with what stands in the log, whoever wrote it.
-pub struct Leading {
+pub struct LeaderState {
     config: Config,
     places: failover::Decider,
     addresses: addresses::Decider,
     measuring: RttEstimator,
     /// What stands in the log, as far as this leader knows.
-    stands: Agreed,
+    stands: AgreedState,
     /// What is on its way there.
-    proposed: Option<Agreed>,
+    proposed: Option<AgreedState>,
     /// The zone of each balancer that was heard of.
     zones: BTreeMap<String, (Zone, bool, Duration)>,
 }
@@ -32,9 +32,9 @@
 /// Balancers that are kept in mind.
 const HEARD_MOST: usize = 4096;
 
-impl Leading {
+impl LeaderState {
     /// From an election on.
-    pub fn new(config: Config, stands: Agreed, now: Duration) -> Self {
+    pub fn new(config: Config, stands: AgreedState, now: Duration) -> Self {
         let mut places = failover::Decider::new(
             config.topology.clone(),
             config.rules.clone(),
@@ -44,13 +44,13 @@
         );
         let addresses =
             addresses::Decider::new(config.addresses.clone(), config.sites(), Some(&stands.addresses), now);
-        places.set_rtt_table(&stands.trips);
-        let measuring = RttEstimator::new(&stands.trips, &config.topology);
+        places.set_rtt_table(&stands.rtts);
+        let measuring = RttEstimator::new(&stands.rtts, &config.topology);
         Self { config, places, addresses, measuring, stands, proposed: None, zones: BTreeMap::new() }
     }
 
     /// Other rules or places are in force.
-    pub fn retune(&mut self, config: Config, now: Duration) {
+    pub fn reconfigure(&mut self, config: Config, now: Duration) {
         self.places.reconfigure(config.topology.clone(), config.rules.clone(), now);
         self.places.set_bounds(config.bounds);
         self.addresses.reconfigure(config.addresses.clone(), config.sites(), now);
@@ -61,12 +61,12 @@
     }
 
     /// The longest that a lease can last by this leader's clock.
-    pub fn set_longest_lease(&mut self, longest: Duration) {
+    pub fn set_max_lease(&mut self, longest: Duration) {
         self.addresses.set_max_lease(longest);
     }
 
     /// What a balancer sees.
-    pub fn hear(&mut self, now: Duration, from: &str, report: Report) {
+    pub fn record_report(&mut self, now: Duration, from: &str, report: Report) {
         let known = self.zones.len() < HEARD_MOST || self.zones.contains_key(from);
         if known && report.digest == self.config.digest {
             self.zones.insert(from.to_owned(), (report.zone, report.ready, now));
@@ -75,7 +75,7 @@
     }
 
     /// What a balancer measured of ways to others.
-    pub fn hear_trips(&mut self, now: Duration, from: &str, ways: &[PeerRtt]) {
+    pub fn record_rtts(&mut self, now: Duration, from: &str, ways: &[PeerRtt]) {
         if self.zones.contains_key(from) {
             self.measuring.record(now, from, ways);
         }
@@ -107,10 +107,10 @@
             return None;
         }
         let stands = self.stands.clone();
-        Some(self.propose(Agreed {
+        Some(self.propose(AgreedState {
             places: places.unwrap_or(stands.places),
             addresses: addresses.unwrap_or(stands.addresses),
-            trips: trips.unwrap_or(stands.trips),
+            rtts: trips.unwrap_or(stands.rtts),
         }))
     }
 
@@ -118,46 +118,51 @@
     fn trips(&mut self, now: Duration) -> Option<RttTable> {
         let by_digest = self.zones.iter().map(|(name, (zone, ..))| (fnv1a(name.as_bytes()), *zone)).collect();
         self.measuring.tick(now, |name| self.zones.get(name).map(|(zone, ..)| *zone), &by_digest);
-        Some(self.measuring.table(&self.config.topology)).filter(|table| *table != self.stands.trips)
+        Some(self.measuring.table(&self.config.topology)).filter(|table| *table != self.stands.rtts)
     }
 
-    fn propose(&mut self, agreed: Agreed) -> Vec<u8> {
+    fn propose(&mut self, agreed: AgreedState) -> Vec<u8> {
         let bytes = agreed.encode();
         self.proposed = Some(agreed);
         bytes
     }
 
     /// An operator's wish: what is to be agreed on for it.
-    pub fn wish(&mut self, now: Duration, by: &str, wish: &Wish) -> Result<Vec<u8>, Reply> {
+    pub fn handle_request(
+        &mut self,
+        now: Duration,
+        by: &str,
+        wish: &OperatorRequest,
+    ) -> Result<Vec<u8>, Reply> {
         if self.proposed.is_some() {
             return Err(Reply::Unavailable("another change is on its way; ask again".into()));
         }
         let (mut agreed, by) = (self.stands.clone(), by.to_owned());
         match wish {
-            Wish::Evacuate { place, for_ms, anyway } => {
+            OperatorRequest::Evacuate { place, for_ms, anyway } => {
                 let zones = self.zones_of(place)?;
                 let order = failover::Order::Evacuate { zones, by, for_ms: *for_ms, anyway: *anyway };
                 agreed.places = self.places.order(now, order).map_err(not_now)?;
             }
-            Wish::Hold => {
+            OperatorRequest::Hold => {
                 agreed.places = self.places.order(now, failover::Order::Hold { by }).map_err(not_now)?;
             }
-            Wish::Release { place } => {
+            OperatorRequest::Release { place } => {
                 let zones = place.as_ref().map(|place| self.zones_of(place)).transpose()?.unwrap_or_default();
                 let order = failover::Order::Release { by, zones };
                 agreed.places = self.places.order(now, order).map_err(not_now)?;
             }
-            Wish::Move { name, site, anyway } => {
+            OperatorRequest::Move { name, site, anyway } => {
                 let (name, site) = (name.clone(), site.clone());
                 let order = addresses::Order::Move { name, site, by, anyway: *anyway };
                 agreed.addresses = self.addresses.order(&order).map_err(refused)?;
             }
-            Wish::Withdraw { name, site, anyway } => {
+            OperatorRequest::Withdraw { name, site, anyway } => {
                 let (name, site) = (name.clone(), site.clone());
                 let order = addresses::Order::Withdraw { name, site, by, anyway: *anyway };
                 agreed.addresses = self.addresses.order(&order).map_err(refused)?;
             }
-            Wish::Restore { name, site } => {
+            OperatorRequest::Restore { name, site } => {
                 let (name, site) = (name.clone(), site.clone());
                 let order = addresses::Order::Restore { name, site, by };
                 agreed.addresses = self.addresses.order(&order).map_err(refused)?;
@@ -176,13 +181,13 @@
     }
 
     /// What was proposed stands in the log, or does not.
-    pub fn ended(&mut self, stands: bool) -> Option<&Agreed> {
+    pub fn finish_proposal(&mut self, stands: bool) -> Option<&AgreedState> {
         let proposed = self.proposed.take()?;
         if !stands {
             return None;
         }
         self.places.accepted(&proposed.places);
-        self.places.set_rtt_table(&proposed.trips);
+        self.places.set_rtt_table(&proposed.rtts);
         self.addresses.accepted(&proposed.addresses);
         self.stands = proposed;
         Some(&self.stands)
--- a/crates/failover-agent/src/lib.rs
+++ b/crates/failover-agent/src/lib.rs
@@ -3,23 +3,23 @@
 //! [`Taking`] is the thread; [`rates`], [`lead`] and [`talk`] decide nothing by a clock of their own. `docs/design/places.md` has the
 //! reasons.
 
-mod act;
-pub mod board;
+mod agent;
 pub mod config;
 #[cfg(test)]
 mod golden_tests;
 mod history;
-pub mod lead;
+pub mod leader;
+pub mod messages;
+mod messaging;
+mod observations;
 mod probe;
 pub mod rates;
-mod run;
-mod sees;
-pub mod shown;
-mod taking;
-pub mod talk;
-mod tell;
+mod routing;
+mod runner;
+pub mod status;
+pub mod status_board;
 
-pub use board::Board;
+pub use agent::{ActiveRouting, Agent, Link, Setup};
 pub use config::Config;
-pub use probe::TARGETS_MOST;
-pub use taking::{Acted, Link, Setup, Taking};
+pub use probe::MAX_PROBE_TARGETS;
+pub use status_board::StatusBoard;
--- a/crates/failover-agent/src/talk.rs
+++ b/crates/failover-agent/src/messages.rs
@@ -7,16 +7,17 @@
 
 /// All that is agreed on beside versions: one body in the agreement's log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Agreed {
+pub struct AgreedState {
     /// Zones, and where requests go.
     pub places: Document,
     /// Service addresses.
     pub addresses: State,
     /// Round trips between zones. Programs that know none leave it out, and read what stands before it.
-    pub trips: RttTable,
+    #[serde(rename = "trips")]
+    pub rtts: RttTable,
 }
 
-impl Agreed {
+impl AgreedState {
     /// For the log.
     pub fn encode(&self) -> Vec<u8> {
         // Nothing in it is of a kind that can't be encoded.
@@ -26,9 +27,9 @@
     /// From the log; `None` for what is none, as of a later program.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let ((places, addresses), rest) = postcard::take_from_bytes(bytes).ok()?;
-        let trips = if rest.is_empty() { RttTable::default() } else { postcard::from_bytes(rest).ok()? };
-        let agreed = Self { places, addresses, trips };
-        let sound = agreed.places.is_sound() && agreed.addresses.is_sound() && agreed.trips.is_sound();
+        let rtts = if rest.is_empty() { RttTable::default() } else { postcard::from_bytes(rest).ok()? };
+        let agreed = Self { places, addresses, rtts };
+        let sound = agreed.places.is_sound() && agreed.addresses.is_sound() && agreed.rtts.is_sound();
         sound.then_some(agreed)
     }
 }
@@ -36,7 +37,7 @@
 /// What an operator wants. Places and sites go by their names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Wish {
+pub enum OperatorRequest {
     /// A zone or a region is taken out.
     Evacuate {
         /// Which.
@@ -94,25 +95,29 @@
 
 /// What is said.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Say {
+pub enum AgentMessage {
     /// What a balancer sees: an encoded [`maplehook_failover::Report`].
     Report(Vec<u8>),
     /// An operator's wish, passed on to the leader.
-    Wish {
+    #[serde(rename = "Wish")]
+    ForwardedRequest {
         /// By which its end is known.
         ticket: u64,
         /// Who passes it on.
         by: String,
         /// What.
-        wish: Wish,
+        #[serde(rename = "wish")]
+        request: OperatorRequest,
     },
     /// Its end.
-    End {
+    #[serde(rename = "End")]
+    RequestOutcome {
         /// Which.
         ticket: u64,
         /// How.
         reply: Reply,
     },
     /// Round trips to other balancers. A message of its own: reports stay as programs before it read them.
-    Trips(Vec<PeerRtt>),
+    #[serde(rename = "Trips")]
+    RoundTripTimes(Vec<PeerRtt>),
 }
--- a/crates/failover-agent/src/tell.rs
+++ b/crates/failover-agent/src/messaging.rs
@@ -1,8 +1,8 @@
 //! What a balancer says to others of places, what it hears, and operators' wishes.
 
-use crate::run::{Runner, WISH, Wisher};
-use crate::taking::WISHES_MOST;
-use crate::talk::{Reply, Say, Wish};
+use crate::agent::WISHES_MOST;
+use crate::messages::{AgentMessage, OperatorRequest, Reply};
+use crate::runner::{Runner, WISH, Wisher};
 use bytes::Bytes;
 use maplehook_cluster::Name;
 use maplehook_cluster::hash::fnv1a;
@@ -17,16 +17,16 @@
         match wisher {
             // Whoever asked may have given up.
             Wisher::Here(to) => drop(to.send(reply)),
-            Wisher::There(name, ticket) => self.tell(&name, &Say::End { ticket, reply }),
+            Wisher::There(name, ticket) => self.tell(&name, &AgentMessage::RequestOutcome { ticket, reply }),
         }
     }
 
-    fn tell(&self, to: &Name, say: &Say) {
+    fn tell(&self, to: &Name, say: &AgentMessage) {
         let Ok(body) = postcard::to_allocvec(say) else { return };
         if let Some(link) = &self.setup.link {
             // What does not fit is lost, as on a way.
             let _ = link
-                .places
+                .channels
                 .outgoing
                 .try_send((to.clone(), Message { topic: SHARED_DOCUMENT_TOPIC, body: body.into() }));
         }
@@ -39,8 +39,8 @@
         self.reports += 1;
         let report = Report {
             number: self.reports,
-            start: self.setup.start,
-            zone: config.own,
+            start: self.setup.generation,
+            zone: config.own_zone,
             digest: config.digest,
             epoch: self.noted.filter(|(_, common)| *common).map_or(0, |(epoch, _)| epoch),
             ready,
@@ -50,15 +50,15 @@
         };
         let now = self.now();
         if let Some(leading) = &mut self.leading {
-            leading.hear(now, &self.setup.name, report);
+            leading.record_report(now, &self.setup.name, report);
         } else if let Some(leader) = self.standing().leader {
-            self.tell(&leader, &Say::Report(report.encode()));
+            self.tell(&leader, &AgentMessage::Report(report.encode()));
         }
     }
 
     /// Round trips to other balancers, to whoever leads.
     pub(crate) fn tell_trips(&mut self) {
-        let Some(trips) = &self.setup.trips else { return };
+        let Some(trips) = &self.setup.rtts else { return };
         let way = |(name, took): &(Name, std::time::Duration)| PeerRtt {
             peer: fnv1a(name.as_str().as_bytes()),
             ms: took.as_secs_f32() * 1e3,
@@ -66,9 +66,9 @@
         let ways: Vec<PeerRtt> = trips.borrow().iter().take(MAX_PEERS).map(way).collect();
         let now = self.now();
         if let Some(leading) = &mut self.leading {
-            leading.hear_trips(now, &self.setup.name, &ways);
+            leading.record_rtts(now, &self.setup.name, &ways);
         } else if let Some(leader) = self.standing().leader.filter(|_| !ways.is_empty()) {
-            self.tell(&leader, &Say::Trips(ways));
+            self.tell(&leader, &AgentMessage::RoundTripTimes(ways));
         }
     }
 
@@ -86,24 +86,26 @@
     }
 
     pub(crate) fn hear(&mut self, from: &Name, body: &Bytes) {
-        let Ok(say) = postcard::from_bytes::<Say>(body) else {
+        let Ok(say) = postcard::from_bytes::<AgentMessage>(body) else {
             tracing::debug!(%from, "a message on places can't be read");
             return;
         };
         let now = self.now();
         match say {
-            Say::Report(bytes) => {
+            AgentMessage::Report(bytes) => {
                 if let (Some(leading), Some(report)) = (&mut self.leading, Report::decode(&bytes)) {
-                    leading.hear(now, from.as_str(), report);
+                    leading.record_report(now, from.as_str(), report);
                 }
             }
-            Say::Trips(ways) => {
+            AgentMessage::RoundTripTimes(ways) => {
                 if let Some(leading) = &mut self.leading {
-                    leading.hear_trips(now, from.as_str(), &ways);
+                    leading.record_rtts(now, from.as_str(), &ways);
                 }
             }
-            Say::Wish { ticket, by, wish } => self.wish(wish, Wisher::There(from.clone(), ticket), Some(by)),
-            Say::End { ticket, reply } => {
+            AgentMessage::ForwardedRequest { ticket, by, request } => {
+                self.wish(request, Wisher::There(from.clone(), ticket), Some(by))
+            }
+            AgentMessage::RequestOutcome { ticket, reply } => {
                 if let Some((wisher, _)) = self.passed_on.remove(&ticket) {
                     let _ = wisher.send(reply);
                 }
@@ -112,7 +114,7 @@
     }
 
     /// An operator wants something, here or at another balancer.
-    pub(crate) fn wish(&mut self, wish: Wish, wisher: Wisher, by: Option<String>) {
+    pub(crate) fn wish(&mut self, wish: OperatorRequest, wisher: Wisher, by: Option<String>) {
         let now = self.now();
         if let Some(leading) = &mut self.leading {
             let by = by.unwrap_or_else(|| self.setup.name.clone());
@@ -120,7 +122,7 @@
                 return self
                     .end(wisher, Reply::Unavailable("another change is on its way; ask again".into()));
             }
-            match leading.wish(now, &by, &wish) {
+            match leading.handle_request(now, &by, &wish) {
                 Ok(body) => self.put(body, Some(wisher)),
                 Err(reply) => self.end(wisher, reply),
             }
@@ -132,7 +134,7 @@
                 let ticket = fastrand::u64(..);
                 self.passed_on.insert(ticket, (reply, Instant::now() + WISH));
                 let by = self.setup.name.clone();
-                self.tell(&leader, &Say::Wish { ticket, by, wish });
+                self.tell(&leader, &AgentMessage::ForwardedRequest { ticket, by, request: wish });
             }
             (wisher, _) => {
                 let why = match &self.setup.link {
--- a/crates/failover-agent/src/probe.rs
+++ b/crates/failover-agent/src/probe.rs
@@ -19,7 +19,7 @@
 const COUNTED: usize = 3;
 const FRESH: Duration = Duration::from_secs(8);
 /// Upstreams of one zone that are probed in turn: more of them say no more of whether it is there.
-pub const TARGETS_MOST: usize = 64;
+pub const MAX_PROBE_TARGETS: usize = 64;
 /// The longest wait for a connection.
 const WAIT_MOST: Duration = Duration::from_secs(1);
 
@@ -61,7 +61,7 @@
         self.targets.clear();
         for (zone, address) in listed.iter().filter(|(zone, _)| *zone != own) {
             let of_it = self.targets.entry(*zone).or_default();
-            if of_it.len() < TARGETS_MOST {
+            if of_it.len() < MAX_PROBE_TARGETS {
                 of_it.push(*address);
             }
         }
@@ -134,7 +134,7 @@
         let listed: Vec<_> = (0..3).flat_map(|zone| (0..100).map(move |n| at(zone, n))).collect();
         prober.aim(Zone(0), &listed);
         assert_eq!(prober.targets.keys().copied().collect::<Vec<_>>(), [Zone(1), Zone(2)], "not the own one");
-        assert!(prober.targets.values().all(|of_it| of_it.len() == TARGETS_MOST));
+        assert!(prober.targets.values().all(|of_it| of_it.len() == MAX_PROBE_TARGETS));
         for zone in [1, 2] {
             prober.heard(Probed { zone: Zone(zone), took: None });
         }
--- a/crates/failover-agent/src/rates.rs
+++ b/crates/failover-agent/src/rates.rs
@@ -13,7 +13,7 @@
 
 /// A zone's counters and figures at one moment, as the serving thread has them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ZoneSeen {
+pub struct ZoneCounters {
     /// Which.
     pub zone: Zone,
     /// Whether rooms are requests a second; else they are weights.
@@ -23,7 +23,7 @@
     /// What those can take now that can be used.
     pub usable: f64,
     /// Part of `listed` that is missing since upstreams are cold.
-    pub cold: f64,
+    pub slow_start: f64,
     /// What is held there against what could be held in good time.
     pub load: f64,
     /// Mean time of a new connection, in milliseconds.
@@ -42,16 +42,16 @@
 
 /// A rule's counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RuleSeen {
+pub struct RuleCounters {
     /// Requests that came, ever.
-    pub asked: u64,
+    pub requests: u64,
     /// Refused here.
-    pub refused: u64,
+    pub rejected: u64,
 }
 
 /// Everything at one moment.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
+pub struct CounterSnapshot {
     /// When, on the process's clock.
     pub at: Duration,
     /// The digest of the topology and rules that zones and rules are counted by.
@@ -59,22 +59,22 @@
     /// Whether clients are taken.
     pub ready: bool,
     /// Zones, sorted.
-    pub zones: Vec<ZoneSeen>,
+    pub zones: Vec<ZoneCounters>,
     /// Rules, in their order.
-    pub rules: Vec<RuleSeen>,
+    pub rules: Vec<RuleCounters>,
     /// Where listed upstreams of each zone listen, some of them if there are many.
     pub upstreams: Arc<Vec<(Zone, SocketAddr)>>,
 }
 
 /// The snapshots of the last second.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Window {
-    kept: VecDeque<Seen>,
+pub struct SnapshotWindow {
+    kept: VecDeque<CounterSnapshot>,
 }
 
-impl Window {
+impl SnapshotWindow {
     /// Takes one in. Counters by other zones and rules than before begin anew.
-    pub fn push(&mut self, seen: Seen) {
+    pub fn push(&mut self, seen: CounterSnapshot) {
         if self.kept.back().is_some_and(|last| last.digest != seen.digest || last.at >= seen.at) {
             self.kept.clear();
         }
@@ -89,7 +89,7 @@
     }
 
     /// The newest.
-    pub fn last(&self) -> Option<&Seen> {
+    pub fn last(&self) -> Option<&CounterSnapshot> {
         self.kept.back()
     }
 
@@ -104,14 +104,14 @@
         }
         // Counters that fell are of another start of what counts.
         let rate = |now: u64, before: u64| (now.saturating_sub(before) as f64 / span) as f32;
-        let sight = |z: &ZoneSeen| {
+        let sight = |z: &ZoneCounters| {
             let before = first.zones.iter().find(|other| other.zone == z.zone).copied().unwrap_or_default();
             ZoneObservation {
                 zone: z.zone,
                 stated: z.stated,
                 listed: z.listed as f32,
                 usable: z.usable as f32,
-                warming: z.cold as f32,
+                warming: z.slow_start as f32,
                 sent: rate(z.sent, before.sent),
                 ok: rate(z.ok, before.ok),
                 slow: rate(z.slow, before.slow),
@@ -122,11 +122,11 @@
                 ..ZoneObservation::default()
             }
         };
-        let demand = |(rule, seen): (usize, &RuleSeen)| {
+        let demand = |(rule, seen): (usize, &RuleCounters)| {
             let before = first.rules.get(rule).copied().unwrap_or_default();
-            let asked = rate(seen.asked, before.asked);
-            let rejected = rate(seen.refused, before.refused);
-            (asked > 0.0).then_some(Demand { rule: rule as u16, asked, rejected })
+            let requests = rate(seen.requests, before.requests);
+            let rejected = rate(seen.rejected, before.rejected);
+            (requests > 0.0).then_some(Demand { rule: rule as u16, asked: requests, rejected })
         };
         (last.zones.iter().map(sight).collect(), last.rules.iter().enumerate().filter_map(demand).collect())
     }
@@ -136,18 +136,18 @@
 mod tests {
     use super::*;
 
-    fn seen(ms: u64, sent: u64, asked: u64) -> Seen {
-        Seen {
+    fn seen(ms: u64, sent: u64, requests: u64) -> CounterSnapshot {
+        CounterSnapshot {
             at: Duration::from_millis(ms),
-            zones: vec![ZoneSeen { zone: Zone(1), sent, ok: sent / 2, ..ZoneSeen::default() }],
-            rules: vec![RuleSeen::default(), RuleSeen { asked, refused: 0 }],
-            ..Seen::default()
+            zones: vec![ZoneCounters { zone: Zone(1), sent, ok: sent / 2, ..ZoneCounters::default() }],
+            rules: vec![RuleCounters::default(), RuleCounters { requests, rejected: 0 }],
+            ..CounterSnapshot::default()
         }
     }
 
     #[test]
     fn rates_are_over_the_last_second() {
-        let mut window = Window::default();
+        let mut window = SnapshotWindow::default();
         window.push(seen(0, 0, 0));
         assert_eq!(window.rates(), Default::default());
         for n in 1..=20u64 {
@@ -163,14 +163,14 @@
 
     #[test]
     fn other_rules_begin_anew_and_counters_that_fall_do_no_harm() {
-        let mut window = Window::default();
+        let mut window = SnapshotWindow::default();
         window.push(seen(0, 500, 500));
         window.push(seen(500, 100, 100));
         assert_eq!(window.rates().0[0].sent, 0.0);
-        window.push(Seen { digest: 7, ..seen(600, 100, 100) });
+        window.push(CounterSnapshot { digest: 7, ..seen(600, 100, 100) });
         assert_eq!(window.rates(), Default::default());
         // A clock that stands still, or goes back, has no rates.
-        window.push(Seen { digest: 7, ..seen(600, 300, 100) });
+        window.push(CounterSnapshot { digest: 7, ..seen(600, 300, 100) });
         assert_eq!(window.rates(), Default::default());
     }
 }
--- a/crates/failover-agent/src/run.rs
+++ b/crates/failover-agent/src/runner.rs
@@ -2,13 +2,13 @@
 //!
 //! It shares watched values with the thread that serves: what is seen goes in, shares come out. No request waits for it.
 
-use crate::board::{Board, Stands, Wished};
+use crate::agent::{ActiveRouting, Link, Setup};
 use crate::config::Config;
-use crate::lead::Leading;
+use crate::leader::LeaderState;
+use crate::messages::{AgreedState, Reply};
 use crate::probe::{Prober, ROUND};
-use crate::rates::Window;
-use crate::taking::{Acted, Link, Setup};
-use crate::talk::{Agreed, Reply};
+use crate::rates::SnapshotWindow;
+use crate::status_board::{LocalState, StatusBoard, Wished};
 use bytes::Bytes;
 use maplehook_cluster::Name;
 use maplehook_consensus::{PartProposal, ProposalError, SharedDocumentStatus};
@@ -47,17 +47,17 @@
 
 pub(crate) struct Runner {
     pub(crate) setup: Setup,
-    pub(crate) board: Board,
-    pub(crate) stands: watch::Sender<Stands>,
-    pub(crate) acted: watch::Sender<Option<Arc<Acted>>>,
-    pub(crate) window: Window,
+    pub(crate) board: StatusBoard,
+    pub(crate) stands: watch::Sender<LocalState>,
+    pub(crate) acted: watch::Sender<Option<Arc<ActiveRouting>>>,
+    pub(crate) window: SnapshotWindow,
     pub(crate) prober: Prober,
     /// The list that is probed.
     pub(crate) aims: Option<Arc<Vec<(Zone, SocketAddr)>>>,
     pub(crate) acting: Option<BalancerRouting>,
-    pub(crate) agreed: Option<Arc<Agreed>>,
+    pub(crate) agreed: Option<Arc<AgreedState>>,
     pub(crate) number: u64,
-    pub(crate) leading: Option<Leading>,
+    pub(crate) leading: Option<LeaderState>,
     /// The number in the log that what it decides rests on.
     pub(crate) rests_on: u64,
     /// When the standing that is looked at came: what it says of time left shrinks from then on.
@@ -73,16 +73,16 @@
 impl Runner {
     pub(crate) fn new(
         setup: Setup,
-        board: Board,
-        stands: watch::Sender<Stands>,
-        acted: watch::Sender<Option<Arc<Acted>>>,
+        board: StatusBoard,
+        stands: watch::Sender<LocalState>,
+        acted: watch::Sender<Option<Arc<ActiveRouting>>>,
     ) -> Self {
         Self {
             setup,
             board,
             stands,
             acted,
-            window: Window::default(),
+            window: SnapshotWindow::default(),
             prober: Prober::new(),
             aims: None,
             acting: None,
@@ -108,7 +108,7 @@
     }
 
     pub(crate) fn standing(&self) -> SharedDocumentStatus {
-        self.setup.link.as_ref().map(|link| link.standing.borrow().clone()).unwrap_or_default()
+        self.setup.link.as_ref().map(|link| link.document_status.borrow().clone()).unwrap_or_default()
     }
 
     pub(crate) async fn run(
@@ -120,9 +120,9 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut rounds = interval(ROUND);
         rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut seen = self.setup.seen.clone();
+        let mut seen = self.setup.counters.clone();
         let mut config = self.setup.config.clone();
-        let mut standing = self.setup.link.as_ref().map(|link| link.standing.clone());
+        let mut standing = self.setup.link.as_ref().map(|link| link.document_status.clone());
         self.configured();
         loop {
             // A version without places leaves nothing to look at.
@@ -171,20 +171,22 @@
         self.prober.forget();
         self.aims = None;
         match &mut self.acting {
-            Some(acting) => acting.reconfigure(config.topology.clone(), config.rules.clone(), config.own),
+            Some(acting) => {
+                acting.reconfigure(config.topology.clone(), config.rules.clone(), config.own_zone)
+            }
             None => {
                 let (topology, rules) = (config.topology.clone(), config.rules.clone());
-                let mut acting = BalancerRouting::new(topology, rules, config.own, now);
-                acting.set_balancer_count(self.setup.balancers);
+                let mut acting = BalancerRouting::new(topology, rules, config.own_zone, now);
+                acting.set_balancer_count(self.setup.balancer_count);
                 if let Some(agreed) = &self.agreed {
-                    acting.set_rtt_table(&agreed.trips);
+                    acting.set_rtt_table(&agreed.rtts);
                     acting.set_document(&agreed.places);
                 }
                 self.acting = Some(acting);
             }
         }
         if let Some(leading) = &mut self.leading {
-            leading.retune((*config).clone(), now);
+            leading.reconfigure((*config).clone(), now);
         }
         self.act();
     }
@@ -193,11 +195,11 @@
     fn stood(&mut self) {
         let standing = self.standing();
         if let Some(common) = standing.received.as_ref().filter(|common| common.number != self.number) {
-            match Agreed::decode(&common.body) {
+            match AgreedState::decode(&common.body) {
                 Some(agreed) => {
                     self.note_agreed(&agreed);
                     if let Some(acting) = &mut self.acting {
-                        acting.set_rtt_table(&agreed.trips);
+                        acting.set_rtt_table(&agreed.rtts);
                         acting.set_document(&agreed.places);
                     }
                     (self.agreed, self.number) = (Some(Arc::new(agreed)), common.number);
@@ -215,7 +217,7 @@
         self.act();
         if let Some(link) = &self.setup.link {
             let number = self.number;
-            link.acts.send_if_modified(|acts| std::mem::replace(acts, number) != number);
+            link.applied_number.send_if_modified(|acts| std::mem::replace(acts, number) != number);
         }
     }
 
@@ -235,28 +237,28 @@
         }
         if self.leading.is_none() {
             self.rests_on = number;
-            let stands = standing.committed.as_ref().map(|agreed| Agreed::decode(&agreed.body));
+            let stands = standing.committed.as_ref().map(|agreed| AgreedState::decode(&agreed.body));
             let stands = match stands {
                 Some(None) => {
                     tracing::error!(
                         "what stands in the log of places can't be read here: it is written anew"
                     );
-                    Agreed::default()
+                    AgreedState::default()
                 }
                 Some(Some(agreed)) => {
                     self.note_agreed(&agreed);
                     agreed
                 }
-                None => Agreed::default(),
+                None => AgreedState::default(),
             };
             tracing::info!("leads places");
-            let mut leading = Leading::new((*config).clone(), stands, self.now());
-            leading.set_longest_lease(standing.max_lease);
+            let mut leading = LeaderState::new((*config).clone(), stands, self.now());
+            leading.set_max_lease(standing.max_lease);
             self.leading = Some(leading);
         }
     }
 
-    fn note_agreed(&self, agreed: &Agreed) {
+    fn note_agreed(&self, agreed: &AgreedState) {
         let plan = &agreed.places.plan;
         if plan.epoch > 0 && self.board.writer.is_on() {
             let digest = maplehook_versions::digest(&format!("{:?}", plan.rows));
@@ -314,9 +316,11 @@
         let expect = self.rests_on;
         let (done, ended) = oneshot::channel();
         let sent = match &self.setup.link {
-            Some(link) => {
-                link.places.proposals.try_send(PartProposal { expected: expect, body, outcome: done }).is_ok()
-            }
+            Some(link) => link
+                .channels
+                .proposals
+                .try_send(PartProposal { expected: expect, body, outcome: done })
+                .is_ok(),
             None => false,
         };
         self.on_its_way = Some(OnItsWay { done: ended, until: Instant::now() + WISH, wisher });
@@ -337,7 +341,7 @@
         match &mut self.leading {
             Some(leading) if ended.is_ok() => {
                 self.rests_on = ended.unwrap_or(self.rests_on);
-                let agreed = leading.ended(true).cloned();
+                let agreed = leading.finish_proposal(true).cloned();
                 if let Some(agreed) = agreed {
                     self.note_agreed(&agreed);
                 }
@@ -376,7 +380,7 @@
 
 async fn heard(link: &mut Option<Link>) -> Option<(Name, Bytes)> {
     match link {
-        Some(link) => link.places.incoming.recv().await,
+        Some(link) => link.channels.incoming.recv().await,
         None => std::future::pending().await,
     }
 }
--- a/crates/failover-agent/src/shown.rs
+++ b/crates/failover-agent/src/status.rs
@@ -1,7 +1,7 @@
 //! What operators are shown of places.
 
 use crate::config::Config;
-use crate::talk::Agreed;
+use crate::messages::AgreedState;
 use maplehook_failover::FULL_SHARE;
 use maplehook_failover::rtt::RttTable;
 use maplehook_locality::Topology;
@@ -10,7 +10,7 @@
 
 /// A zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShownPlace {
+pub struct ZoneStatus {
     /// Its name.
     pub zone: String,
     /// Its region.
@@ -31,7 +31,7 @@
 
 /// A part of a row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShownShare {
+pub struct ShareStatus {
     /// To which zone.
     pub zone: String,
     /// How much of the row, 0 to 1.
@@ -40,31 +40,33 @@
 
 /// A row of the plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShownRow {
+pub struct RowStatus {
     /// The rule.
     pub rule: String,
     /// The zone that requests come into.
     pub from: String,
     /// Where they go; what is missing to 1 is refused.
-    pub to: Vec<ShownShare>,
+    #[serde(rename = "to")]
+    pub shares: Vec<ShareStatus>,
 }
 
 /// The way between two zones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShownTrip {
+pub struct RttStatus {
     /// One of them.
     pub a: String,
     /// The other one.
     pub b: String,
     /// There and back, in milliseconds.
-    pub ms: f64,
+    #[serde(rename = "ms")]
+    pub rtt_ms: f64,
     /// Whether the file says so; else it was measured.
     pub stated: bool,
 }
 
 /// What `GET /control/places` shows.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Shown {
+pub struct FailoverStatus {
     /// The epoch of the plan that is acted on here; 0 before the first.
     pub epoch: u64,
     /// The number of what is agreed on, in the log.
@@ -72,58 +74,66 @@
     /// Who leads, as far as is known.
     pub leader: Option<String>,
     /// Whether the plan that is agreed on is acted on here.
-    pub in_common: bool,
+    #[serde(rename = "in_common")]
+    pub uses_shared_plan: bool,
     /// By what else, if it is not.
-    pub by: String,
+    #[serde(rename = "by")]
+    pub routing_reason: String,
     /// The own zone.
     pub own_zone: String,
     /// The own region.
     pub own_region: String,
     /// All zones.
-    pub places: Vec<ShownPlace>,
+    #[serde(rename = "places")]
+    pub zones: Vec<ZoneStatus>,
     /// Rows that differ from the first step of their rule.
-    pub plan: Vec<ShownRow>,
+    pub plan: Vec<RowStatus>,
     /// What this balancer acts on itself, rule by rule.
-    pub acts: Vec<ShownRow>,
+    #[serde(rename = "acts")]
+    pub active_rows: Vec<RowStatus>,
     /// What operators have taken out: zones, by whom, for how long still.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub evacuated: Vec<(Vec<String>, String, Option<u64>)>,
     /// Who holds the plan as it is.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub held: Option<String>,
+    #[serde(rename = "held")]
+    pub held_by: Option<String>,
     /// Why nothing moves though much seems ill.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub shared_cause: Option<String>,
     /// Ways between zones that are stated or measured, in the order of the zones.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub trips: Vec<ShownTrip>,
+    #[serde(rename = "trips")]
+    pub rtts: Vec<RttStatus>,
     /// Balancers in touch whose program knows no places.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub without: Vec<String>,
+    #[serde(rename = "without")]
+    pub members_without_failover: Vec<String>,
     /// Balancers in touch that act on the plan, as the leader knows.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub with: Vec<String>,
+    #[serde(rename = "with")]
+    pub members_on_plan: Vec<String>,
 }
 
 /// Ways that are known, by these zones and by what was measured in common.
-pub(crate) fn trips(topology: &Topology, measured: Option<&RttTable>) -> Vec<ShownTrip> {
+pub(crate) fn trips(topology: &Topology, measured: Option<&RttTable>) -> Vec<RttStatus> {
     let mut known = topology.clone();
     known.set_measured(measured.into_iter().flat_map(|measured| measured.resolve(topology)));
     let pairs = topology.zones().flat_map(|a| topology.zones().filter(move |b| a < *b).map(move |b| (a, b)));
     let trip = |(a, b)| {
-        Some(ShownTrip {
+        Some(RttStatus {
             a: topology.zone_name(a).to_owned(),
             b: topology.zone_name(b).to_owned(),
-            ms: known.trip(a, b)?.as_secs_f64() * 1e3,
+            rtt_ms: known.trip(a, b)?.as_secs_f64() * 1e3,
             stated: known.stated(a, b).is_some(),
         })
     };
     pairs.filter_map(trip).collect()
 }
 
-impl Shown {
+impl FailoverStatus {
     /// The part that stands in what is agreed on, which came so long ago.
-    pub fn of(config: &Config, agreed: &Agreed, age: Duration) -> Self {
+    pub fn from_agreed(config: &Config, agreed: &AgreedState, age: Duration) -> Self {
         let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
         let document = &agreed.places;
         let topology = &config.topology;
@@ -131,7 +141,7 @@
         let places = document.zone_statuses.iter().enumerate().map(|(n, place)| {
             let name = zone(n);
             let region = topology.zone(&name).map(|zone| topology.region_name(topology.region_of(zone)));
-            ShownPlace {
+            ZoneStatus {
                 region: region.unwrap_or_default().to_owned(),
                 zone: name,
                 state: place.state.as_str().into(),
@@ -142,13 +152,13 @@
                 observers: place.observers,
             }
         });
-        let rows = document.plan.rows.iter().map(|row| ShownRow {
+        let rows = document.plan.rows.iter().map(|row| RowStatus {
             rule: document.rules.get(usize::from(row.rule)).cloned().unwrap_or_default(),
             from: zone(usize::from(row.from.0)),
-            to: row
+            shares: row
                 .to
                 .iter()
-                .map(|share| ShownShare {
+                .map(|share| ShareStatus {
                     zone: zone(usize::from(share.zone.0)),
                     share: f64::from(share.part) / f64::from(FULL_SHARE),
                 })
@@ -160,10 +170,10 @@
         });
         Self {
             epoch: document.plan.epoch,
-            places: places.collect(),
+            zones: places.collect(),
             plan: rows.collect(),
             evacuated: evacuated.collect(),
-            held: document.hold.as_ref().map(|held| held.by.clone()),
+            held_by: document.hold.as_ref().map(|held| held.by.clone()),
             shared_cause: document.shared_cause.clone(),
             ..Self::default()
         }
--- a/crates/failover-agent/src/board.rs
+++ b/crates/failover-agent/src/status_board.rs
@@ -2,8 +2,8 @@
 
 use crate::config::Config;
 use crate::history::{Writer, unix_us};
-use crate::shown::{Shown, ShownRow, trips};
-use crate::talk::{Agreed, Reply, Wish};
+use crate::messages::{AgreedState, OperatorRequest, Reply};
+use crate::status::{FailoverStatus, RowStatus, trips};
 use maplehook_address_announcement::{Announce, Answer, LocalBalancer};
 use maplehook_consensus::SharedDocumentStatus;
 use maplehook_history_checker::What;
@@ -22,35 +22,35 @@
 
 /// A plan that was in force, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Past {
+pub struct PastPlan {
     /// When this balancer began to act by it, in Unix milliseconds.
     pub at_ms: u64,
     /// How it stood then.
-    pub shown: Shown,
+    pub shown: FailoverStatus,
 }
 
 /// How it stands here, as the thread of places knows it.
 #[derive(Clone, Debug, Default)]
-pub struct Stands {
+pub struct LocalState {
     /// What it rests on.
     pub config: Option<Arc<Config>>,
     /// What was told last, and when.
-    pub agreed: Option<(Arc<Agreed>, Instant)>,
+    pub agreed: Option<(Arc<AgreedState>, Instant)>,
     /// Its number in the log.
     pub number: u64,
     /// Whether it is acted on.
-    pub in_common: bool,
+    pub uses_shared_plan: bool,
     /// By what, in words.
-    pub by: String,
+    pub routing_reason: String,
     /// What is acted on here, rule by rule.
-    pub acts: Vec<ShownRow>,
+    pub active_rows: Vec<RowStatus>,
     /// Share of the own clients' demand that is served, by own evidence.
     pub served: f64,
 }
 
 /// An address as `GET /control/addresses` shows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShownAddress {
+pub struct AddressStatus {
     /// Its name.
     pub name: String,
     /// What is announced.
@@ -60,7 +60,7 @@
     /// Rises with each change of it.
     pub epoch: u64,
     /// Its sites, the first first.
-    pub sites: Vec<ShownSite>,
+    pub sites: Vec<SiteStatus>,
     /// Of `one`: who holds it.
     pub holder: Option<String>,
     /// Of `one`: who is to hold it next, once the one before can announce no more.
@@ -72,7 +72,7 @@
 
 /// A site of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShownSite {
+pub struct SiteStatus {
     /// Its name.
     pub site: String,
     /// Its preference; none if it does not announce.
@@ -86,7 +86,7 @@
 
 /// What a router is answered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Announced {
+pub struct Announcement {
     /// The address's name.
     pub name: String,
     /// What is announced.
@@ -101,49 +101,49 @@
     pub good_for_ms: u64,
 }
 
-pub(crate) type Wished = (Wish, oneshot::Sender<Reply>);
+pub(crate) type Wished = (OperatorRequest, oneshot::Sender<Reply>);
 
 /// Answers operators and routers, on any thread.
 #[derive(Clone)]
-pub struct Board {
-    pub(crate) stands: watch::Receiver<Stands>,
+pub struct StatusBoard {
+    pub(crate) stands: watch::Receiver<LocalState>,
     pub(crate) standing: Option<watch::Receiver<SharedDocumentStatus>>,
     pub(crate) wishes: mpsc::Sender<Wished>,
-    pub(crate) past: Arc<Mutex<VecDeque<Past>>>,
+    pub(crate) past: Arc<Mutex<VecDeque<PastPlan>>>,
     pub(crate) writer: Writer,
     pub(crate) epoch: Instant,
     /// Whether this balancer takes clients.
     pub ready: Arc<AtomicBool>,
 }
 
-impl Board {
+impl StatusBoard {
     /// What `GET /control/places` shows.
-    pub fn places(&self) -> Shown {
+    pub fn status(&self) -> FailoverStatus {
         let stands = self.stands.borrow().clone();
         let standing = self.standing.as_ref().map(|standing| standing.borrow().clone());
         shown(&stands, standing.as_ref())
     }
 
     /// The plans that were acted on here, the newest last.
-    pub fn history(&self) -> Vec<Past> {
+    pub fn history(&self) -> Vec<PastPlan> {
         self.past.lock().unwrap_or_else(PoisonError::into_inner).iter().cloned().collect()
     }
 
     /// The plan of an epoch, if it is remembered.
-    pub fn explain(&self, epoch: u64) -> Option<Past> {
+    pub fn explain(&self, epoch: u64) -> Option<PastPlan> {
         self.history().into_iter().rev().find(|past| past.shown.epoch == epoch)
     }
 
-    pub(crate) fn remember(&self, shown: Shown) {
+    pub(crate) fn remember(&self, shown: FailoverStatus) {
         let mut past = self.past.lock().unwrap_or_else(PoisonError::into_inner);
-        past.push_back(Past { at_ms: unix_us() / 1000, shown });
+        past.push_back(PastPlan { at_ms: unix_us() / 1000, shown });
         while past.len() > REMEMBERED {
             past.pop_front();
         }
     }
 
     /// What `GET /control/addresses` shows.
-    pub fn addresses(&self) -> Vec<ShownAddress> {
+    pub fn addresses(&self) -> Vec<AddressStatus> {
         let stands = self.stands.borrow().clone();
         let Some(config) = &stands.config else { return Vec::new() };
         let agreed = stands.agreed.as_ref().map(|(agreed, _)| &agreed.addresses);
@@ -152,7 +152,7 @@
             let site = |region: &maplehook_locality::Region| {
                 let site = config.topology.region_name(*region).to_owned();
                 let record = standing.and_then(|standing| standing.sites.get(&site));
-                ShownSite {
+                SiteStatus {
                     preference: standing.and_then(|standing| standing.announcing.get(&site).copied()),
                     phase: record
                         .map_or("unknown".into(), |record| format!("{:?}", record.phase).to_lowercase()),
@@ -160,7 +160,7 @@
                     site,
                 }
             };
-            ShownAddress {
+            AddressStatus {
                 name: address.name.clone(),
                 address: address.address.clone(),
                 announce: address.announce,
@@ -176,14 +176,14 @@
 
     /// What a router is answered: an announcement, or why there is none. `None`: there is no such address. The clock is read here,
     /// after the question has come, and nothing of an answer is kept: whoever was stopped and is woken has withdrawn.
-    pub fn announce(&self, name: &str) -> Option<Result<Announced, String>> {
+    pub fn announce(&self, name: &str) -> Option<Result<Announcement, String>> {
         let stands = self.stands.borrow().clone();
         let config = stands.config.as_ref()?;
         let address = config.addresses.iter().find(|address| address.name == name)?;
         let lease = self.standing.as_ref().and_then(|standing| standing.borrow().lease_end);
         let now = Instant::now();
         let since = |at: Instant| at.saturating_duration_since(self.epoch);
-        let site = config.topology.region_name(config.topology.region_of(config.own)).to_owned();
+        let site = config.topology.region_name(config.topology.region_of(config.own_zone)).to_owned();
         let own = LocalBalancer {
             site: site.clone(),
             ready: self.ready.load(Ordering::Acquire),
@@ -195,7 +195,7 @@
         let answer = match own.answer(name, since(now)) {
             Answer::Announces { preference, epoch, good_for } => {
                 let good_for_ms = good_for.as_millis() as u64;
-                Ok(Announced {
+                Ok(Announcement {
                     name: name.to_owned(),
                     address: address.address.clone(),
                     site: site.clone(),
@@ -221,7 +221,7 @@
     }
 
     /// An operator's wish.
-    pub async fn wish(&self, wish: Wish) -> Reply {
+    pub async fn request(&self, wish: OperatorRequest) -> Reply {
         let (reply, ended) = oneshot::channel();
         if self.wishes.try_send((wish, reply)).is_err() {
             return Reply::Unavailable("too many wishes are under way".into());
@@ -235,27 +235,27 @@
     }
 }
 
-pub(crate) fn shown(stands: &Stands, standing: Option<&SharedDocumentStatus>) -> Shown {
-    let Some(config) = &stands.config else { return Shown::default() };
+pub(crate) fn shown(stands: &LocalState, standing: Option<&SharedDocumentStatus>) -> FailoverStatus {
+    let Some(config) = &stands.config else { return FailoverStatus::default() };
     let topology = &config.topology;
     let mut shown = match &stands.agreed {
-        Some((agreed, since)) => Shown::of(config, agreed, since.elapsed()),
-        None => Shown::default(),
+        Some((agreed, since)) => FailoverStatus::from_agreed(config, agreed, since.elapsed()),
+        None => FailoverStatus::default(),
     };
     shown.number = stands.number;
-    shown.in_common = stands.in_common;
-    shown.by = stands.by.clone();
-    shown.acts = stands.acts.clone();
-    shown.trips = trips(topology, stands.agreed.as_ref().map(|(agreed, _)| &agreed.trips));
-    shown.own_zone = topology.zone_name(config.own).to_owned();
-    shown.own_region = topology.region_name(topology.region_of(config.own)).to_owned();
+    shown.uses_shared_plan = stands.uses_shared_plan;
+    shown.routing_reason = stands.routing_reason.clone();
+    shown.active_rows = stands.active_rows.clone();
+    shown.rtts = trips(topology, stands.agreed.as_ref().map(|(agreed, _)| &agreed.rtts));
+    shown.own_zone = topology.zone_name(config.own_zone).to_owned();
+    shown.own_region = topology.region_name(topology.region_of(config.own_zone)).to_owned();
     if let Some(standing) = standing {
         shown.leader = standing.leader.as_ref().map(ToString::to_string);
         let newest = standing.received.as_ref().map_or(0, |common| common.number);
         for (name, acts) in &standing.members {
             match acts {
-                None => shown.without.push(name.to_string()),
-                Some(acts) if *acts >= newest => shown.with.push(name.to_string()),
+                None => shown.members_without_failover.push(name.to_string()),
+                Some(acts) if *acts >= newest => shown.members_on_plan.push(name.to_string()),
                 Some(_) => {}
             }
         }
--- a/crates/failover-agent/tests/leading.rs
+++ b/crates/failover-agent/tests/leading.rs
@@ -2,8 +2,8 @@
 
 use maplehook_failover::{Demand, Report, ZoneObservation, ZoneState};
 use maplehook_failover_agent::Config;
-use maplehook_failover_agent::lead::Leading;
-use maplehook_failover_agent::talk::{Agreed, Reply, Wish};
+use maplehook_failover_agent::leader::LeaderState;
+use maplehook_failover_agent::messages::{AgreedState, OperatorRequest, Reply};
 use maplehook_locality::Zone;
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 }
 
 fn of(text: &str) -> Config {
-    Config::of(&maplehook_config::parse(text).unwrap().proxy.unwrap()).unwrap()
+    Config::from_proxy(&maplehook_config::parse(text).unwrap().proxy.unwrap()).unwrap()
 }
 
 fn text(locality: &str) -> String {
@@ -37,11 +37,11 @@
 
 /// A leader that has heard all zones for some seconds.
 struct Led {
-    leading: Leading,
+    leading: LeaderState,
     config: Config,
     now: Duration,
     number: u64,
-    agreed: Agreed,
+    agreed: AgreedState,
 }
 
 impl Led {
@@ -51,8 +51,8 @@
 
     fn of(config: Config) -> Self {
         let now = Duration::from_secs(100);
-        let leading = Leading::new(config.clone(), Agreed::default(), now);
-        let mut led = Self { leading, config, now, number: 0, agreed: Agreed::default() };
+        let leading = LeaderState::new(config.clone(), AgreedState::default(), now);
+        let mut led = Self { leading, config, now, number: 0, agreed: AgreedState::default() };
         led.run(20);
         led
     }
@@ -65,14 +65,14 @@
             for zone in 0..4u16 {
                 for n in 0..2 {
                     let report = self.report(Zone(zone));
-                    self.leading.hear(self.now, &format!("b{zone}{n}"), report);
+                    self.leading.record_report(self.now, &format!("b{zone}{n}"), report);
                 }
             }
             let in_touch: Vec<(String, bool)> =
                 (0..4).flat_map(|zone| (0..2).map(move |n| (format!("b{zone}{n}"), true))).collect();
             if let Some(body) = self.leading.tick(self.now, &[], &in_touch) {
-                self.agreed = Agreed::decode(&body).unwrap();
-                assert_eq!(self.leading.ended(true), Some(&self.agreed));
+                self.agreed = AgreedState::decode(&body).unwrap();
+                assert_eq!(self.leading.finish_proposal(true), Some(&self.agreed));
             }
         }
     }
@@ -100,13 +100,13 @@
         }
     }
 
-    fn wish(&mut self, wish: &Wish) -> Result<Agreed, Reply> {
-        self.leading.wish(self.now, "b00", wish).map(|body| Agreed::decode(&body).unwrap())
+    fn wish(&mut self, wish: &OperatorRequest) -> Result<AgreedState, Reply> {
+        self.leading.handle_request(self.now, "b00", wish).map(|body| AgreedState::decode(&body).unwrap())
     }
 }
 
-fn evacuate(place: &str) -> Wish {
-    Wish::Evacuate { place: place.into(), for_ms: None, anyway: false }
+fn evacuate(place: &str) -> OperatorRequest {
+    OperatorRequest::Evacuate { place: place.into(), for_ms: None, anyway: false }
 }
 
 #[test]
@@ -121,9 +121,9 @@
 #[test]
 fn a_site_that_is_named_no_more_is_waited_for_by_the_leases_of_this_agreement() {
     let mut led = Led::new();
-    led.leading.set_longest_lease(Duration::from_secs(30));
+    led.leading.set_max_lease(Duration::from_secs(30));
     led.config = of(&text("").replace("name = 'n'", "name = 'm'"));
-    led.leading.retune(led.config.clone(), led.now);
+    led.leading.reconfigure(led.config.clone(), led.now);
     led.run(60);
     assert_eq!(led.agreed.addresses.addresses["book"].holder, None, "24 s after it was renamed");
     led.run(40);
@@ -133,35 +133,43 @@
 #[test]
 fn wishes_go_by_names_and_one_at_a_time() {
     let mut led = Led::new();
-    for unknown in [evacuate("x"), Wish::Move { name: "book".into(), site: "x".into(), anyway: false }] {
+    for unknown in
+        [evacuate("x"), OperatorRequest::Move { name: "book".into(), site: "x".into(), anyway: false }]
+    {
         assert!(matches!(led.wish(&unknown), Err(Reply::Refused(_))), "{unknown:?}");
     }
     let agreed = led.wish(&evacuate("b")).unwrap();
     assert_eq!(agreed.places.evacuations[0].zones, [Zone(1)]);
-    assert!(matches!(led.wish(&Wish::Hold), Err(Reply::Unavailable(_))), "one is on its way");
+    assert!(matches!(led.wish(&OperatorRequest::Hold), Err(Reply::Unavailable(_))), "one is on its way");
     assert!(led.leading.tick(led.now, &[], &[]).is_none());
-    led.agreed = led.leading.ended(true).cloned().unwrap();
+    led.agreed = led.leading.finish_proposal(true).cloned().unwrap();
     led.run(10);
     assert_eq!(led.agreed.places.zone_statuses[1].state, ZoneState::Evacuated);
     let row = led.agreed.places.plan.row(0, Zone(1)).unwrap();
     assert_eq!((row.part(Zone(0)), row.part(Zone(1))), (10_000, 0), "the neighbour has room");
-    let other = led.wish(&Wish::Release { place: Some("a".into()) });
+    let other = led.wish(&OperatorRequest::Release { place: Some("a".into()) });
     assert!(matches!(other, Err(Reply::Refused(_))), "{other:?}");
-    assert!(led.wish(&Wish::Release { place: Some("n".into()) }).unwrap().places.evacuations.is_empty());
+    assert!(
+        led.wish(&OperatorRequest::Release { place: Some("n".into()) })
+            .unwrap()
+            .places
+            .evacuations
+            .is_empty()
+    );
 }
 
 #[test]
 fn what_is_not_known_yet_may_be_asked_for_again() {
-    let mut leading = Leading::new(config(), Agreed::default(), Duration::from_secs(1));
-    let early = leading.wish(Duration::from_secs(1), "b00", &evacuate("b"));
+    let mut leading = LeaderState::new(config(), AgreedState::default(), Duration::from_secs(1));
+    let early = leading.handle_request(Duration::from_secs(1), "b00", &evacuate("b"));
     assert!(matches!(early, Err(Reply::Unavailable(_))), "{early:?}");
 }
 
 #[test]
 fn a_body_of_another_kind_is_none() {
-    assert!(Agreed::decode(b"\xff\xff\xff").is_none());
+    assert!(AgreedState::decode(b"\xff\xff\xff").is_none());
     let led = Led::new();
-    assert_eq!(Agreed::decode(&led.agreed.encode()).as_ref(), Some(&led.agreed));
+    assert_eq!(AgreedState::decode(&led.agreed.encode()).as_ref(), Some(&led.agreed));
 }
 
 /// What one says of its ways: 2 ms to its own region, so long to the other one.
@@ -175,13 +183,13 @@
 
 /// Looks during which all say so of their ways; how long until the body has another table.
 fn measured(led: &mut Led, looks: u32, far_ms: f32) -> Option<u32> {
-    let before = led.agreed.trips.clone();
+    let before = led.agreed.rtts.clone();
     (1..=looks).find(|_| {
         for zone in 0..4 {
-            led.leading.hear_trips(led.now, &format!("b{zone}0"), &ways(zone, far_ms));
+            led.leading.record_rtts(led.now, &format!("b{zone}0"), &ways(zone, far_ms));
         }
         led.run(1);
-        led.agreed.trips != before
+        led.agreed.rtts != before
     })
 }
 
@@ -189,23 +197,23 @@
 fn ways_are_agreed_on_after_a_time_and_stay_with_whoever_leads_next() {
     let mut led = Led::new();
     // Nobody who is not known to be anywhere is heard.
-    led.leading.hear_trips(led.now, "stranger", &ways(0, 9.0));
+    led.leading.record_rtts(led.now, "stranger", &ways(0, 9.0));
     let took = measured(&mut led, 30, 12.0).expect("a table");
     assert!((12..=15).contains(&took), "5 s of 400 ms each, and not {took}");
     let (epoch, of) = (led.agreed.places.plan.epoch, |trips: &maplehook_failover::rtt::RttTable, a, b| {
         trips.rtts.iter().find(|trip| (trip.a, trip.b) == (a, b)).map(|trip| trip.us)
     });
-    assert_eq!(led.agreed.trips.rtts.len(), 6);
-    assert_eq!(of(&led.agreed.trips, 0, 1), Some(2000));
-    assert_eq!(of(&led.agreed.trips, 0, 2), Some(12_000));
+    assert_eq!(led.agreed.rtts.rtts.len(), 6);
+    assert_eq!(of(&led.agreed.rtts, 0, 1), Some(2000));
+    assert_eq!(of(&led.agreed.rtts, 0, 2), Some(12_000));
     assert_eq!(measured(&mut led, 10, 12.9), None, "no more than a jitter");
-    let next = Leading::new(led.config.clone(), led.agreed.clone(), led.now);
+    let next = LeaderState::new(led.config.clone(), led.agreed.clone(), led.now);
     led.leading = next;
     assert!(measured(&mut led, 10, 40.0).is_none(), "it begins to wait anew");
-    let kept = led.agreed.trips.clone();
+    let kept = led.agreed.rtts.clone();
     assert_eq!(of(&kept, 0, 2), Some(12_000));
     assert!(measured(&mut led, 10, 40.0).is_some());
-    assert_eq!(of(&led.agreed.trips, 0, 2), Some(40_000));
+    assert_eq!(of(&led.agreed.rtts, 0, 2), Some(40_000));
     assert_eq!(led.agreed.places.plan.epoch, epoch, "near first is the same rule however long a way is");
 }
 
@@ -219,12 +227,12 @@
         postcard::from_bytes(&body).unwrap();
     assert_eq!((&before.0, &before.1), (&led.agreed.places, &led.agreed.addresses));
     let old = postcard::to_allocvec(&before).unwrap();
-    let read = Agreed::decode(&old).unwrap();
-    assert_eq!(read, Agreed { trips: Default::default(), ..led.agreed.clone() });
-    assert!(Agreed::decode(&body[..body.len() - 1]).is_none(), "cut short");
+    let read = AgreedState::decode(&old).unwrap();
+    assert_eq!(read, AgreedState { rtts: Default::default(), ..led.agreed.clone() });
+    assert!(AgreedState::decode(&body[..body.len() - 1]).is_none(), "cut short");
     let mut wild = led.agreed;
-    wild.trips.rtts.reverse();
-    assert!(Agreed::decode(&wild.encode()).is_none());
+    wild.rtts.rtts.reverse();
+    assert!(AgreedState::decode(&wild.encode()).is_none());
 }
 
 /// A step that is only for what is near enough holds no zone before its way was measured, for this leader as for the next one.
@@ -232,16 +240,16 @@
 fn a_plan_goes_by_the_ways_that_are_agreed_on() {
     let rules = "rules = 'rule all { prefer own zone > own region within 5ms; when lost refuse; }'\n";
     let mut led = Led::of(ruled(rules));
-    let wish = Wish::Evacuate { place: "a".into(), for_ms: None, anyway: true };
-    led.leading.wish(led.now, "b00", &wish).unwrap();
-    led.agreed = led.leading.ended(true).unwrap().clone();
+    let wish = OperatorRequest::Evacuate { place: "a".into(), for_ms: None, anyway: true };
+    led.leading.handle_request(led.now, "b00", &wish).unwrap();
+    led.agreed = led.leading.finish_proposal(true).unwrap().clone();
     led.run(20);
     let to_b = |led: &Led| led.agreed.places.plan.row(0, Zone(0)).map(|row| row.part(Zone(1)));
     assert_eq!(to_b(&led), Some(0), "nobody knows how far it is");
     measured(&mut led, 30, 12.0).expect("a table");
     led.run(20);
     assert!(to_b(&led).is_some_and(|part| part > 9000), "{:?}", led.agreed.places.plan);
-    led.leading = Leading::new(led.config.clone(), led.agreed.clone(), led.now);
+    led.leading = LeaderState::new(led.config.clone(), led.agreed.clone(), led.now);
     for _ in 0..40 {
         led.run(1);
         assert!(to_b(&led).is_some_and(|part| part > 9000), "{:?}", led.agreed.places.plan);
--- a/crates/proxy/src/counts.rs
+++ b/crates/proxy/src/counts.rs
@@ -4,7 +4,7 @@
 use maplehook::tally::{Counting, End, Looks};
 use maplehook_canary::IntervalReport;
 use maplehook_core::{ClassId, TenantId};
-use maplehook_rollout_agent::taking::Serving;
+use maplehook_rollout_agent::agent::ServingChannels;
 use std::cell::RefCell;
 use std::mem;
 use std::rc::Rc;
@@ -85,7 +85,7 @@
 /// What the thread that serves has of a part in changes in stages.
 pub struct Part {
     /// What passes to and from the part's thread.
-    pub serving: Serving,
+    pub serving: ServingChannels,
     /// What counts.
     pub counts: Rc<Counts>,
 }
--- a/crates/proxy/src/locality_command.rs
+++ b/crates/proxy/src/locality_command.rs
@@ -4,7 +4,7 @@
 use crate::settings::Outcome;
 use crate::tier::ask;
 use maplehook_config::{Operator, Places};
-use maplehook_failover_agent::shown::Shown;
+use maplehook_failover_agent::status::FailoverStatus;
 use maplehook_locality::explain::explain;
 use maplehook_locality::language::{self, Names};
 use maplehook_locality::state::Seen;
@@ -114,17 +114,17 @@
                     Some(name) => topology.zone(name).ok_or_else(|| format!("there is no zone {name:?}"))?,
                     None => places.own,
                 };
-                let shown: Option<Shown> = match (state, address) {
+                let shown: Option<FailoverStatus> = match (state, address) {
                     (Some(path), _) => Some(serde_json::from_str(&read(path)?)?),
                     (None, Some(address)) => Some(serde_json::from_slice(&ask(*address, PLACES)?)?),
                     (None, None) => None,
                 };
                 // What is measured stands in what a balancer shows; what the file states stands before it.
                 let mut topology = topology.clone();
-                let measured = shown.iter().flat_map(|shown| &shown.trips).filter(|trip| !trip.stated);
+                let measured = shown.iter().flat_map(|shown| &shown.rtts).filter(|trip| !trip.stated);
                 let ways: Vec<_> = measured
                     .filter_map(|trip| {
-                        let took = Duration::try_from_secs_f64(trip.ms / 1e3).ok()?;
+                        let took = Duration::try_from_secs_f64(trip.rtt_ms / 1e3).ok()?;
                         Some((topology.zone(&trip.a)?, topology.zone(&trip.b)?, took))
                     })
                     .collect();
@@ -135,13 +135,13 @@
                 let explained =
                     explain(&places.rules, &names, class, tenant, from, &seen.collect::<Vec<_>>());
                 let mut text = format!("{explained}\n");
-                if let Some(shown) = shown.filter(|shown| shown.in_common) {
+                if let Some(shown) = shown.filter(|shown| shown.uses_shared_plan) {
                     let row = shown
                         .plan
                         .iter()
                         .find(|row| row.rule == explained.rule.name && row.from == topology.zone_name(from));
                     let to = row.map(|row| {
-                        row.to.iter().map(|share| format!("{} {:.1} %", share.zone, 100.0 * share.share))
+                        row.shares.iter().map(|share| format!("{} {:.1} %", share.zone, 100.0 * share.share))
                     });
                     // Writing to a string can't fail.
                     let _ = match to {
@@ -171,8 +171,8 @@
 }
 
 /// How a zone stands, by what is shown; well and empty where nothing is.
-fn seen(shown: Option<&Shown>, zone: &str) -> Seen {
-    let place = shown.and_then(|shown| shown.places.iter().find(|place| place.zone == zone));
+fn seen(shown: Option<&FailoverStatus>, zone: &str) -> Seen {
+    let place = shown.and_then(|shown| shown.zones.iter().find(|place| place.zone == zone));
     let Some(place) = place else { return Seen { load: 0.0, usable: 1.0 } };
     let usable = match place.state.as_str() {
         "lost" | "evacuated" => 0.0,
--- a/crates/proxy/src/nearness.rs
+++ b/crates/proxy/src/nearness.rs
@@ -5,8 +5,8 @@
 use maplehook_config::Proxy;
 use maplehook_consensus::ConsensusService;
 use maplehook_core::{GroupSplit, TrafficSplit, ZoneId};
-use maplehook_failover_agent::rates::{RuleSeen, Seen, ZoneSeen};
-use maplehook_failover_agent::{Acted, Config, Link, Setup, TARGETS_MOST, Taking};
+use maplehook_failover_agent::rates::{CounterSnapshot, RuleCounters, ZoneCounters};
+use maplehook_failover_agent::{ActiveRouting, Agent, Config, Link, MAX_PROBE_TARGETS, Setup};
 use maplehook_locality::Zone;
 use maplehook_transport::MeasuredRtts;
 use maplehook_versions::{ResolvedRules, StableIds};
@@ -57,7 +57,7 @@
 /// A part in places, before anybody is let in.
 pub struct Part {
     /// The thread, as long as this lives.
-    pub taking: Taking,
+    pub taking: Agent,
     /// Where versions tell of themselves.
     pub of: PlacesOf,
     /// What the thread that serves is to run.
@@ -66,9 +66,9 @@
 
 /// What passes between the two threads, at the one that serves.
 pub struct Follow {
-    acted: watch::Receiver<Option<Arc<Acted>>>,
+    acted: watch::Receiver<Option<Arc<ActiveRouting>>>,
     names: watch::Receiver<Names>,
-    seen: watch::Sender<Seen>,
+    seen: watch::Sender<CounterSnapshot>,
     ready: Arc<AtomicBool>,
 }
 
@@ -94,36 +94,36 @@
         let Begin { name, proxy, ready, trips, balancers, history } = begin;
         let (config, configs) = watch::channel(None);
         let (names_to, names) = watch::channel(Names::default());
-        let (seen, sees) = watch::channel(Seen::default());
+        let (seen, sees) = watch::channel(CounterSnapshot::default());
         let of = PlacesOf { config, names: names_to };
         // Numbers from the start on, as versions go on with them.
         of.tell(proxy, &StableIds::default().assign(proxy));
         let link = agreeing.and_then(|agreeing| {
             let places = agreeing.failover.take()?;
             let (standing, acts) = (agreeing.failover_status.clone(), agreeing.applied_document.clone());
-            Some(Link { standing, acts, places })
+            Some(Link { document_status: standing, applied_number: acts, channels: places })
         });
         let start = maplehook_transport::unix_ms();
         let setup = Setup {
             name,
-            start,
+            generation: start,
             config: configs,
-            seen: sees,
+            counters: sees,
             link,
-            trips,
-            balancers,
+            rtts: trips,
+            balancer_count: balancers,
             ready: Arc::clone(&ready),
             history,
         };
-        let taking = Taking::start(setup)?;
-        let follow = Follow { acted: taking.acted.clone(), names, seen, ready };
+        let taking = Agent::start(setup)?;
+        let follow = Follow { acted: taking.active_routing.clone(), names, seen, ready };
         Ok(Self { taking, of, follow })
     }
 }
 
 /// What the module is to act on.
-pub fn shares(acted: &Acted, names: &Names) -> TrafficSplit {
-    let Config { topology, rules, own, classes, tenants, .. } = &*acted.config;
+pub fn shares(acted: &ActiveRouting, names: &Names) -> TrafficSplit {
+    let Config { topology, rules, own_zone: own, classes, tenants, .. } = &*acted.config;
     let zone = |zone: Zone| names.zone(topology.zone_name(zone));
     let position = |names: &[String], name: &String| names.iter().position(|known| known == name);
     let mut groups = Vec::with_capacity(names.classes.len() * names.tenants.len());
@@ -138,7 +138,7 @@
         topology.zones_of(topology.region_of(*own)).iter().filter_map(|of| zone(*of)).collect();
     let row = |(n, rule): (usize, &maplehook_locality::Rule)| {
         let never: Vec<ZoneId> = rule.never.iter().filter_map(|of| zone(*of)).collect();
-        let parts = acted.acts.rules.get(n).map_or(&[][..], |shares| &shares.to);
+        let parts = acted.routing.rules.get(n).map_or(&[][..], |shares| &shares.to);
         let to = parts.iter().filter_map(|(to, part)| Some((zone(*to)?, *part)));
         GroupSplit {
             zone_shares: to.filter(|(zone, _)| !never.contains(zone)).collect(),
@@ -155,36 +155,40 @@
 }
 
 /// What is seen, counted by a version's zones and rules.
-pub fn seen(driver: &Driver, config: &Config, names: &Names, at: Duration, ready: bool) -> Seen {
+pub fn seen(driver: &Driver, config: &Config, names: &Names, at: Duration, ready: bool) -> CounterSnapshot {
     let sights = driver.observations();
     let zone = |zone: Zone| {
         let id = names.zone(config.topology.zone_name(zone));
         let sight = sights.zones.iter().find(|sight| Some(sight.zone) == id);
-        let each = config.rooms.get(usize::from(zone.0)).copied().flatten();
+        let each = config.capacity_per_weight.get(usize::from(zone.0)).copied().flatten();
         let of = |weight: f64| weight * each.unwrap_or(1.0);
-        let mut seen = ZoneSeen { zone, stated: each.is_some(), ..ZoneSeen::default() };
+        let mut seen = ZoneCounters { zone, stated: each.is_some(), ..ZoneCounters::default() };
         if let Some(sight) = sight {
-            (seen.listed, seen.usable, seen.cold) =
+            (seen.listed, seen.usable, seen.slow_start) =
                 (of(sight.listed_weight), of(sight.usable_weight), of(sight.warming_weight));
             (seen.sent, seen.ok, seen.slow) = (sight.sent, sight.succeeded, sight.lagging);
             (seen.failed, seen.unreached, seen.load) = (sight.failed, sight.unreachable, sight.load);
         }
         seen
     };
-    Seen {
+    CounterSnapshot {
         at,
         digest: config.digest,
         ready,
         zones: config.topology.zones().map(zone).collect(),
         upstreams: Arc::default(),
-        rules: sights.groups.iter().map(|g| RuleSeen { asked: g.requests, refused: g.rejected }).collect(),
+        rules: sights
+            .groups
+            .iter()
+            .map(|g| RuleCounters { requests: g.requests, rejected: g.rejected })
+            .collect(),
     }
 }
 
 /// Where upstreams of a version's zones listen that may be sent to, whichever source listed them.
 fn listed(driver: &Driver, config: &Config, names: &Names) -> Vec<(Zone, SocketAddr)> {
     let zone = |id: ZoneId| config.topology.zone(names.zones.get(usize::from(id.0))?);
-    let all = driver.endpoints(TARGETS_MOST).into_iter();
+    let all = driver.endpoints(MAX_PROBE_TARGETS).into_iter();
     all.filter_map(|(id, address)| Some((zone(id)?, address))).collect()
 }
 
@@ -212,7 +216,7 @@
                         }
                         count += 1;
                         let seen = seen(&driver, config, &names, begun.elapsed(), ready);
-                        self.seen.send_replace(Seen { upstreams: Arc::clone(&upstreams), ..seen });
+                        self.seen.send_replace(CounterSnapshot { upstreams: Arc::clone(&upstreams), ..seen });
                     }
                     continue;
                 }
@@ -242,8 +246,8 @@
             [[upstream]]\nname = 'u'\naddress = '127.0.0.1:9'\nzone = 'b'\nroom_per_s = 30.0\nweight = 2.0\n[locality]\nrules = '''\n\
             rule x { for class \"book\"; prefer own zone > anywhere; never zone \"c\"; beyond region at most 20%; }\n'''\n";
         let proxy = maplehook_config::parse(text).unwrap().proxy.unwrap();
-        let config = Arc::new(Config::of(&proxy).unwrap());
-        assert_eq!(config.rooms, [None, Some(15.0), None]);
+        let config = Arc::new(Config::from_proxy(&proxy).unwrap());
+        assert_eq!(config.capacity_per_weight, [None, Some(15.0), None]);
         let names = Names {
             classes: ["gone", "book", "look"].map(String::from).into(),
             tenants: vec![String::new()],
@@ -254,7 +258,8 @@
             rejected: 0.0,
         };
         let rules = vec![by(&[(0, 0.25), (1, 0.75)]), by(&[(1, 0.5), (2, 0.5)])];
-        let acted = Acted { config, acts: EffectiveRouting { rules, ..EffectiveRouting::default() } };
+        let acted =
+            ActiveRouting { config, routing: EffectiveRouting { rules, ..EffectiveRouting::default() } };
         let shares = shares(&acted, &names);
         assert_eq!(shares.check(), Ok(()));
         assert_eq!(shares.groups, [u16::MAX, 0, 1], "what there is no more has the last row");
--- a/crates/proxy/src/places.rs
+++ b/crates/proxy/src/places.rs
@@ -2,8 +2,8 @@
 
 use crate::signed::Seal;
 use hyper::StatusCode;
-use maplehook_failover_agent::Board;
-use maplehook_failover_agent::talk::{Reply, Wish};
+use maplehook_failover_agent::StatusBoard;
+use maplehook_failover_agent::messages::{OperatorRequest, Reply};
 use serde::Serialize;
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 /// Answers these calls.
 #[derive(Clone)]
 pub struct Desk {
-    board: Board,
+    board: StatusBoard,
     seal: Option<Arc<Seal>>,
 }
 
@@ -30,14 +30,14 @@
 
 impl Desk {
     /// Without a seal nothing is decided in common, and no wish is taken.
-    pub fn new(board: Board, seal: Option<Arc<Seal>>) -> Self {
+    pub fn new(board: StatusBoard, seal: Option<Arc<Seal>>) -> Self {
         Self { board, seal }
     }
 
     /// The answer to `GET /control/places`, by its query.
     pub fn places(&self, query: Option<&str>) -> (StatusCode, String) {
         match query {
-            None | Some("") => (StatusCode::OK, json(&self.board.places())),
+            None | Some("") => (StatusCode::OK, json(&self.board.status())),
             Some("history") => (StatusCode::OK, json(&self.board.history())),
             Some(query) => match query.strip_prefix("explain=").map(str::parse) {
                 Some(Ok(epoch)) => match self.board.explain(epoch) {
@@ -80,11 +80,11 @@
                 "without [agreement] nothing is decided in common\n".into(),
             );
         };
-        let wish: Wish = match seal.opened(header, body) {
+        let wish: OperatorRequest = match seal.opened(header, body) {
             Ok(wish) => wish,
             Err(answer) => return answer,
         };
-        match self.board.wish(wish).await {
+        match self.board.request(wish).await {
             Reply::Done(number) => (StatusCode::OK, format!("{{\"number\":{number}}}\n")),
             Reply::Refused(why) => (StatusCode::CONFLICT, why + "\n"),
             Reply::Unavailable(why) => (StatusCode::SERVICE_UNAVAILABLE, why + "\n"),
--- a/crates/proxy/src/places_command.rs
+++ b/crates/proxy/src/places_command.rs
@@ -5,9 +5,9 @@
 use crate::tier::ask;
 use crate::whom::Whom;
 use maplehook_config::Operator;
-use maplehook_failover_agent::board::{Past, ShownAddress};
-use maplehook_failover_agent::shown::{Shown, ShownRow};
-use maplehook_failover_agent::talk::Wish;
+use maplehook_failover_agent::messages::OperatorRequest;
+use maplehook_failover_agent::status::{FailoverStatus, RowStatus};
+use maplehook_failover_agent::status_board::{AddressStatus, PastPlan};
 use std::error::Error;
 use std::fmt::Write;
 use std::time::Duration;
@@ -51,7 +51,7 @@
     },
 }
 
-fn wished(whom: &Whom, operator: &Operator, wish: &Wish) -> Result<Outcome, Box<dyn Error>> {
+fn wished(whom: &Whom, operator: &Operator, wish: &OperatorRequest) -> Result<Outcome, Box<dyn Error>> {
     let ended = whom.wish(operator, PLACES, wish)?;
     if ended.code != 0 || whom.json {
         return Ok(ended);
@@ -78,12 +78,12 @@
         match &self.action {
             PlacesAction::Status { watch } => loop {
                 let text = read("")?;
-                let shown: Shown = serde_json::from_str(&text)?;
+                let shown: FailoverStatus = serde_json::from_str(&text)?;
                 let text = if self.whom.json { text } else { table(&shown) };
                 if !watch {
                     let serving =
-                        |place: &maplehook_failover_agent::shown::ShownPlace| place.state == "serving";
-                    let fine = shown.in_common && shown.places.iter().all(serving);
+                        |place: &maplehook_failover_agent::status::ZoneStatus| place.state == "serving";
+                    let fine = shown.uses_shared_plan && shown.zones.iter().all(serving);
                     return Ok(Outcome { text, code: if fine { 0 } else { 2 } });
                 }
                 print!("{text}");
@@ -91,11 +91,11 @@
             },
             PlacesAction::History => {
                 let text = read("?history")?;
-                let past: Vec<Past> = serde_json::from_str(&text)?;
-                let row = |past: &Past| {
+                let past: Vec<PastPlan> = serde_json::from_str(&text)?;
+                let row = |past: &PastPlan| {
                     let odd: Vec<String> = past
                         .shown
-                        .places
+                        .zones
                         .iter()
                         .filter(|p| p.state != "serving")
                         .map(|p| format!("{} {}", p.zone, p.state))
@@ -113,7 +113,7 @@
             }
             PlacesAction::Explain { epoch } => {
                 let text = read(&format!("?explain={epoch}"))?;
-                let past: Past = serde_json::from_str(&text)?;
+                let past: PastPlan = serde_json::from_str(&text)?;
                 let said = format!("acted on here from {} ms on\n{}", past.at_ms, table(&past.shown));
                 Ok(Outcome { text: if self.whom.json { text } else { said }, code: 0 })
             }
@@ -122,22 +122,22 @@
                 wished(
                     &self.whom,
                     operator,
-                    &Wish::Evacuate { place: place.clone(), for_ms, anyway: *anyway },
+                    &OperatorRequest::Evacuate { place: place.clone(), for_ms, anyway: *anyway },
                 )
             }
-            PlacesAction::Hold => wished(&self.whom, operator, &Wish::Hold),
+            PlacesAction::Hold => wished(&self.whom, operator, &OperatorRequest::Hold),
             PlacesAction::Release { place } => {
-                wished(&self.whom, operator, &Wish::Release { place: place.clone() })
+                wished(&self.whom, operator, &OperatorRequest::Release { place: place.clone() })
             }
         }
     }
 }
 
-fn rows(text: &mut String, rows: &[ShownRow]) {
+fn rows(text: &mut String, rows: &[RowStatus]) {
     for row in rows {
         let to: Vec<String> =
-            row.to.iter().map(|share| format!("{} {:.1} %", share.zone, 100.0 * share.share)).collect();
-        let total: f64 = row.to.iter().map(|share| share.share).sum();
+            row.shares.iter().map(|share| format!("{} {:.1} %", share.zone, 100.0 * share.share)).collect();
+        let total: f64 = row.shares.iter().map(|share| share.share).sum();
         let refused =
             if total < 0.9995 { format!(", {:.1} % refused", 100.0 * (1.0 - total)) } else { String::new() };
         // Writing to a string can't fail.
@@ -145,19 +145,19 @@
     }
 }
 
-fn table(shown: &Shown) -> String {
+fn table(shown: &FailoverStatus) -> String {
     let mut text = format!(
         "plan {}, leader {}; in zone {} of region {}: acts by {}\n",
         shown.epoch,
         shown.leader.as_deref().unwrap_or("unknown"),
         shown.own_zone,
         shown.own_region,
-        shown.by
+        shown.routing_reason
     );
     if let Some(why) = &shown.shared_cause {
         let _ = writeln!(text, "nothing moves: {why}");
     }
-    if let Some(by) = &shown.held {
+    if let Some(by) = &shown.held_by {
         let _ = writeln!(text, "the plan is held by {by}");
     }
     for (zones, by, left) in &shown.evacuated {
@@ -169,7 +169,7 @@
         "{:<16} {:<12} {:<10} {:>9} {:>7} {:>10} {:>5}  why",
         "zone", "region", "state", "usable", "load", "for", "seen"
     );
-    for place in &shown.places {
+    for place in &shown.zones {
         let _ = writeln!(
             text,
             "{:<16} {:<12} {:<10} {:>9.1} {:>6.0}% {:>8.1} s {:>5}  {}",
@@ -183,23 +183,23 @@
             place.why
         );
     }
-    if !shown.trips.is_empty() {
+    if !shown.rtts.is_empty() {
         text += "round trips between zones:\n";
-        for trip in &shown.trips {
+        for trip in &shown.rtts {
             let by = if trip.stated { "stated" } else { "measured" };
-            let _ = writeln!(text, "  {:<16} {:<16} {:>8.1} ms  {by}", trip.a, trip.b, trip.ms);
+            let _ = writeln!(text, "  {:<16} {:<16} {:>8.1} ms  {by}", trip.a, trip.b, trip.rtt_ms);
         }
     }
     if !shown.plan.is_empty() {
         text += "rows that differ from the first step:\n";
         rows(&mut text, &shown.plan);
     }
-    if !shown.in_common {
+    if !shown.uses_shared_plan {
         text += "acts here on:\n";
-        rows(&mut text, &shown.acts);
+        rows(&mut text, &shown.active_rows);
     }
-    if !shown.without.is_empty() {
-        let _ = writeln!(text, "programs without places: {}", shown.without.join(", "));
+    if !shown.members_without_failover.is_empty() {
+        let _ = writeln!(text, "programs without places: {}", shown.members_without_failover.join(", "));
     }
     text
 }
@@ -254,29 +254,30 @@
             AddressesAction::Status => {
                 let text =
                     String::from_utf8_lossy(&ask(self.whom.address(operator)?, ADDRESSES)?).into_owned();
-                let shown: Vec<ShownAddress> = serde_json::from_str(&text)?;
-                let announced = |address: &ShownAddress| address.sites.iter().any(|s| s.preference.is_some());
+                let shown: Vec<AddressStatus> = serde_json::from_str(&text)?;
+                let announced =
+                    |address: &AddressStatus| address.sites.iter().any(|s| s.preference.is_some());
                 let fine = shown.iter().all(announced);
                 let text = if self.whom.json { text } else { listed(&shown) };
                 Ok(Outcome { text, code: if fine { 0 } else { 2 } })
             }
             AddressesAction::Move { name, site, anyway } => {
                 let (name, site) = (name.clone(), site.clone());
-                wished(&self.whom, operator, &Wish::Move { name, site, anyway: *anyway })
+                wished(&self.whom, operator, &OperatorRequest::Move { name, site, anyway: *anyway })
             }
             AddressesAction::Withdraw { name, site, anyway } => {
                 let (name, site) = (name.clone(), site.clone());
-                wished(&self.whom, operator, &Wish::Withdraw { name, site, anyway: *anyway })
+                wished(&self.whom, operator, &OperatorRequest::Withdraw { name, site, anyway: *anyway })
             }
             AddressesAction::Restore { name, site } => {
                 let (name, site) = (name.clone(), site.clone());
-                wished(&self.whom, operator, &Wish::Restore { name, site })
+                wished(&self.whom, operator, &OperatorRequest::Restore { name, site })
             }
         }
     }
 }
 
-fn listed(addresses: &[ShownAddress]) -> String {
+fn listed(addresses: &[AddressStatus]) -> String {
     let mut text = String::new();
     for address in addresses {
         let kind = format!("{:?}", address.announce).to_lowercase();
--- a/crates/proxy/src/rollout.rs
+++ b/crates/proxy/src/rollout.rs
@@ -3,8 +3,8 @@
 
 use crate::signed::Seal;
 use hyper::StatusCode;
-use maplehook_rollout_agent::Board;
-use maplehook_rollout_agent::talk::{Reply, Wish};
+use maplehook_rollout_agent::StatusBoard;
+use maplehook_rollout_agent::messages::{OperatorRequest, Reply};
 use serde::Serialize;
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 /// Answers these calls.
 #[derive(Clone)]
 pub struct Desk {
-    board: Board,
+    board: StatusBoard,
     seal: Arc<Seal>,
 }
 
@@ -29,14 +29,14 @@
 
 impl Desk {
     /// Of calls under this seal.
-    pub fn new(board: Board, seal: Arc<Seal>) -> Self {
+    pub fn new(board: StatusBoard, seal: Arc<Seal>) -> Self {
         Self { board, seal }
     }
 
     /// The answer to `GET /control/rollout`, by its query.
     pub fn show(&self, query: Option<&str>) -> (StatusCode, String) {
         match query {
-            None | Some("") => (StatusCode::OK, json(&self.board.shown())),
+            None | Some("") => (StatusCode::OK, json(&self.board.status())),
             Some("history") => (StatusCode::OK, json(&self.board.history())),
             Some(_) => (StatusCode::BAD_REQUEST, "?history\n".into()),
         }
@@ -44,7 +44,7 @@
 
     /// The answer to `GET /control/rollout/own`.
     pub fn own(&self) -> (StatusCode, String) {
-        match self.board.own() {
+        match self.board.target() {
             Some(own) => (StatusCode::OK, json(&own)),
             None => (StatusCode::NOT_FOUND, "there was no change in stages\n".into()),
         }
@@ -52,11 +52,11 @@
 
     /// The answer to a `POST`.
     pub async fn wish(&self, header: Option<&str>, body: &[u8]) -> (StatusCode, String) {
-        let wish: Wish = match self.seal.opened(header, body) {
+        let wish: OperatorRequest = match self.seal.opened(header, body) {
             Ok(wish) => wish,
             Err(answer) => return answer,
         };
-        match self.board.wish(wish).await {
+        match self.board.request(wish).await {
             Reply::Done(number) => (StatusCode::OK, format!("{{\"number\":{number}}}\n")),
             Reply::Planned(preview) => (StatusCode::OK, json(&preview)),
             Reply::Refused(why) => (StatusCode::CONFLICT, why + "\n"),
--- a/crates/proxy/src/rollout_command.rs
+++ b/crates/proxy/src/rollout_command.rs
@@ -7,9 +7,9 @@
 use crate::whom::Whom;
 use maplehook_config::Operator;
 use maplehook_rollout::Change;
-use maplehook_rollout_agent::document::Past;
-use maplehook_rollout_agent::shown::Shown;
-use maplehook_rollout_agent::talk::{Preview, What, Wish};
+use maplehook_rollout_agent::document::PastChange;
+use maplehook_rollout_agent::messages::{OperatorRequest, Preview, RequestedContent};
+use maplehook_rollout_agent::status::RolloutStatus;
 use sha2::{Digest, Sha256};
 use std::error::Error;
 use std::fmt::Write;
@@ -67,7 +67,8 @@
         match &self.action {
             Action::Plan { file } => match of_file(file)? {
                 Ok((plan, what)) => {
-                    let ended = self.whom.wish(operator, PATH, &Wish::Plan { plan, what })?;
+                    let ended =
+                        self.whom.wish(operator, PATH, &OperatorRequest::Plan { plan, content: what })?;
                     if ended.code != 0 || self.whom.json {
                         return Ok(ended);
                     }
@@ -77,18 +78,18 @@
                 Err(faults) => Ok(Outcome { text: faults, code: 3 }),
             },
             Action::Start { file } => match of_file(file)? {
-                Ok((plan, what)) => self.change(operator, &Wish::Start { plan, what }),
+                Ok((plan, what)) => self.change(operator, &OperatorRequest::Start { plan, content: what }),
                 Err(faults) => Ok(Outcome { text: faults, code: 3 }),
             },
-            Action::Hold => self.change(operator, &Wish::Hold),
-            Action::Go => self.change(operator, &Wish::Go),
-            Action::Undo => self.change(operator, &Wish::Undo),
+            Action::Hold => self.change(operator, &OperatorRequest::Hold),
+            Action::Go => self.change(operator, &OperatorRequest::Go),
+            Action::Undo => self.change(operator, &OperatorRequest::Undo),
             Action::Status { watch } => loop {
                 let text = read("")?;
-                let shown: Shown = serde_json::from_str(&text)?;
+                let shown: RolloutStatus = serde_json::from_str(&text)?;
                 let text = if self.whom.json { text } else { table(&shown) };
                 if !watch {
-                    let fine = !shown.runs && matches!(&shown.state[..], "none" | "done");
+                    let fine = !shown.is_active && matches!(&shown.state[..], "none" | "done");
                     return Ok(Outcome { text, code: if fine { 0 } else { 2 } });
                 }
                 print!("{text}");
@@ -96,11 +97,11 @@
             },
             Action::History => {
                 let text = read("?history")?;
-                let past: Vec<Past> = serde_json::from_str(&text)?;
-                let row = |past: &Past| {
+                let past: Vec<PastChange> = serde_json::from_str(&text)?;
+                let row = |past: &PastChange| {
                     format!(
                         "{:>6}  at {} ms by {}  {}: {}\n",
-                        past.number, past.at_ms, past.by, past.what, past.ended
+                        past.number, past.started_at_ms, past.by, past.content, past.outcome
                     )
                 };
                 let table = past.iter().map(row).collect();
@@ -109,7 +110,7 @@
         }
     }
 
-    fn change(&self, operator: &Operator, wish: &Wish) -> Result<Outcome, Box<dyn Error>> {
+    fn change(&self, operator: &Operator, wish: &OperatorRequest) -> Result<Outcome, Box<dyn Error>> {
         let ended = self.whom.wish(operator, PATH, wish)?;
         if ended.code != 0 || self.whom.json {
             return Ok(ended);
@@ -120,7 +121,7 @@
 }
 
 /// A plan's text and what it changes, which lies beside it; or what is wrong with either, with its lines.
-fn of_file(path: &Path) -> Result<Result<(String, What), String>, Box<dyn Error>> {
+fn of_file(path: &Path) -> Result<Result<(String, RequestedContent), String>, Box<dyn Error>> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let plan = match maplehook_rollout::plan::parse(&text) {
         Ok(plan) => plan,
@@ -132,7 +133,7 @@
             let file = beside(file);
             let whole = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
             match maplehook_config::shared(&with_rules(&file, whole)?) {
-                Ok((text, _)) => What::Settings { text },
+                Ok((text, _)) => RequestedContent::Settings { text },
                 Err(faults) => return Ok(Err(format!("{}:\n{faults}\n", file.display()))),
             }
         }
@@ -141,27 +142,28 @@
             let bytes = std::fs::read(&file).map_err(|e| format!("{}: {e}", file.display()))?;
             let digest =
                 Sha256::digest(&bytes).iter().fold(String::new(), |hex, byte| hex + &format!("{byte:02x}"));
-            What::Program { path: file.display().to_string(), digest }
+            RequestedContent::Program { path: file.display().to_string(), digest }
         }
     };
     Ok(Ok((text, what)))
 }
 
-fn table(shown: &Shown) -> String {
+fn table(shown: &RolloutStatus) -> String {
     if shown.number == 0 {
-        return format!("{}\n", shown.word);
+        return format!("{}\n", shown.state_description);
     }
     let mut text = format!(
         "change {} ({}), begun at {} at {} ms: {}; leader {}\n",
         shown.number,
-        shown.what,
+        shown.content,
         shown.by,
         shown.at_ms,
-        shown.word,
+        shown.state_description,
         shown.leader.as_deref().unwrap_or("unknown")
     );
     for (n, stage) in shown.stages.iter().enumerate() {
-        let who: Vec<String> = stage.who.iter().map(|who| format!("{} ({})", who.name, who.side)).collect();
+        let who: Vec<String> =
+            stage.members.iter().map(|who| format!("{} ({})", who.name, who.side)).collect();
         let when = match (stage.since_ms, stage.until_ms) {
             (None, _) => "has not begun".into(),
             (Some(since), None) => format!("since {since} ms"),
@@ -176,7 +178,7 @@
     if let Some(version) = shown.version {
         let _ = writeln!(text, "the settings are version {version}");
     }
-    for wait in &shown.waits {
+    for wait in &shown.waiting_for {
         let _ = writeln!(text, "waits for: {wait}");
     }
     for event in &shown.events {
--- a/crates/proxy/src/serve/file.rs
+++ b/crates/proxy/src/serve/file.rs
@@ -116,7 +116,7 @@
             serving.zip(names).map(|(serving, names)| counts::Part { serving, counts: Counts::new(names) });
         let counts = stages.as_ref().map(|part| {
             let serving = &part.serving;
-            (Rc::clone(&part.counts), serving.counts.clone(), serving.counted.clone())
+            (Rc::clone(&part.counts), serving.report_interval.clone(), serving.reports.clone())
         });
         let versions = agreeing.as_ref().zip(of.take_if(|_| agreeing.is_some())).map(|(agreeing, of)| {
             let lists = proxy.eureka.is_none().then_some(lists);
--- a/crates/proxy/src/serve/parts.rs
+++ b/crates/proxy/src/serve/parts.rs
@@ -16,7 +16,7 @@
 use maplehook_config::{Proxy, Tier};
 use maplehook_consensus::ConsensusService;
 use maplehook_core::Balancer;
-use maplehook_rollout_agent::{Link, Setup, Taking};
+use maplehook_rollout_agent::{Agent, Link, Setup};
 use maplehook_transport::{ClusterNode, SecretKey};
 use std::error::Error;
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
     /// Its part in places.
     pub(super) places: Option<nearness::Part>,
     /// Its part in changes in stages.
-    pub(super) staging: Option<Taking>,
+    pub(super) staging: Option<Agent>,
     /// The way from its supervisor.
     pub(super) led: Option<Led>,
 }
@@ -98,7 +98,7 @@
             let secret = SecretKey::read(&tier.secret_file).map_err(|e| format!("tier.secret_file: {e}"))?;
             let sealed = Arc::new(Seal::new(&secret));
             staging = proxy.map(|proxy| stages(tier, proxy, file, &mut began)).transpose()?.flatten();
-            let shuts = staging.as_ref().map(|staging| staging.board.clone());
+            let shuts = staging.as_ref().map(|staging| staging.status_board.clone());
             board.rollout = shuts.clone().map(|shown| rollout::Desk::new(shown, Arc::clone(&sealed)));
             board.settings = Some(Arc::new(Guard::new(Arc::clone(&sealed), began.admin_client(), shuts)));
             (agreeing, seal) = (Some(began), Some(sealed));
@@ -116,7 +116,7 @@
             nearness::Part::begin(begin, agreeing.as_mut())
         });
         let places = places.transpose()?;
-        board.places = places.as_ref().map(|part| Desk::new(part.taking.board.clone(), seal));
+        board.places = places.as_ref().map(|part| Desk::new(part.taking.status_board.clone(), seal));
         let mut led = None;
         if let Some(supervised) = supervised {
             let handed = handed.ok_or("a supervisor's balancer needs the socket that it inherits")?;
@@ -170,13 +170,13 @@
     proxy: &Proxy,
     file: String,
     agreeing: &mut ConsensusService,
-) -> Result<Option<Taking>, String> {
+) -> Result<Option<Agent>, String> {
     let Some(ways) = agreeing.rollout.take() else { return Ok(None) };
     let link = Link {
-        standing: agreeing.rollout_status.clone(),
-        ways,
-        acting: agreeing.active_version.clone(),
-        wishes: agreeing.admin_client(),
+        document_status: agreeing.rollout_status.clone(),
+        channels: ways,
+        active_version: agreeing.active_version.clone(),
+        admin: agreeing.admin_client(),
     };
     let names = tier.peers.keys().chain([&tier.name]).map(ToString::to_string).collect();
     let setup = Setup {
@@ -188,7 +188,7 @@
         crashes: std::env::var("MAPLEHOOK_CRASHES").ok().and_then(|n| n.parse().ok()).unwrap_or(0),
         link,
     };
-    Taking::start(setup).map(Some)
+    Agent::start(setup).map(Some)
 }
 
 fn listen(address: SocketAddr, backlog: u32) -> std::io::Result<TcpListener> {
--- a/crates/proxy/src/versions.rs
+++ b/crates/proxy/src/versions.rs
@@ -17,7 +17,7 @@
 use maplehook_config::Proxy;
 use maplehook_consensus::{ActiveVersion, EnforcementMode};
 use maplehook_failover_agent::Config;
-use maplehook_rollout_agent::{Acked, Staged};
+use maplehook_rollout_agent::{AppliedSide, StagedSettings};
 use maplehook_versions::{ResolvedRules, StableIds};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -66,7 +66,7 @@
             *before = names;
             news
         });
-        let config = Config::of(proxy).map(Arc::new);
+        let config = Config::from_proxy(proxy).map(Arc::new);
         self.config.send_if_modified(|before| {
             let news = *before != config;
             *before = config;
@@ -115,7 +115,7 @@
             // It takes the place of this very version, as long as that is acted on in full.
             let stage = told_staged
                 .clone()
-                .filter(|stage| mode == EnforcementMode::Current && stage.rests_on == wanted.label);
+                .filter(|stage| mode == EnforcementMode::Current && stage.base_version == wanted.label);
             let key = (wanted.epoch, mode, stage.as_ref().map(|stage| (stage.number, stage.side)));
             self.upstreams.set_lease(maplehook_config_follower::engine_lease(&wanted, mode, now.into_std()));
             if present.replace(key) != Some(key) {
@@ -149,11 +149,11 @@
     }
 
     /// Says on which side this balancer stands: whatever is not the new one's is as before.
-    fn ack(&self, told: Option<&Staged>, acts: Option<&Staged>) {
+    fn ack(&self, told: Option<&StagedSettings>, acts: Option<&StagedSettings>) {
         let Some(part) = &self.stages else { return };
         let side = acts.map_or(Side::Old, |stage| stage.side);
-        let acked = told.map(|stage| Acked { number: stage.number, step: stage.step, side });
-        part.serving.acked.send_if_modified(|before| std::mem::replace(before, acked) != acked);
+        let acked = told.map(|stage| AppliedSide { number: stage.number, step: stage.step, side });
+        part.serving.applied.send_if_modified(|before| std::mem::replace(before, acked) != acked);
     }
 
     /// The decisions come first: no request may come by a class or tenant that they do not know. Whether the list is another
@@ -162,7 +162,7 @@
         &mut self,
         acting: &ActiveVersion,
         mode: EnforcementMode,
-        stage: Option<&Staged>,
+        stage: Option<&StagedSettings>,
         driver: &Rc<Driver>,
         counting: &Counting,
     ) -> bool {
@@ -203,7 +203,7 @@
     }
 }
 
-async fn changed(staged: &mut Option<watch::Receiver<Option<Arc<Staged>>>>) {
+async fn changed(staged: &mut Option<watch::Receiver<Option<Arc<StagedSettings>>>>) {
     let told = match staged {
         Some(staged) => staged.changed().await.is_ok(),
         None => false,
--- a/crates/proxy/src/wishes.rs
+++ b/crates/proxy/src/wishes.rs
@@ -4,7 +4,7 @@
 use hyper::StatusCode;
 use maplehook_consensus::messages::{AdminReply, AdminRequest, ClusterStatus};
 use maplehook_consensus::{AdminClient, LocalStatus};
-use maplehook_rollout_agent::Board as Staging;
+use maplehook_rollout_agent::StatusBoard as Staging;
 use maplehook_versions::Phase;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
@@ -50,7 +50,7 @@
         }
         match serde_json::from_slice(body) {
             Ok(op @ (AdminRequest::Propose { .. } | AdminRequest::Undo)) => {
-                match self.staging.as_ref().and_then(Staging::shuts_settings) {
+                match self.staging.as_ref().and_then(Staging::settings_lock_reason) {
                     Some(why) => (StatusCode::CONFLICT, why + "\n"),
                     None => self.ask(op).await,
                 }
--- a/crates/rollout-agent/src/taking.rs
+++ b/crates/rollout-agent/src/agent.rs
@@ -1,7 +1,7 @@
 //! A balancer's part in changes in stages as whoever serves sees it: a thread that is started, watched, and ends.
 
-use crate::board::{Board, Stands};
-use crate::run::Runner;
+use crate::runner::Runner;
+use crate::status_board::{LocalState, StatusBoard};
 use maplehook_canary::{IntervalReport, Side};
 use maplehook_config::Proxy;
 use maplehook_consensus::{ActiveVersion, AdminClient, PartChannels, SharedDocumentStatus};
@@ -18,13 +18,13 @@
 /// A balancer's part in the agreement, as far as changes in stages go.
 pub struct Link {
     /// How it stands with what is agreed on.
-    pub standing: watch::Receiver<SharedDocumentStatus>,
+    pub document_status: watch::Receiver<SharedDocumentStatus>,
     /// The ways.
-    pub ways: PartChannels,
+    pub channels: PartChannels,
     /// The version in force.
-    pub acting: watch::Receiver<ActiveVersion>,
+    pub active_version: watch::Receiver<ActiveVersion>,
     /// Takes proposals.
-    pub wishes: AdminClient,
+    pub admin: AdminClient,
 }
 
 /// What it takes part with.
@@ -47,7 +47,7 @@
 
 /// By what settings to act while they are changed in stages.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Staged {
+pub struct StagedSettings {
     /// The change.
     pub number: u64,
     /// The step that this is by.
@@ -55,14 +55,14 @@
     /// The side.
     pub side: Side,
     /// The label of the version that it takes the place of: it counts as long as that one is in force.
-    pub rests_on: String,
+    pub base_version: String,
     /// The rules.
     pub rules: Arc<Proxy>,
 }
 
 /// What the thread that serves has come to act on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Acked {
+pub struct AppliedSide {
     /// The change.
     pub number: u64,
     /// The step.
@@ -72,38 +72,38 @@
 }
 
 /// What passes between the two threads, at the one that serves.
-pub struct Serving {
+pub struct ServingChannels {
     /// By what to act; `None`: by the version in force alone.
-    pub staged: watch::Receiver<Option<Arc<Staged>>>,
+    pub staged: watch::Receiver<Option<Arc<StagedSettings>>>,
     /// What is acted on.
-    pub acked: watch::Sender<Option<Acked>>,
+    pub applied: watch::Sender<Option<AppliedSide>>,
     /// Over which interval to count; `None`: nothing is counted.
-    pub counts: watch::Receiver<Option<Duration>>,
+    pub report_interval: watch::Receiver<Option<Duration>>,
     /// What was counted.
-    pub counted: mpsc::Sender<IntervalReport>,
+    pub reports: mpsc::Sender<IntervalReport>,
 }
 
 /// A balancer's part in changes in stages; it ends when this is dropped.
-pub struct Taking {
+pub struct Agent {
     /// Answers operators and whoever starts programs.
-    pub board: Board,
+    pub status_board: StatusBoard,
     /// For the thread that serves; taken once.
-    pub serving: Option<Serving>,
+    pub serving: Option<ServingChannels>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Taking {
+impl Agent {
     /// Begins.
     pub fn start(setup: Setup) -> Result<Self, String> {
-        let (stands, shows) = watch::channel(Stands::default());
+        let (stands, shows) = watch::channel(LocalState::default());
         let (staged_to, staged) = watch::channel(None);
         let (acked, acks) = watch::channel(None);
         let (counts_to, counts) = watch::channel(None);
         let (counted, reports) = mpsc::channel(REPORTS);
         let (wishes, wished) = mpsc::channel(WISHES_MOST);
         let (stop, stopped) = oneshot::channel();
-        let board = Board { stands: shows, wishes };
+        let board = StatusBoard { stands: shows, wishes };
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
         let runner = Runner::new(setup, stands, staged_to, acks, counts_to);
@@ -112,12 +112,13 @@
             .stack_size(1024 * 1024)
             .spawn(move || runtime.block_on(runner.run(reports, wished, stopped)))
             .map_err(|e| e.to_string())?;
-        let serving = Some(Serving { staged, acked, counts, counted });
-        Ok(Self { board, serving, stop: Some(stop), thread: Some(thread) })
+        let serving =
+            Some(ServingChannels { staged, applied: acked, report_interval: counts, reports: counted });
+        Ok(Self { status_board: board, serving, stop: Some(stop), thread: Some(thread) })
     }
 }
 
-impl Drop for Taking {
+impl Drop for Agent {
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
--- a/crates/rollout-agent/src/document.rs
+++ b/crates/rollout-agent/src/document.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 /// The longest text of settings, in bytes: with all the rest it fits into the part.
-pub const TEXT_MOST: usize = 128 << 10;
+pub const MAX_SETTINGS_BYTES: usize = 128 << 10;
 /// Changes that are remembered.
 const PAST_MOST: usize = 16;
 /// Lines of evidence that are kept of a stage.
@@ -21,7 +21,8 @@
         /// Their text.
         text: String,
         /// The version that is in force meanwhile.
-        rests_on: u64,
+        #[serde(rename = "rests_on")]
+        base_version: u64,
     },
     /// A program.
     Program {
@@ -34,7 +35,7 @@
 
 /// A stage as it went.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Watched {
+pub struct StageRecord {
     /// Which, from 0 on.
     pub stage: usize,
     /// Since when, in Unix milliseconds.
@@ -57,11 +58,14 @@
     /// At which balancer an operator began it.
     pub by: String,
     /// When, in Unix milliseconds.
-    pub at_ms: u64,
+    #[serde(rename = "at_ms")]
+    pub started_at_ms: u64,
     /// The stages that have begun.
-    pub watched: Vec<Watched>,
+    #[serde(rename = "watched")]
+    pub stage_records: Vec<StageRecord>,
     /// What the old ones did just before the last of them was changed.
-    pub before: Option<IntervalReport>,
+    #[serde(rename = "before")]
+    pub baseline: Option<IntervalReport>,
     /// Of a program: who may be away now to be changed, or has been.
     pub released: BTreeSet<String>,
     /// Of settings: the version that they have become.
@@ -70,31 +74,34 @@
 
 impl Change {
     /// Whether no other change may begin.
-    pub fn runs(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         let settings = matches!(self.content, Content::Settings { .. });
         let unsaid = settings && self.rollout.state == RolloutState::Completed && self.version.is_none();
         unsaid || !self.rollout.state.is_over()
     }
 
     /// Whether everybody is in a stage: nobody is left to compare with.
-    pub fn is_everybody(&self, stage: usize) -> bool {
+    pub fn stage_includes_all_members(&self, stage: usize) -> bool {
         self.rollout.order.stage(stage).len() == self.rollout.order.members().len()
     }
 }
 
 /// A change that is over.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Past {
+pub struct PastChange {
     /// Its number.
     pub number: u64,
     /// When it began, in Unix milliseconds.
-    pub at_ms: u64,
+    #[serde(rename = "at_ms")]
+    pub started_at_ms: u64,
     /// At which balancer it was begun.
     pub by: String,
     /// What changed.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub content: String,
     /// How it ended.
-    pub ended: String,
+    #[serde(rename = "ended")]
+    pub outcome: String,
 }
 
 /// All of it.
@@ -105,7 +112,7 @@
     /// The change that runs, or ran last.
     pub change: Option<Change>,
     /// Those before, the latest last.
-    pub past: Vec<Past>,
+    pub past: Vec<PastChange>,
 }
 
 impl Document {
@@ -137,7 +144,7 @@
     }
 
     /// All changes, the one that runs among them, the latest last.
-    pub fn history(&self) -> Vec<Past> {
+    pub fn history(&self) -> Vec<PastChange> {
         self.past.iter().cloned().chain(self.change.as_ref().map(past)).collect()
     }
 }
@@ -146,7 +153,7 @@
     /// In words.
     pub fn words(&self) -> String {
         match self {
-            Self::Settings { rests_on, .. } => format!("settings on version {rests_on}"),
+            Self::Settings { base_version: rests_on, .. } => format!("settings on version {rests_on}"),
             Self::Program { path, digest } => format!("program {path} ({})", &digest[..digest.len().min(12)]),
         }
     }
@@ -166,14 +173,14 @@
     }
 }
 
-fn past(change: &Change) -> Past {
+fn past(change: &Change) -> PastChange {
     let version = change.version.map_or(String::new(), |version| format!(", version {version}"));
-    Past {
+    PastChange {
         number: change.rollout.number,
-        at_ms: change.at_ms,
+        started_at_ms: change.started_at_ms,
         by: change.by.clone(),
-        what: change.content.words(),
-        ended: words(&change.rollout.state) + &version,
+        content: change.content.words(),
+        outcome: words(&change.rollout.state) + &version,
     }
 }
 
--- a/crates/rollout-agent/src/judging.rs
+++ b/crates/rollout-agent/src/evaluation.rs
@@ -1,7 +1,7 @@
 //! The leader's judgement of one stage, from what balancers report: an interval at a time, none counted twice.
 
 use crate::document::Change;
-use crate::talk::Stands;
+use crate::messages::MemberReport;
 use maplehook_canary::report::{MAX_GROUPS, Reports};
 use maplehook_canary::{IntervalReport, Judge, Side, Verdict};
 use maplehook_cluster::Name;
@@ -20,7 +20,7 @@
 
 /// What a leader has heard of a balancer.
 #[derive(Clone, Debug, Default)]
-pub struct Heard {
+pub struct MemberState {
     /// Its zone.
     pub zone: String,
     /// When, last.
@@ -33,9 +33,9 @@
     crashes: u32,
 }
 
-impl Heard {
+impl MemberState {
     /// A balancer has said where it stands. What is larger than any that this program says is passed over.
-    pub fn hear(&mut self, now: Duration, mut stands: Stands) {
+    pub fn hear(&mut self, now: Duration, mut stands: MemberReport) {
         let long = |word: &str| word.len() > WORD_MOST;
         let large = |report: &IntervalReport| {
             report.groups.len() > 2 * MAX_GROUPS
@@ -72,7 +72,7 @@
 
 /// The judgement of a stage.
 #[derive(Clone, Debug)]
-pub struct Judging {
+pub struct StageEvaluation {
     /// The change and the stage.
     of: (u64, usize),
     judge: Judge,
@@ -83,7 +83,7 @@
     before: VecDeque<IntervalReport>,
 }
 
-impl Judging {
+impl StageEvaluation {
     /// Of the stage that runs; `usual`: shares of bad requests of the intervals before.
     pub fn new(change: &Change, stage: usize, usual: &[f64], now: Duration) -> Self {
         let of = (change.rollout.number, stage);
@@ -117,7 +117,7 @@
         &mut self,
         now: Duration,
         change: &Change,
-        heard: &mut BTreeMap<String, Heard>,
+        heard: &mut BTreeMap<String, MemberState>,
     ) -> Option<StageVerdict> {
         let rollout = &change.rollout;
         let (plan, stage) = (&rollout.plan, self.of.1);
@@ -162,7 +162,7 @@
         &self,
         now: Duration,
         change: &Change,
-        heard: &mut BTreeMap<String, Heard>,
+        heard: &mut BTreeMap<String, MemberState>,
     ) -> (BTreeMap<Name, Side>, Reports) {
         let (rollout, interval) = (&change.rollout, change.rollout.plan.report_interval);
         let fresh = FRESH.max(interval * 3);
@@ -193,8 +193,10 @@
 
 fn judge(change: &Change, stage: usize, usual: &[f64]) -> Judge {
     let bounds = change.rollout.plan.thresholds.clone();
-    match &change.before {
-        Some(before) if change.is_everybody(stage) => Judge::with_reference(bounds, before.clone()),
+    match &change.baseline {
+        Some(before) if change.stage_includes_all_members(stage) => {
+            Judge::with_reference(bounds, before.clone())
+        }
         _ => Judge::new(bounds, usual),
     }
 }
--- a/crates/rollout-agent/src/golden_tests.rs
+++ b/crates/rollout-agent/src/golden_tests.rs
@@ -1,26 +1,26 @@
 //! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
 
-use crate::board::{Own, OwnProgram};
-use crate::document::{Content, Document, Past, Watched};
-use crate::shown::{Shown, ShownMember, ShownStage};
-use crate::talk::{Preview, Reply, Say, Stands, What, Wish};
+use crate::document::{Content, Document, PastChange, StageRecord};
+use crate::messages::{AgentMessage, MemberReport, OperatorRequest, Preview, Reply, RequestedContent};
+use crate::status::{MemberStatus, RolloutStatus, StageStatus};
+use crate::status_board::{TargetProgram, TargetStatus};
 use maplehook_golden::golden_types;
 
 golden_types! {
-    own: Json Own;
-    own_program: Json OwnProgram;
-    shown: Json Shown;
-    shown_member: Json ShownMember;
-    shown_stage: Json ShownStage;
-    past: Json Past;
+    own: Json TargetStatus;
+    own_program: Json TargetProgram;
+    shown: Json RolloutStatus;
+    shown_member: Json MemberStatus;
+    shown_stage: Json StageStatus;
+    past: Json PastChange;
     content: Postcard Content;
-    watched: Postcard Watched;
+    watched: Postcard StageRecord;
     document: Postcard Document;
-    what: Json What;
-    wish: Json Wish;
-    wish_by_position: Postcard Wish;
+    what: Json RequestedContent;
+    wish: Json OperatorRequest;
+    wish_by_position: Postcard OperatorRequest;
     preview: Json Preview;
     reply: Postcard Reply;
-    report_of_a_member: Postcard Stands;
-    message: Postcard Say;
+    report_of_a_member: Postcard MemberReport;
+    message: Postcard AgentMessage;
 }
--- a/crates/rollout-agent/src/lead.rs
+++ b/crates/rollout-agent/src/leader.rs
@@ -2,10 +2,10 @@
 //!
 //! It begins with what stands in the log, whoever wrote it, and goes on from the same stage. One document at a time is on its way.
 
-use crate::document::{Change, Content, Document, EVIDENCE_MOST, TEXT_MOST, Watched, words};
-use crate::judging::{Heard, Judging};
-use crate::parts::parts;
-use crate::talk::{Preview, Reply, Stands, What, Wish};
+use crate::document::{Change, Content, Document, EVIDENCE_MOST, MAX_SETTINGS_BYTES, StageRecord, words};
+use crate::evaluation::{MemberState, StageEvaluation};
+use crate::messages::{MemberReport, OperatorRequest, Preview, Reply, RequestedContent};
+use crate::staged_settings::parts;
 use maplehook_canary::Side;
 use maplehook_config::Proxy;
 use maplehook_rollout::order::Member;
@@ -17,7 +17,7 @@
 const GIVE_UP: Duration = Duration::from_secs(30);
 
 /// What a plan rests on.
-pub struct Ground<'a> {
+pub struct PlanContext<'a> {
     /// The version in force, if one is and none is on its way.
     pub in_force: Option<u64>,
     /// Its rules.
@@ -29,20 +29,20 @@
 }
 
 /// A leader's state.
-pub struct Leading {
+pub struct LeaderState {
     /// All balancers that there may be.
     names: Vec<String>,
     stands: Document,
     proposed: Option<Document>,
-    heard: BTreeMap<String, Heard>,
-    judging: Option<Judging>,
+    heard: BTreeMap<String, MemberState>,
+    judging: Option<StageEvaluation>,
     /// When the next interval is over.
     next: Duration,
     /// Since when which change is undone.
     undoing: Option<(u64, Duration)>,
 }
 
-impl Leading {
+impl LeaderState {
     /// From an election on.
     pub fn new(names: Vec<String>, stands: Document, now: Duration) -> Self {
         let (heard, judging) = (BTreeMap::new(), None);
@@ -50,21 +50,21 @@
     }
 
     /// What stands in the log, as far as this leader knows.
-    pub fn stands(&self) -> &Document {
+    pub fn committed(&self) -> &Document {
         &self.stands
     }
 
     /// A balancer says where it stands.
-    pub fn hear(&mut self, now: Duration, from: &str, stands: Stands) {
+    pub fn record_report(&mut self, now: Duration, from: &str, stands: MemberReport) {
         if self.names.iter().any(|name| name == from) {
             self.heard.entry(from.to_owned()).or_default().hear(now, stands);
         }
     }
 
     /// What is known of the stage that runs.
-    pub fn lines(&self) -> Option<(u64, Vec<String>)> {
-        let change = self.stands.change.as_ref().filter(|change| change.runs())?;
-        Some((change.rollout.number, self.judging.as_ref().map(Judging::lines).unwrap_or_default()))
+    pub fn evidence(&self) -> Option<(u64, Vec<String>)> {
+        let change = self.stands.change.as_ref().filter(|change| change.is_active())?;
+        Some((change.rollout.number, self.judging.as_ref().map(StageEvaluation::lines).unwrap_or_default()))
     }
 
     /// Time passes: what is to be agreed on, if there is anything new and nothing is on its way.
@@ -72,7 +72,7 @@
         if self.proposed.is_some() {
             return None;
         }
-        let mut change = self.stands.change.clone().filter(Change::runs)?;
+        let mut change = self.stands.change.clone().filter(Change::is_active)?;
         self.place(&mut change);
         self.foreign(&mut change, in_force);
         self.judge(now, &mut change);
@@ -106,7 +106,7 @@
 
     /// Another version came into force: the change rests on nothing any more.
     fn foreign(&self, change: &mut Change, in_force: Option<u64>) {
-        let Content::Settings { rests_on, .. } = change.content else { return };
+        let Content::Settings { base_version: rests_on, .. } = change.content else { return };
         let undone = change.rollout.rollback_step > 0 || change.rollout.state == RolloutState::Completed;
         if let Some(version) = in_force.filter(|version| *version > rests_on && !undone) {
             let (step, why) =
@@ -121,8 +121,8 @@
             return;
         };
         if !self.judging.as_ref().is_some_and(|judging| judging.is_of(number, stage)) {
-            let usual = self.judging.as_ref().map(Judging::usual).unwrap_or_default();
-            self.judging = Some(Judging::new(change, stage, &usual, now));
+            let usual = self.judging.as_ref().map(StageEvaluation::usual).unwrap_or_default();
+            self.judging = Some(StageEvaluation::new(change, stage, &usual, now));
         }
         let Some(judging) = &mut self.judging else { return };
         if now < self.next {
@@ -130,13 +130,13 @@
         }
         self.next = (self.next + change.rollout.plan.report_interval).max(now);
         if let Some(judged) = judging.interval(now, change, &mut self.heard) {
-            let last = change.before.is_none() && stage + 1 < change.rollout.order.stages();
-            let before = judging.before().filter(|_| last && change.is_everybody(stage + 1));
+            let last = change.baseline.is_none() && stage + 1 < change.rollout.order.stages();
+            let before = judging.before().filter(|_| last && change.stage_includes_all_members(stage + 1));
             let step = change.rollout.step;
             if play(change, &Command::ApplyVerdict { step, stage, verdict: judged })
                 && change.rollout.passed_stages > stage
             {
-                change.before = before;
+                change.baseline = before;
             }
         }
     }
@@ -183,17 +183,19 @@
     }
 
     /// What was proposed stands in the log, or does not.
-    pub fn ended(&mut self, stands: bool) {
+    pub fn finish_proposal(&mut self, stands: bool) {
         if let Some(proposed) = self.proposed.take().filter(|_| stands) {
             self.stands = proposed;
         }
     }
 
     /// Settings that all stages were judged well with: the text, and the version that it rests on. They are to be the next version.
-    pub fn finished(&self) -> Option<(&str, u64)> {
+    pub fn completed_settings(&self) -> Option<(&str, u64)> {
         let change = self.stands.change.as_ref().filter(|change| change.version.is_none())?;
         match &change.content {
-            Content::Settings { text, rests_on } if change.rollout.state == RolloutState::Completed => {
+            Content::Settings { text, base_version: rests_on }
+                if change.rollout.state == RolloutState::Completed =>
+            {
                 Some((text, *rests_on))
             }
             _ => None,
@@ -201,7 +203,7 @@
     }
 
     /// These settings are a version now, or can't be one.
-    pub fn finish(&mut self, version: Result<u64, String>) -> Option<Vec<u8>> {
+    pub fn settings_proposed(&mut self, version: Result<u64, String>) -> Option<Vec<u8>> {
         let mut document = self.stands.clone();
         let change = document.change.as_mut().filter(|_| self.proposed.is_none())?;
         match version {
@@ -222,18 +224,23 @@
     }
 
     /// An operator's wish: what is to be agreed on for it, with the change's number; or its end.
-    pub fn wish(&mut self, by: &str, wish: &Wish, ground: &Ground<'_>) -> Result<(Vec<u8>, u64), Reply> {
+    pub fn handle_request(
+        &mut self,
+        by: &str,
+        wish: &OperatorRequest,
+        ground: &PlanContext<'_>,
+    ) -> Result<(Vec<u8>, u64), Reply> {
         if self.proposed.is_some() {
             return Err(Reply::Unavailable("another step is on its way; ask again".into()));
         }
         let mut document = self.stands.clone();
         let number = match wish {
-            Wish::Plan { plan, what } => {
+            OperatorRequest::Plan { plan, content: what } => {
                 let (change, preview) = self.plan(by, plan, what, ground).map_err(Reply::Refused)?;
                 drop(change);
                 return Err(Reply::Planned(preview));
             }
-            Wish::Start { plan, what } => {
+            OperatorRequest::Start { plan, content: what } => {
                 let (mut change, _) =
                     self.plan(by, plan, what, ground).map_err(|why| match self.same(plan, what) {
                         // Its answer was lost.
@@ -245,21 +252,21 @@
                 document.begin(change);
                 document.number
             }
-            Wish::Hold | Wish::Go | Wish::Undo => {
+            OperatorRequest::Hold | OperatorRequest::Go | OperatorRequest::Undo => {
                 let none = || Reply::Refused("there was no change yet".into());
                 let change = document.change.as_mut().ok_or_else(none)?;
                 let (step, number) = (change.rollout.step, change.rollout.number);
                 let command = match wish {
-                    Wish::Hold
+                    OperatorRequest::Hold
                         if matches!(change.rollout.state, RolloutState::Paused { by_operator: true, .. }) =>
                     {
                         return Err(Reply::Done(number));
                     }
-                    Wish::Go if matches!(change.rollout.state, RolloutState::Running(_)) => {
+                    OperatorRequest::Go if matches!(change.rollout.state, RolloutState::Running(_)) => {
                         return Err(Reply::Done(number));
                     }
-                    Wish::Hold => Command::Pause { step },
-                    Wish::Go => Command::Proceed { step },
+                    OperatorRequest::Hold => Command::Pause { step },
+                    OperatorRequest::Go => Command::Proceed { step },
                     _ => Command::RollBack { step, why: format!("by an operator at {by}") },
                 };
                 change.rollout.apply(&command).map_err(|why| Reply::Refused(why.to_string()))?;
@@ -274,12 +281,12 @@
     }
 
     /// The change that runs, if it is this one.
-    fn same(&self, plan: &str, what: &What) -> Option<u64> {
-        let change = self.stands.change.as_ref().filter(|change| change.runs())?;
+    fn same(&self, plan: &str, what: &RequestedContent) -> Option<u64> {
+        let change = self.stands.change.as_ref().filter(|change| change.is_active())?;
         let plan = maplehook_rollout::plan::parse(plan).ok()?;
         let content = match (what, &change.content) {
-            (What::Settings { text }, Content::Settings { text: of, .. }) => text == of,
-            (What::Program { path, digest }, Content::Program { path: at, digest: of }) => {
+            (RequestedContent::Settings { text }, Content::Settings { text: of, .. }) => text == of,
+            (RequestedContent::Program { path, digest }, Content::Program { path: at, digest: of }) => {
                 path == at && digest == of
             }
             _ => false,
@@ -291,27 +298,27 @@
         &self,
         by: &str,
         plan: &str,
-        what: &What,
-        ground: &Ground<'_>,
+        what: &RequestedContent,
+        ground: &PlanContext<'_>,
     ) -> Result<(Change, Preview), String> {
-        if let Some(change) = self.stands.change.as_ref().filter(|change| change.runs()) {
+        if let Some(change) = self.stands.change.as_ref().filter(|change| change.is_active()) {
             return Err(format!("change {} is {}", change.rollout.number, words(&change.rollout.state)));
         }
         let plan = maplehook_rollout::plan::parse(plan).map_err(|faults| faults.to_string())?;
         let mut preview = Preview::default();
         let content = match what {
-            What::Settings { text } => {
-                if text.len() > TEXT_MOST {
-                    return Err(format!("the settings are longer than {TEXT_MOST} bytes"));
+            RequestedContent::Settings { text } => {
+                if text.len() > MAX_SETTINGS_BYTES {
+                    return Err(format!("the settings are longer than {MAX_SETTINGS_BYTES} bytes"));
                 }
                 let rests_on = ground.in_force.filter(|version| *version > 0);
                 let rests_on =
                     rests_on.ok_or("no version is in force everywhere: maplehook settings status")?;
                 let parts = parts(ground.rules, &(ground.read)(text)?)?;
                 (preview.staged, preview.kept_back) = (parts.staged, parts.kept_back);
-                Content::Settings { text: text.clone(), rests_on }
+                Content::Settings { text: text.clone(), base_version: rests_on }
             }
-            What::Program { path, digest } => {
+            RequestedContent::Program { path, digest } => {
                 let hex = digest.len() == 64 && digest.bytes().all(|byte| byte.is_ascii_hexdigit());
                 if !hex || path.len() > 4096 {
                     return Err("a program has a path and the SHA-256 of its bytes in hexadecimal".into());
@@ -328,13 +335,13 @@
             rollout,
             content,
             by: by.to_owned(),
-            at_ms: ground.unix_ms,
-            watched: Vec::new(),
-            before: None,
+            started_at_ms: ground.unix_ms,
+            stage_records: Vec::new(),
+            baseline: None,
             released: BTreeSet::new(),
             version: None,
         };
-        if change.is_everybody(0) {
+        if change.stage_includes_all_members(0) {
             return Err("the first stage is everybody: nobody is left to compare with".into());
         }
         let mut told = 0;
@@ -357,20 +364,27 @@
 }
 
 /// Notes which stages begin and end.
-fn watch(change: &mut Change, judging: Option<&Judging>, unix_ms: u64) {
+fn watch(change: &mut Change, judging: Option<&StageEvaluation>, unix_ms: u64) {
     let running = change.rollout.stage();
     let verdict = words(&change.rollout.state);
     if let Some(last) =
-        change.watched.last_mut().filter(|last| last.until_ms.is_none() && running != Some(last.stage))
+        change.stage_records.last_mut().filter(|last| last.until_ms.is_none() && running != Some(last.stage))
     {
         last.until_ms = Some(unix_ms);
         last.verdict = if change.rollout.passed_stages > last.stage { "not worse".into() } else { verdict };
-        last.evidence = judging.map(Judging::lines).unwrap_or_default();
+        last.evidence = judging.map(StageEvaluation::lines).unwrap_or_default();
         last.evidence.truncate(EVIDENCE_MOST);
     }
-    if let Some(stage) = running.filter(|stage| change.watched.last().is_none_or(|last| last.stage < *stage))
+    if let Some(stage) =
+        running.filter(|stage| change.stage_records.last().is_none_or(|last| last.stage < *stage))
     {
         let (evidence, verdict) = (Vec::new(), String::new());
-        change.watched.push(Watched { stage, since_ms: unix_ms, until_ms: None, evidence, verdict });
+        change.stage_records.push(StageRecord {
+            stage,
+            since_ms: unix_ms,
+            until_ms: None,
+            evidence,
+            verdict,
+        });
     }
 }
--- a/crates/rollout-agent/src/lib.rs
+++ b/crates/rollout-agent/src/lib.rs
@@ -5,23 +5,23 @@
 //! [`document`], [`parts`] (what of settings may differ between stages), [`judging`], [`lead`] and [`member`];
 //! `docs/design/rollout.md` has the options that were weighed.
 
-pub mod board;
+pub mod agent;
 pub mod document;
+pub mod evaluation;
 #[cfg(test)]
 mod golden_tests;
-pub mod judging;
-pub mod lead;
-mod machine;
+pub mod leader;
 pub mod member;
-pub mod parts;
-mod put;
-mod run;
-pub mod shown;
-pub mod taking;
-pub mod talk;
-mod tell;
+pub mod messages;
+mod messaging;
+mod process_usage;
+mod proposals;
+mod runner;
+pub mod staged_settings;
+pub mod status;
+pub mod status_board;
 
-pub use board::Board;
+pub use agent::{Agent, AppliedSide, Link, Setup, StagedSettings};
 pub use document::{Change, Content, Document};
-pub use member::Wanted;
-pub use taking::{Acked, Link, Setup, Staged, Taking};
+pub use member::MemberTarget;
+pub use status_board::StatusBoard;
--- a/crates/rollout-agent/src/member.rs
+++ b/crates/rollout-agent/src/member.rs
@@ -8,7 +8,7 @@
 
 /// Where a balancer is to be.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct MemberTarget {
     /// The change.
     pub number: u64,
     /// The step that this is by.
@@ -18,11 +18,11 @@
     /// Of a program: its path and digest.
     pub program: Option<(String, String)>,
     /// The state, in words.
-    pub word: String,
+    pub state_description: String,
 }
 
 /// Where a balancer is to be by what is agreed on, when it has held no lease for so long; `None` where there never was a change.
-pub fn wanted(document: &Document, own: &str, silent: Duration) -> Option<Wanted> {
+pub fn member_target(document: &Document, own: &str, silent: Duration) -> Option<MemberTarget> {
     let change = document.change.as_ref()?;
     let Rollout { number, step, state, plan, .. } = &change.rollout;
     let mut side = change.rollout.target_side(own);
@@ -41,7 +41,7 @@
         side = Side::Old;
         word = format!("cut off for {} s: as before ({word})", silent.as_secs());
     }
-    Some(Wanted { number: *number, step: *step, side, program, word })
+    Some(MemberTarget { number: *number, step: *step, side, program, state_description: word })
 }
 
 #[cfg(test)]
@@ -61,9 +61,9 @@
             rollout,
             content,
             by: "b1".into(),
-            at_ms: 0,
-            watched: Vec::new(),
-            before: None,
+            started_at_ms: 0,
+            stage_records: Vec::new(),
+            baseline: None,
             released: Default::default(),
             version: None,
         };
@@ -72,20 +72,20 @@
 
     #[test]
     fn whoever_is_of_the_stage_is_new_until_it_is_cut_off() {
-        let document = document(Content::Settings { text: String::new(), rests_on: 1 });
-        let side = |own: &str, s: u64| wanted(&document, own, Duration::from_secs(s)).unwrap().side;
+        let document = document(Content::Settings { text: String::new(), base_version: 1 });
+        let side = |own: &str, s: u64| member_target(&document, own, Duration::from_secs(s)).unwrap().side;
         assert_eq!((side("b1", 0), side("b2", 0)), (Side::New, Side::Old));
         assert_eq!((side("b1", 4), side("b1", 5)), (Side::New, Side::Old));
-        assert_eq!(wanted(&Document::default(), "b1", Duration::ZERO), None);
+        assert_eq!(member_target(&Document::default(), "b1", Duration::ZERO), None);
     }
 
     #[test]
     fn a_program_waits_until_it_may_be_away() {
         let mut document = document(Content::Program { path: "p".into(), digest: "d".into() });
-        let wanted = |document: &Document| wanted(document, "b1", Duration::ZERO).unwrap();
-        assert_eq!(wanted(&document).side, Side::Old);
+        let target = |document: &Document| member_target(document, "b1", Duration::ZERO).unwrap();
+        assert_eq!(target(&document).side, Side::Old);
         document.change.as_mut().unwrap().released.insert("b1".into());
-        let wanted = wanted(&document);
-        assert_eq!((wanted.side, wanted.program), (Side::New, Some(("p".into(), "d".into()))));
+        let target = target(&document);
+        assert_eq!((target.side, target.program), (Side::New, Some(("p".into(), "d".into()))));
     }
 }
--- a/crates/rollout-agent/src/talk.rs
+++ b/crates/rollout-agent/src/messages.rs
@@ -6,7 +6,7 @@
 /// What is to change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum RequestedContent {
     /// The shared sections of an operator's file.
     Settings {
         /// Their text.
@@ -24,20 +24,22 @@
 /// What an operator wants.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Wish {
+pub enum OperatorRequest {
     /// It is said what would be done.
     Plan {
         /// The plan's file.
         plan: String,
         /// What changes.
-        what: What,
+        #[serde(rename = "what")]
+        content: RequestedContent,
     },
     /// It is begun.
     Start {
         /// The plan's file.
         plan: String,
         /// What changes.
-        what: What,
+        #[serde(rename = "what")]
+        content: RequestedContent,
     },
     /// It waits at its stage.
     Hold,
@@ -74,7 +76,7 @@
 
 /// Where a balancer stands.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Stands {
+pub struct MemberReport {
     /// Its zone.
     pub zone: String,
     /// The change's number, the side, and the latest step that it has heard of; none while no change runs.
@@ -85,27 +87,32 @@
 
 /// What is said.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Say {
+pub enum AgentMessage {
     /// Where a balancer stands.
-    Stands(Box<Stands>),
+    #[serde(rename = "Stands")]
+    MemberReport(Box<MemberReport>),
     /// What the leader knows of the stage that runs.
-    Known {
+    #[serde(rename = "Known")]
+    StageEvidence {
         /// The change's number.
         number: u64,
         /// Line by line.
         lines: Vec<String>,
     },
     /// An operator's wish, passed on to the leader.
-    Wish {
+    #[serde(rename = "Wish")]
+    ForwardedRequest {
         /// By which its end is known.
         ticket: u64,
         /// Who passes it on.
         by: String,
         /// What.
-        wish: Wish,
+        #[serde(rename = "wish")]
+        request: OperatorRequest,
     },
     /// Its end.
-    End {
+    #[serde(rename = "End")]
+    RequestOutcome {
         /// Which.
         ticket: u64,
         /// How.
--- a/crates/rollout-agent/src/tell.rs
+++ b/crates/rollout-agent/src/messaging.rs
@@ -1,9 +1,9 @@
 //! What a balancer says to others of a change in stages, what it hears, and operators' wishes.
 
-use crate::machine::used;
-use crate::run::{Runner, WISH, Wisher};
-use crate::taking::WISHES_MOST;
-use crate::talk::{Reply, Say, Stands, Wish};
+use crate::agent::WISHES_MOST;
+use crate::messages::{AgentMessage, MemberReport, OperatorRequest, Reply};
+use crate::process_usage::used;
+use crate::runner::{Runner, WISH, Wisher};
 use bytes::Bytes;
 use maplehook_canary::IntervalReport;
 use maplehook_cluster::Name;
@@ -16,13 +16,13 @@
 const LINE: usize = 1024;
 
 impl Runner {
-    fn tell(&self, to: &Name, say: &Say) {
+    fn tell(&self, to: &Name, say: &AgentMessage) {
         let Ok(body) = postcard::to_allocvec(say) else { return };
         // What does not fit is lost, as on a way.
         let _ = self
             .setup
             .link
-            .ways
+            .channels
             .outgoing
             .try_send((to.clone(), Message { topic: SHARED_DOCUMENT_TOPIC, body: body.into() }));
     }
@@ -31,7 +31,7 @@
         match wisher {
             // Whoever asked may have given up.
             Wisher::Here(to) => drop(to.send(reply)),
-            Wisher::There(name, ticket) => self.tell(&name, &Say::End { ticket, reply }),
+            Wisher::There(name, ticket) => self.tell(&name, &AgentMessage::RequestOutcome { ticket, reply }),
         }
     }
 
@@ -47,30 +47,30 @@
         });
         let leader = self.standing().leader;
         let (now, side) = (self.now(), self.side());
-        let mut stands = Stands { zone: self.setup.zone.clone(), side, report };
+        let mut stands = MemberReport { zone: self.setup.zone.clone(), side, report };
         self.said_at = Some(Instant::now());
         // Said once, to whoever leads then.
-        let crashes = |stands: &mut Stands, crashes: &mut u32| {
+        let crashes = |stands: &mut MemberReport, crashes: &mut u32| {
             if let Some(report) = &mut stands.report {
                 report.crashes = std::mem::take(crashes);
             }
         };
         if let Some(leading) = &mut self.leading {
             crashes(&mut stands, &mut self.crashes);
-            leading.hear(now, &self.setup.name, stands);
+            leading.record_report(now, &self.setup.name, stands);
         } else if let Some(leader) = leader {
             crashes(&mut stands, &mut self.crashes);
-            self.tell(&leader, &Say::Stands(Box::new(stands)));
+            self.tell(&leader, &AgentMessage::MemberReport(Box::new(stands)));
         }
     }
 
     /// The leader tells all what is known of the stage that runs.
     pub(crate) fn tell_what_is_known(&mut self) {
-        let Some((number, mut lines)) = self.leading.as_ref().and_then(|leading| leading.lines()) else {
+        let Some((number, mut lines)) = self.leading.as_ref().and_then(|leading| leading.evidence()) else {
             return;
         };
         lines.truncate(LINES);
-        let say = Say::Known { number, lines: lines.clone() };
+        let say = AgentMessage::StageEvidence { number, lines: lines.clone() };
         for name in self.setup.names.iter().filter(|name| **name != self.setup.name) {
             if let Some(name) = Name::new(name) {
                 self.tell(&name, &say);
@@ -89,24 +89,26 @@
     }
 
     pub(crate) fn hear(&mut self, from: &Name, body: &Bytes) {
-        let Ok(say) = postcard::from_bytes::<Say>(body) else {
+        let Ok(say) = postcard::from_bytes::<AgentMessage>(body) else {
             tracing::debug!(%from, "a message on changes in stages can't be read");
             return;
         };
         let now = self.now();
         match say {
-            Say::Stands(stands) => {
+            AgentMessage::MemberReport(stands) => {
                 if let Some(leading) = &mut self.leading {
-                    leading.hear(now, from.as_str(), *stands);
+                    leading.record_report(now, from.as_str(), *stands);
                 }
             }
-            Say::Known { number, lines } => {
+            AgentMessage::StageEvidence { number, lines } => {
                 if self.standing().leader.as_ref() == Some(from) {
                     self.know(number, lines);
                 }
             }
-            Say::Wish { ticket, by, wish } => self.wish(wish, Wisher::There(from.clone(), ticket), Some(by)),
-            Say::End { ticket, reply } => {
+            AgentMessage::ForwardedRequest { ticket, by, request } => {
+                self.wish(request, Wisher::There(from.clone(), ticket), Some(by))
+            }
+            AgentMessage::RequestOutcome { ticket, reply } => {
                 if let Some((wisher, _)) = self.passed_on.remove(&ticket) {
                     let _ = wisher.send(reply);
                 }
@@ -115,14 +117,14 @@
     }
 
     /// Whoever leads is to answer it.
-    pub(crate) fn pass_on(&mut self, wish: Wish, wisher: Wisher) {
+    pub(crate) fn pass_on(&mut self, wish: OperatorRequest, wisher: Wisher) {
         let leader = self.standing().leader.filter(|leader| leader.as_str() != self.setup.name);
         match (wisher, leader) {
             (Wisher::Here(reply), Some(leader)) if self.passed_on.len() < WISHES_MOST => {
                 let ticket = fastrand::u64(..);
                 self.passed_on.insert(ticket, (reply, Instant::now() + WISH));
                 let by = self.setup.name.clone();
-                self.tell(&leader, &Say::Wish { ticket, by, wish });
+                self.tell(&leader, &AgentMessage::ForwardedRequest { ticket, by, request: wish });
             }
             (wisher, _) => {
                 let why = "nobody leads: a majority of the voters can't be reached from here";
--- a/crates/rollout-agent/src/put.rs
+++ b/crates/rollout-agent/src/proposals.rs
@@ -1,10 +1,10 @@
 //! The leader's part on the thread: what it decides is put, and settings that went through all stages are proposed.
 
+use crate::agent::WISHES_MOST;
 use crate::document::Document;
-use crate::lead::{Ground, Leading};
-use crate::run::{CALM, OnItsWay, Runner, WISH, Wisher, read};
-use crate::taking::WISHES_MOST;
-use crate::talk::{Reply, Wish};
+use crate::leader::{LeaderState, PlanContext};
+use crate::messages::{OperatorRequest, Reply};
+use crate::runner::{CALM, OnItsWay, Runner, WISH, Wisher, read};
 use maplehook_consensus::messages::{AdminReply as Said, AdminRequest};
 use maplehook_consensus::{AdminClient, EnforcementMode, PartProposal, SharedDocumentStatus};
 use maplehook_transport::unix_ms;
@@ -42,13 +42,13 @@
                 return;
             };
             tracing::info!("leads changes in stages");
-            self.leading = Some(Leading::new(self.setup.names.clone(), stands, self.now()));
+            self.leading = Some(LeaderState::new(self.setup.names.clone(), stands, self.now()));
         }
     }
 
     /// The version in force, if one is here and none is on its way.
     fn in_force(&self) -> Option<u64> {
-        let acting = self.setup.link.acting.borrow();
+        let acting = self.setup.link.active_version.borrow();
         (acting.mode(Instant::now()) == EnforcementMode::Current).then(|| acting.label.parse().ok()).flatten()
     }
 
@@ -62,10 +62,10 @@
             return self.put(body, None);
         }
         if self.proposing.is_none()
-            && let Some((text, rests_on)) = leading.finished()
+            && let Some((text, rests_on)) = leading.completed_settings()
         {
             let (tell, told) = oneshot::channel();
-            let (wishes, text) = (self.setup.link.wishes.clone(), text.to_owned());
+            let (wishes, text) = (self.setup.link.admin.clone(), text.to_owned());
             self.proposing = Some(told);
             tokio::spawn(async move {
                 let _ = tell.send(propose(&wishes, text, rests_on).await);
@@ -77,7 +77,7 @@
         let Some(version) = version else { return };
         if self.on_its_way.is_none()
             && let Some(leading) = &mut self.leading
-            && let Some(body) = leading.finish(version)
+            && let Some(body) = leading.settings_proposed(version)
         {
             self.put(body, None);
         }
@@ -88,7 +88,7 @@
         let sent = self
             .setup
             .link
-            .ways
+            .channels
             .proposals
             .try_send(PartProposal { expected: self.rests_on, body, outcome: done })
             .is_ok();
@@ -106,7 +106,7 @@
         match &mut self.leading {
             Some(leading) if ended.is_ok() => {
                 self.rests_on = *ended.as_ref().unwrap_or(&self.rests_on);
-                leading.ended(true);
+                leading.finish_proposal(true);
             }
             // Whether it stands in the log is not known: the log is read again.
             _ => {
@@ -126,7 +126,7 @@
     }
 
     /// An operator wants something, here or at another balancer.
-    pub(crate) fn wish(&mut self, wish: Wish, wisher: Wisher, by: Option<String>) {
+    pub(crate) fn wish(&mut self, wish: OperatorRequest, wisher: Wisher, by: Option<String>) {
         if self.leading.is_some() && self.standing().is_leader {
             if self.on_its_way.is_some() {
                 if self.waits.len() >= WISHES_MOST {
@@ -136,12 +136,12 @@
             }
             let by = by.unwrap_or_else(|| self.setup.name.clone());
             let in_force = self.in_force();
-            let rules = Arc::clone(&self.setup.link.acting.borrow().rules);
+            let rules = Arc::clone(&self.setup.link.active_version.borrow().rules);
             let file = &self.setup.file;
             let of_file = |text: &str| read(file, text);
-            let ground = Ground { in_force, rules: &rules, read: &of_file, unix_ms: unix_ms() };
+            let ground = PlanContext { in_force, rules: &rules, read: &of_file, unix_ms: unix_ms() };
             let Some(leading) = &mut self.leading else { return };
-            return match leading.wish(&by, &wish, &ground) {
+            return match leading.handle_request(&by, &wish, &ground) {
                 Ok((body, number)) => self.put(body, Some((wisher, number))),
                 Err(reply) => self.end(wisher, reply),
             };
--- a/crates/rollout-agent/src/run.rs
+++ b/crates/rollout-agent/src/runner.rs
@@ -2,14 +2,14 @@
 //!
 //! It shares watched values with the thread that serves. No request waits for it, and while no change runs nothing is counted.
 
-use crate::board::{Stands as Shows, Wished};
+use crate::agent::{AppliedSide, Setup, StagedSettings};
 use crate::document::{Content, Document};
-use crate::lead::Leading;
-use crate::machine::{Used, used};
-use crate::member::{Wanted, wanted};
-use crate::parts::staged;
-use crate::taking::{Acked, Setup, Staged};
-use crate::talk::{Reply, Wish};
+use crate::leader::LeaderState;
+use crate::member::{MemberTarget, member_target};
+use crate::messages::{OperatorRequest, Reply};
+use crate::process_usage::{Used, used};
+use crate::staged_settings::staged;
+use crate::status_board::{LocalState, Wished};
 use maplehook_canary::{IntervalReport, Side};
 use maplehook_cluster::Name;
 use maplehook_config::Proxy;
@@ -43,22 +43,22 @@
 
 pub(crate) struct Runner {
     pub(crate) setup: Setup,
-    pub(crate) stands: watch::Sender<Shows>,
-    staged: watch::Sender<Option<Arc<Staged>>>,
-    acks: watch::Receiver<Option<Acked>>,
+    pub(crate) stands: watch::Sender<LocalState>,
+    staged: watch::Sender<Option<Arc<StagedSettings>>>,
+    acks: watch::Receiver<Option<AppliedSide>>,
     counts: watch::Sender<Option<Duration>>,
     begun: Instant,
     pub(crate) document: Arc<Document>,
     pub(crate) number: u64,
-    pub(crate) wanted: Option<Wanted>,
+    pub(crate) wanted: Option<MemberTarget>,
     /// What the last text comes to: the change, the version that it rests on, and the new rules; `None`: it can't be read here.
     read: Option<(u64, Option<Arc<Proxy>>)>,
-    pub(crate) leading: Option<Leading>,
+    pub(crate) leading: Option<LeaderState>,
     /// The number in the log that what it decides rests on.
     pub(crate) rests_on: u64,
     pub(crate) on_its_way: Option<OnItsWay>,
     /// Wishes that wait for the document that is on its way.
-    pub(crate) waits: VecDeque<(Wish, Wisher, Option<String>)>,
+    pub(crate) waits: VecDeque<(OperatorRequest, Wisher, Option<String>)>,
     pub(crate) passed_on: BTreeMap<u64, (oneshot::Sender<Reply>, Instant)>,
     /// The end of a proposal of settings that went through all stages.
     pub(crate) proposing: Option<oneshot::Receiver<Option<Result<u64, String>>>>,
@@ -71,9 +71,9 @@
 impl Runner {
     pub(crate) fn new(
         setup: Setup,
-        stands: watch::Sender<Shows>,
-        staged: watch::Sender<Option<Arc<Staged>>>,
-        acks: watch::Receiver<Option<Acked>>,
+        stands: watch::Sender<LocalState>,
+        staged: watch::Sender<Option<Arc<StagedSettings>>>,
+        acks: watch::Receiver<Option<AppliedSide>>,
         counts: watch::Sender<Option<Duration>>,
     ) -> Self {
         let crashes = setup.crashes;
@@ -106,7 +106,7 @@
     }
 
     pub(crate) fn standing(&self) -> SharedDocumentStatus {
-        self.setup.link.standing.borrow().clone()
+        self.setup.link.document_status.borrow().clone()
     }
 
     pub(crate) async fn run(
@@ -117,8 +117,8 @@
     ) {
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut standing = self.setup.link.standing.clone();
-        let mut acting = self.setup.link.acting.clone();
+        let mut standing = self.setup.link.document_status.clone();
+        let mut acting = self.setup.link.active_version.clone();
         let mut acks = self.acks.clone();
         loop {
             tokio::select! {
@@ -137,7 +137,7 @@
                     self.say(None);
                 }
                 Some(report) = reports.recv() => self.say(Some(report)),
-                Some((from, body)) = self.setup.link.ways.incoming.recv() => self.hear(&from, &body),
+                Some((from, body)) = self.setup.link.channels.incoming.recv() => self.hear(&from, &body),
                 Some((wish, reply)) = wished.recv() => self.wish(wish, Wisher::Here(reply), None),
                 ended = done(&mut self.on_its_way) => self.ended(ended),
                 proposed = proposed(&mut self.proposing) => self.proposed(proposed),
@@ -196,15 +196,15 @@
         let until = self.standing().lease_end;
         let silent =
             until.map_or(self.begun.elapsed(), |until| Instant::now().saturating_duration_since(until));
-        let wanted = wanted(&self.document, &self.setup.name, silent);
+        let wanted = member_target(&self.document, &self.setup.name, silent);
         if wanted != self.wanted {
             if let Some(wanted) = &wanted {
-                tracing::info!(change = wanted.number, step = wanted.step, side = ?wanted.side, "{}", wanted.word);
+                tracing::info!(change = wanted.number, step = wanted.step, side = ?wanted.side, "{}", wanted.state_description);
             }
             self.wanted.clone_from(&wanted);
             self.stands.send_modify(|stands| stands.wanted = wanted);
         }
-        let counts = self.document.change.as_ref().filter(|change| change.runs());
+        let counts = self.document.change.as_ref().filter(|change| change.is_active());
         let counts = counts.map(|change| change.rollout.plan.report_interval);
         self.counts.send_if_modified(|before| std::mem::replace(before, counts) != counts);
         let staged = self.staging();
@@ -216,26 +216,27 @@
     }
 
     /// By what settings to act: until they are undone on all sides, or are the version in force.
-    fn staging(&mut self) -> Option<Arc<Staged>> {
+    fn staging(&mut self) -> Option<Arc<StagedSettings>> {
         let change = self.document.change.as_ref().filter(|change| {
-            change.runs() || change.rollout.state == maplehook_rollout::RolloutState::Completed
+            change.is_active() || change.rollout.state == maplehook_rollout::RolloutState::Completed
         })?;
         let wanted = self.wanted.as_ref()?;
-        let Content::Settings { text, rests_on } = &change.content else { return None };
-        let acting = self.setup.link.acting.borrow();
+        let Content::Settings { text, base_version: rests_on } = &change.content else { return None };
+        let acting = self.setup.link.active_version.borrow();
         let before = self.staged.borrow().clone();
         let rests_on = rests_on.to_string();
         if acting.label != rests_on {
             return None;
         }
         let (number, step, side) = (wanted.number, wanted.step, wanted.side);
-        let same =
-            |staged: &Staged| (staged.number, staged.side) == (number, side) && staged.rests_on == rests_on;
+        let same = |staged: &StagedSettings| {
+            (staged.number, staged.side) == (number, side) && staged.base_version == rests_on
+        };
         if let Some(before) = before.filter(|before| same(before)) {
             return Some(if before.step == step {
                 before
             } else {
-                Arc::new(Staged { step, ..(*before).clone() })
+                Arc::new(StagedSettings { step, ..(*before).clone() })
             });
         }
         if self.read.as_ref().is_none_or(|(of, _)| *of != number) {
@@ -251,12 +252,12 @@
             Side::Old => staged(old, &new),
             Side::New => staged(&new, old),
         });
-        Some(Arc::new(Staged { number, step, side, rests_on, rules }))
+        Some(Arc::new(StagedSettings { number, step, side, base_version: rests_on, rules }))
     }
 
     /// Where this one stands: what the thread that serves acts on, or which program it is.
     pub(crate) fn side(&self) -> Option<(u64, Side, u64)> {
-        let change = self.document.change.as_ref().filter(|change| change.runs())?;
+        let change = self.document.change.as_ref().filter(|change| change.is_active())?;
         let (number, step) = (change.rollout.number, change.rollout.step);
         match &change.content {
             Content::Program { digest, .. } => {
--- a/crates/rollout-agent/src/parts.rs
+++ b/crates/rollout-agent/src/staged_settings.rs
@@ -34,7 +34,7 @@
 
 /// What may be staged and what not.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Parts {
+pub struct StageableParts {
     /// What differs between the stages, in words.
     pub staged: Vec<String>,
     /// What contradicts, in words.
@@ -42,7 +42,7 @@
 }
 
 /// What of a change may be staged; an error where none of it may, or where even its strictest reading contradicts.
-pub fn parts(old: &Proxy, new: &Proxy) -> Result<Parts, String> {
+pub fn parts(old: &Proxy, new: &Proxy) -> Result<StageableParts, String> {
     const ORDINARY: &str = "propose it the ordinary way: maplehook settings propose FILE";
     let kept_back = conflicts(old, new);
     let (before, after) = (staged(old, new), staged(new, old));
@@ -58,7 +58,7 @@
         };
         return Err(format!("{why}; {ORDINARY}"));
     }
-    Ok(Parts { staged, kept_back })
+    Ok(StageableParts { staged, kept_back })
 }
 
 fn named<'a, T>(names: &'a [String], of: &'a [T]) -> BTreeMap<&'a str, &'a T> {
--- a/crates/rollout-agent/src/shown.rs
+++ b/crates/rollout-agent/src/status.rs
@@ -1,14 +1,14 @@
 //! How a change stands, as operators are shown it.
 
 use crate::document::{Change, Document, words};
-use crate::talk::Preview;
+use crate::messages::Preview;
 use maplehook_canary::Side;
 use maplehook_rollout::RolloutState;
 use serde::{Deserialize, Serialize};
 
 /// A balancer of a stage.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShownMember {
+pub struct MemberStatus {
     /// Its name.
     pub name: String,
     /// Its zone.
@@ -19,9 +19,10 @@
 
 /// A stage.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShownStage {
+pub struct StageStatus {
     /// Whom it adds.
-    pub who: Vec<ShownMember>,
+    #[serde(rename = "who")]
+    pub members: Vec<MemberStatus>,
     /// Since when, in Unix milliseconds; none if it has not begun.
     pub since_ms: Option<u64>,
     /// Until when.
@@ -34,17 +35,19 @@
 
 /// What `GET /control/rollout` shows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Shown {
+pub struct RolloutStatus {
     /// The change's number; 0 if there was none.
     pub number: u64,
     /// `planned`, `running`, `held`, `undoing`, `undone`, `done`, `failed to undo`; `none`.
     pub state: String,
     /// The same, with what there is to say.
-    pub word: String,
+    #[serde(rename = "word")]
+    pub state_description: String,
     /// Counts what has happened to it.
     pub step: u64,
     /// What changes.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub content: String,
     /// At which balancer it was begun.
     pub by: String,
     /// When, in Unix milliseconds.
@@ -52,15 +55,18 @@
     /// Of settings: the version that they have become.
     pub version: Option<u64>,
     /// The stages.
-    pub stages: Vec<ShownStage>,
+    pub stages: Vec<StageStatus>,
     /// What it waits for.
-    pub waits: Vec<String>,
+    #[serde(rename = "waits")]
+    pub waiting_for: Vec<String>,
     /// What happened.
     pub events: Vec<String>,
     /// Whether no other change may begin.
-    pub runs: bool,
+    #[serde(rename = "runs")]
+    pub is_active: bool,
     /// The side on which this balancer is to be.
-    pub own: String,
+    #[serde(rename = "own")]
+    pub target_side: String,
     /// The leader.
     pub leader: Option<String>,
 }
@@ -73,46 +79,50 @@
     }
 }
 
-impl Shown {
+impl RolloutStatus {
     /// By what is agreed on, and by what the leader has told of the stage that runs.
-    pub fn of(document: &Document, known: &[String]) -> Self {
+    pub fn from_document(document: &Document, known: &[String]) -> Self {
         let Some(change) = &document.change else {
-            return Self { state: "none".into(), word: "there was no change yet".into(), ..Self::default() };
+            return Self {
+                state: "none".into(),
+                state_description: "there was no change yet".into(),
+                ..Self::default()
+            };
         };
         let rollout = &change.rollout;
         Self {
             number: rollout.number,
             state: rollout.state.name().into(),
-            word: words(&rollout.state),
+            state_description: words(&rollout.state),
             step: rollout.step,
-            what: change.content.words(),
+            content: change.content.words(),
             by: change.by.clone(),
-            at_ms: change.at_ms,
+            at_ms: change.started_at_ms,
             version: change.version,
             stages: stages(change, known),
-            waits: waits(change, known),
+            waiting_for: waits(change, known),
             events: rollout.events.iter().map(|event| format!("{}: {}", event.step, event.text)).collect(),
-            runs: change.runs(),
+            is_active: change.is_active(),
             ..Self::default()
         }
     }
 }
 
-fn stages(change: &Change, known: &[String]) -> Vec<ShownStage> {
+fn stages(change: &Change, known: &[String]) -> Vec<StageStatus> {
     let rollout = &change.rollout;
     let mut told = 0;
     let mut shown = Vec::new();
     for stage in 0..rollout.order.stages() {
         let members = rollout.order.stage(stage);
-        let who = members[told..].iter().map(|member| ShownMember {
+        let who = members[told..].iter().map(|member| MemberStatus {
             name: member.name.clone(),
             zone: member.zone.clone(),
             side: rollout.sides.get(&member.name).map_or("unknown", |(of, _)| side(*of)).into(),
         });
-        let watched = change.watched.iter().find(|watched| watched.stage == stage);
+        let watched = change.stage_records.iter().find(|watched| watched.stage == stage);
         let runs = rollout.stage() == Some(stage);
-        shown.push(ShownStage {
-            who: who.collect(),
+        shown.push(StageStatus {
+            members: who.collect(),
             since_ms: watched.map(|watched| watched.since_ms),
             until_ms: watched.and_then(|watched| watched.until_ms),
             evidence: if runs {
@@ -148,7 +158,7 @@
         RolloutState::RollingBack { .. } | RolloutState::RollbackFailed { .. } => {
             vec![format!("to be as before: {}", rollout.unconfirmed_members().join(", "))]
         }
-        RolloutState::Completed if change.runs() => {
+        RolloutState::Completed if change.is_active() => {
             vec!["the settings are proposed as the next version".into()]
         }
         _ => Vec::new(),
--- a/crates/rollout-agent/src/board.rs
+++ b/crates/rollout-agent/src/status_board.rs
@@ -1,9 +1,9 @@
 //! What operators and whoever starts programs are answered: from what stands when they ask.
 
-use crate::document::{Change, Content, Document, Past};
-use crate::member::Wanted;
-use crate::shown::{Shown, side};
-use crate::talk::{Reply, Wish};
+use crate::document::{Change, Content, Document, PastChange};
+use crate::member::MemberTarget;
+use crate::messages::{OperatorRequest, Reply};
+use crate::status::{RolloutStatus, side};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,11 +15,11 @@
 
 /// How it stands here, as the thread knows it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Stands {
+pub struct LocalState {
     /// What was told last.
     pub document: Arc<Document>,
     /// Where this balancer is to be.
-    pub wanted: Option<Wanted>,
+    pub wanted: Option<MemberTarget>,
     /// What the leader has told of the stage that runs.
     pub known: Vec<String>,
     /// The leader.
@@ -28,7 +28,7 @@
 
 /// Where this balancer is to be: what `GET /control/rollout/own` answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Own {
+pub struct TargetStatus {
     /// The change's number.
     pub number: u64,
     /// Counts what has happened to it.
@@ -36,57 +36,71 @@
     /// `old` or `new`.
     pub side: String,
     /// Whether the change is not over yet.
-    pub runs: bool,
+    #[serde(rename = "runs")]
+    pub is_active: bool,
     /// The program that `new` is, where one changes.
-    pub program: Option<OwnProgram>,
+    pub program: Option<TargetProgram>,
     /// The state, in words.
-    pub word: String,
+    #[serde(rename = "word")]
+    pub state_description: String,
 }
 
 /// A program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OwnProgram {
+pub struct TargetProgram {
     /// Its path.
     pub path: String,
     /// SHA-256 of its bytes, in hexadecimal.
     pub digest: String,
 }
 
-pub(crate) type Wished = (Wish, oneshot::Sender<Reply>);
+pub(crate) type Wished = (OperatorRequest, oneshot::Sender<Reply>);
 
 /// Answers, on any thread.
 #[derive(Clone)]
-pub struct Board {
-    pub(crate) stands: watch::Receiver<Stands>,
+pub struct StatusBoard {
+    pub(crate) stands: watch::Receiver<LocalState>,
     pub(crate) wishes: mpsc::Sender<Wished>,
 }
 
-impl Board {
+impl StatusBoard {
     /// How the change stands that runs, or ran last.
-    pub fn shown(&self) -> Shown {
+    pub fn status(&self) -> RolloutStatus {
         let stands = self.stands.borrow().clone();
         let own = stands.wanted.as_ref().map_or("", |wanted| side(wanted.side)).to_owned();
-        Shown { own, leader: stands.leader, ..Shown::of(&stands.document, &stands.known) }
+        RolloutStatus {
+            target_side: own,
+            leader: stands.leader,
+            ..RolloutStatus::from_document(&stands.document, &stands.known)
+        }
     }
 
     /// All changes, the latest last.
-    pub fn history(&self) -> Vec<Past> {
+    pub fn history(&self) -> Vec<PastChange> {
         self.stands.borrow().document.history()
     }
 
     /// Where this balancer is to be; `None`: there was no change.
-    pub fn own(&self) -> Option<Own> {
+    pub fn target(&self) -> Option<TargetStatus> {
         let stands = self.stands.borrow();
-        let Wanted { number, step, side: of, program, word } = stands.wanted.clone()?;
-        let runs = stands.document.change.as_ref().is_some_and(Change::runs);
-        let program = program.map(|(path, digest)| OwnProgram { path, digest });
-        Some(Own { number, step, side: side(of).into(), runs, program, word })
+        let MemberTarget { number, step, side: of, program, state_description: word } =
+            stands.wanted.clone()?;
+        let runs = stands.document.change.as_ref().is_some_and(Change::is_active);
+        let program = program.map(|(path, digest)| TargetProgram { path, digest });
+        Some(TargetStatus {
+            number,
+            step,
+            side: side(of).into(),
+            is_active: runs,
+            program,
+            state_description: word,
+        })
     }
 
     /// Why no settings may be proposed: some are changed in stages.
-    pub fn shuts_settings(&self) -> Option<String> {
+    pub fn settings_lock_reason(&self) -> Option<String> {
         let stands = self.stands.borrow();
-        let change = stands.document.change.as_ref().filter(|change| change.runs())?;
+        let change = stands.document.change.as_ref().filter(|change| change.is_active())?;
         matches!(change.content, Content::Settings { .. }).then(|| {
             let number = change.rollout.number;
             format!("settings are changed in stages (change {number}): maplehook rollout status, or undo")
@@ -94,7 +108,7 @@
     }
 
     /// An operator's wish.
-    pub async fn wish(&self, wish: Wish) -> Reply {
+    pub async fn request(&self, wish: OperatorRequest) -> Reply {
         let (reply, ended) = oneshot::channel();
         if self.wishes.try_send((wish, reply)).is_err() {
             return Reply::Unavailable("too many wishes are under way".into());
--- a/crates/rollout-agent/tests/leading.rs
+++ b/crates/rollout-agent/tests/leading.rs
@@ -4,9 +4,9 @@
 use maplehook_config::Proxy;
 use maplehook_rollout::RolloutState;
 use maplehook_rollout_agent::document::Document;
-use maplehook_rollout_agent::lead::{Ground, Leading};
-use maplehook_rollout_agent::member::wanted;
-use maplehook_rollout_agent::talk::{Reply, Stands, What, Wish};
+use maplehook_rollout_agent::leader::{LeaderState, PlanContext};
+use maplehook_rollout_agent::member::member_target;
+use maplehook_rollout_agent::messages::{MemberReport, OperatorRequest, Reply, RequestedContent};
 use std::time::Duration;
 
 const PLAN: &str = "[change]\nsettings = 'x'\ninterval_ms = 500\nshort_s = 60\n[[stage]]\nnames = ['b0']\nleast_s = 8\nleast_requests = 100\n\
@@ -31,7 +31,7 @@
 /// Four balancers, whoever leads, and what stands in the log.
 struct World {
     now: Duration,
-    leading: Leading,
+    leading: LeaderState,
     log: Document,
     in_force: u64,
     /// Who is out of reach.
@@ -42,7 +42,7 @@
 
 impl World {
     fn new() -> Self {
-        let leading = Leading::new(names(), Document::default(), Duration::ZERO);
+        let leading = LeaderState::new(names(), Document::default(), Duration::ZERO);
         let mut world = Self {
             now: Duration::ZERO,
             leading,
@@ -55,21 +55,24 @@
         world
     }
 
-    fn wish(&mut self, wish: &Wish) -> Result<u64, Reply> {
+    fn wish(&mut self, wish: &OperatorRequest) -> Result<u64, Reply> {
         let rules = read(&text(2000)).unwrap();
-        let ground = Ground { in_force: Some(self.in_force), rules: &rules, read: &read, unix_ms: 5 };
-        let (body, number) = self.leading.wish("b1", wish, &ground)?;
+        let ground = PlanContext { in_force: Some(self.in_force), rules: &rules, read: &read, unix_ms: 5 };
+        let (body, number) = self.leading.handle_request("b1", wish, &ground)?;
         self.put(body);
         Ok(number)
     }
 
     fn start(&mut self) -> Result<u64, Reply> {
-        self.wish(&Wish::Start { plan: PLAN.into(), what: What::Settings { text: text(500) } })
+        self.wish(&OperatorRequest::Start {
+            plan: PLAN.into(),
+            content: RequestedContent::Settings { text: text(500) },
+        })
     }
 
     fn put(&mut self, body: Vec<u8>) {
         self.log = Document::decode(&body).unwrap();
-        self.leading.ended(true);
+        self.leading.finish_proposal(true);
     }
 
     fn state(&self) -> RolloutState {
@@ -83,7 +86,7 @@
             self.now += Duration::from_millis(500);
             let all = names();
             for name in all.iter().filter(|name| !self.away.contains(name)) {
-                let wanted = wanted(&self.log, name, Duration::ZERO);
+                let wanted = member_target(&self.log, name, Duration::ZERO);
                 let is = |side: Side| if self.stays.contains(name) { Side::Old } else { side };
                 let side = wanted.as_ref().map(|wanted| (wanted.number, is(wanted.side), wanted.step));
                 let mut report = IntervalReport::new(0, "a");
@@ -92,8 +95,8 @@
                     report.counts_mut("look", "").record_served(1000 + 100 * k, false);
                 }
                 does(side.map_or(Side::Old, |(_, side, _)| side), &mut report);
-                let stands = Stands { zone: "a".into(), side, report: Some(report) };
-                self.leading.hear(self.now, name, stands);
+                let stands = MemberReport { zone: "a".into(), side, report: Some(report) };
+                self.leading.record_report(self.now, name, stands);
             }
             if let Some(body) = self.leading.tick(self.now, Some(self.in_force), 7) {
                 self.put(body);
@@ -122,17 +125,19 @@
     world.play(60.0, &good);
     assert_eq!(world.state(), RolloutState::Completed);
     let change = world.log.change.as_ref().unwrap();
-    assert!(change.runs() && change.watched.len() == 3, "{:?}", change.watched);
+    assert!(change.is_active() && change.stage_records.len() == 3, "{:?}", change.stage_records);
     assert!(
-        change.watched[2].evidence.iter().any(|line| line.starts_with("failed: new")),
+        change.stage_records[2].evidence.iter().any(|line| line.starts_with("failed: new")),
         "{:?}",
-        change.watched
+        change.stage_records
     );
-    assert_eq!(world.leading.finished(), Some((&text(500)[..], 1)));
-    let body = world.leading.finish(Ok(2)).unwrap();
+    assert_eq!(world.leading.completed_settings(), Some((&text(500)[..], 1)));
+    let body = world.leading.settings_proposed(Ok(2)).unwrap();
     world.put(body);
-    assert!(!world.log.change.as_ref().unwrap().runs());
-    assert!(matches!(world.wish(&Wish::Undo), Err(Reply::Refused(why)) if why.contains("settings undo")));
+    assert!(!world.log.change.as_ref().unwrap().is_active());
+    assert!(
+        matches!(world.wish(&OperatorRequest::Undo), Err(Reply::Refused(why)) if why.contains("settings undo"))
+    );
 }
 
 #[test]
@@ -142,11 +147,11 @@
     world.play(6.0, &bad);
     assert!(matches!(world.state(), RolloutState::RolledBack { why } if why.contains("failed")));
     let change = world.log.change.as_ref().unwrap();
-    assert_eq!((change.rollout.furthest_stage, change.watched.len()), (Some(0), 1));
-    assert!(change.watched[0].verdict.contains("failed"), "{:?}", change.watched);
+    assert_eq!((change.rollout.furthest_stage, change.stage_records.len()), (Some(0), 1));
+    assert!(change.stage_records[0].verdict.contains("failed"), "{:?}", change.stage_records);
     // The next one may begin, and this one is remembered.
     assert_eq!(world.start().unwrap(), 2);
-    assert!(world.log.history()[0].ended.contains("undone"));
+    assert!(world.log.history()[0].outcome.contains("undone"));
 }
 
 #[test]
@@ -160,7 +165,7 @@
         }
     }
     assert_eq!(world.state(), RolloutState::Running(1));
-    world.leading = Leading::new(names(), world.log.clone(), world.now);
+    world.leading = LeaderState::new(names(), world.log.clone(), world.now);
     world.play(5.0, &good);
     assert_eq!(world.state(), RolloutState::Running(1), "what another has seen of it does not count");
     world.play(60.0, &good);
@@ -178,7 +183,7 @@
         }
     }
     assert_eq!(world.state(), RolloutState::Running(2));
-    world.leading = Leading::new(names(), world.log.clone(), world.now);
+    world.leading = LeaderState::new(names(), world.log.clone(), world.now);
     world.play(6.0, &bad);
     assert!(
         matches!(world.state(), RolloutState::RolledBack { why } if why.contains("failed")),
@@ -192,17 +197,19 @@
     let mut world = World::new();
     let number = world.start().unwrap();
     assert_eq!(world.start(), Err(Reply::Done(number)));
-    let other = Wish::Start { plan: PLAN.into(), what: What::Settings { text: text(700) } };
+    let other =
+        OperatorRequest::Start { plan: PLAN.into(), content: RequestedContent::Settings { text: text(700) } };
     assert!(matches!(world.wish(&other), Err(Reply::Refused(why)) if why.contains("change 1 is running")));
-    let plan = Wish::Plan { plan: PLAN.into(), what: What::Settings { text: text(700) } };
+    let plan =
+        OperatorRequest::Plan { plan: PLAN.into(), content: RequestedContent::Settings { text: text(700) } };
     assert!(matches!(world.wish(&plan), Err(Reply::Refused(_))));
-    assert_eq!(world.wish(&Wish::Hold).unwrap(), number);
-    assert_eq!(world.wish(&Wish::Hold), Err(Reply::Done(number)));
+    assert_eq!(world.wish(&OperatorRequest::Hold).unwrap(), number);
+    assert_eq!(world.wish(&OperatorRequest::Hold), Err(Reply::Done(number)));
     world.play(30.0, &good);
     assert!(matches!(world.state(), RolloutState::Paused { by_operator: true, .. }));
-    assert_eq!(world.wish(&Wish::Go).unwrap(), number);
-    assert_eq!(world.wish(&Wish::Undo).unwrap(), number);
-    assert_eq!(world.wish(&Wish::Undo), Err(Reply::Done(number)), "undone while it is undone");
+    assert_eq!(world.wish(&OperatorRequest::Go).unwrap(), number);
+    assert_eq!(world.wish(&OperatorRequest::Undo).unwrap(), number);
+    assert_eq!(world.wish(&OperatorRequest::Undo), Err(Reply::Done(number)), "undone while it is undone");
     world.play(2.0, &good);
     assert!(matches!(world.state(), RolloutState::RolledBack { .. }));
 }
@@ -210,7 +217,10 @@
 #[test]
 fn a_plan_is_said_before_anything_starts() {
     let mut world = World::new();
-    let plan = |text: &str| Wish::Plan { plan: PLAN.into(), what: What::Settings { text: text.into() } };
+    let plan = |text: &str| OperatorRequest::Plan {
+        plan: PLAN.into(),
+        content: RequestedContent::Settings { text: text.into() },
+    };
     let Err(Reply::Planned(preview)) = world.wish(&plan(&text(500))) else { panic!() };
     assert_eq!((preview.stages.len(), &preview.stages[0][..]), (3, &["b0".to_owned()][..]));
     assert_eq!(preview.staged, ["class look: deadline 2000 to 500 ms", "class look: aim 666 to 166 ms"]);
@@ -219,9 +229,9 @@
     for (text, why) in [(&text(2000), "nothing changes"), (&strict, "settings propose")] {
         assert!(matches!(world.wish(&plan(text)), Err(Reply::Refused(said)) if said.contains(why)));
     }
-    let alone = Wish::Plan {
+    let alone = OperatorRequest::Plan {
         plan: "[change]\nsettings = 'x'\n[[stage]]\nshare = 1.0\n".into(),
-        what: What::Settings { text: text(500) },
+        content: RequestedContent::Settings { text: text(500) },
     };
     assert!(
         matches!(world.wish(&alone), Err(Reply::Refused(why)) if why.contains("nobody is left to compare with"))
@@ -262,8 +272,8 @@
 fn a_program_goes_to_as_many_of_a_zone_as_may_be_away() {
     let mut world = World::new();
     let plan = PLAN.replace("settings", "program").replace("share = 0.5", "names = ['b1', 'b2']");
-    let what = What::Program { path: "/p".into(), digest: "a".repeat(64) };
-    world.wish(&Wish::Start { plan, what }).unwrap();
+    let what = RequestedContent::Program { path: "/p".into(), digest: "a".repeat(64) };
+    world.wish(&OperatorRequest::Start { plan, content: what }).unwrap();
     let mut most = 0;
     for _ in 0..200 {
         let change = world.log.change.clone().unwrap();
@@ -287,7 +297,7 @@
     let last = change.rollout.order.members()[3].name.clone();
     assert!(change.rollout.sides.contains_key(&last));
     world.away.push(last);
-    world.leading = Leading::new(names(), world.log.clone(), world.now);
+    world.leading = LeaderState::new(names(), world.log.clone(), world.now);
     world.play(40.0, &good);
     assert_eq!(world.state(), RolloutState::Running(2));
 }
--- a/tools/simulator/src/places/agreeing.rs
+++ b/tools/simulator/src/places/agreeing.rs
@@ -7,8 +7,8 @@
 use maplehook_cluster::Name;
 use maplehook_failover::{BalancerRouting, Bounds, Report, digest};
 use maplehook_failover_agent::Config;
-use maplehook_failover_agent::lead::Leading;
-use maplehook_failover_agent::talk::Agreed;
+use maplehook_failover_agent::leader::LeaderState;
+use maplehook_failover_agent::messages::AgreedState;
 use maplehook_locality::{Region, Rules, Zone};
 use maplehook_versions::{DocumentLeaseHolder, DocumentLeaseManager, LeaseTimes};
 use rand::{Rng, SeedableRng};
@@ -34,7 +34,7 @@
     /// As bytes.
     pub body: Arc<[u8]>,
     /// As it is read.
-    pub agreed: Arc<Agreed>,
+    pub agreed: Arc<AgreedState>,
 }
 
 #[derive(Clone, Debug)]
@@ -61,7 +61,7 @@
 
 struct Leader {
     at: usize,
-    leading: Leading,
+    leading: LeaderState,
     given: DocumentLeaseManager,
     /// When what is on its way stands in the log, the number that it rests on, and its bytes.
     on_its_way: Option<(Duration, u64, Vec<u8>)>,
@@ -119,12 +119,12 @@
         let config = Config {
             topology,
             rules,
-            own,
+            own_zone: own,
             bounds,
             addresses: addresses(),
             classes: Vec::new(),
             tenants: Vec::new(),
-            rooms: Vec::new(),
+            capacity_per_weight: Vec::new(),
             digest,
         };
         let voters = (0..if ground.posts.len() < 5 { 3 } else { 5 }).collect();
@@ -270,7 +270,7 @@
                     && leader.at == to
                     && ground.posts[to].serves()
                 {
-                    leader.leading.hear(now, name.as_str(), report);
+                    leader.leading.record_report(now, name.as_str(), report);
                 }
             }
             Word::Ask { to, from, request, acts, has } => {
@@ -325,10 +325,10 @@
         let next = self.voters.iter().copied().find(|voter| self.majority(ground, *voter));
         self.leader = next.map(|at| {
             let members: BTreeSet<Name> = self.members.iter().map(|member| member.name.clone()).collect();
-            let config = Config { own: Zone(ground.posts[at].zone as u16), ..self.config.clone() };
+            let config = Config { own_zone: Zone(ground.posts[at].zone as u16), ..self.config.clone() };
             Leader {
                 at,
-                leading: Leading::new(config, (*self.log.agreed).clone(), now),
+                leading: LeaderState::new(config, (*self.log.agreed).clone(), now),
                 given: DocumentLeaseManager::new(self.times, members, now),
                 on_its_way: None,
                 asked: BTreeMap::new(),
@@ -348,13 +348,13 @@
         let sound = ground.posts[at].serves() && self.majority(ground, at);
         let done = |(due, ..): &(Duration, u64, Vec<u8>)| sound && now >= *due;
         if let Some((_, expect, body)) = leader.on_its_way.take_if(|on| done(on)) {
-            let read = Agreed::decode(&body).filter(|_| expect == self.log.number);
+            let read = AgreedState::decode(&body).filter(|_| expect == self.log.number);
             let stands = read.is_some();
             if let Some(agreed) = read {
                 self.log = Entry { number: expect + 1, body: body.into(), agreed: Arc::new(agreed) };
                 self.bodies += 1;
             }
-            leader.leading.ended(stands);
+            leader.leading.finish_proposal(stands);
             if stands {
                 let entry = self.log.clone();
                 let lack = leader.given.holders_without(now, entry.number);
--- a/tools/simulator/src/places/explore/leads.rs
+++ b/tools/simulator/src/places/explore/leads.rs
@@ -4,7 +4,7 @@
     Flaw, GIVES_UP, Leader, NAMES, SILENCE, SITES, TURNS, World, address, names, times, turned,
 };
 use maplehook_address_announcement::{Decider, SiteHealth};
-use maplehook_failover_agent::talk::Agreed;
+use maplehook_failover_agent::messages::AgreedState;
 use maplehook_locality::Region;
 use maplehook_versions::DocumentLeaseManager;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 
 impl World {
     /// The present leader puts a body on its way.
-    pub(super) fn put(&mut self, agreed: Agreed) {
+    pub(super) fn put(&mut self, agreed: AgreedState) {
         let (t, due) = (self.t, self.late_body.max(self.t + 1));
         let Some(leader) = &mut self.leader else { return };
         let agreed = Arc::new(agreed);
@@ -98,7 +98,7 @@
     }
 
     /// One epoch is one plan, one number one state, and each rests on the one before.
-    fn sound(&self, next: &Agreed) -> Result<(), String> {
+    fn sound(&self, next: &AgreedState) -> Result<(), String> {
         let (old, new) = (&self.stands.places.plan, &next.places.plan);
         if new.rows != old.rows && new.epoch != old.epoch + 1 {
             return Err(format!("plan {} follows plan {}", new.epoch, old.epoch));
@@ -156,10 +156,10 @@
         let places = std::mem::take(&mut leader.turns).then(|| turned(&leader.stands.places));
         if addresses.is_some() || places.is_some() {
             let stands = (*leader.stands).clone();
-            let agreed = Agreed {
+            let agreed = AgreedState {
                 places: places.unwrap_or(stands.places),
                 addresses: addresses.unwrap_or(stands.addresses),
-                trips: stands.trips,
+                rtts: stands.rtts,
             };
             self.put(agreed);
         }
--- a/tools/simulator/src/places/explore/members.rs
+++ b/tools/simulator/src/places/explore/members.rs
@@ -3,7 +3,7 @@
 use super::world::{Flaw, NAMES, SITES, STEP, World, names, times};
 use maplehook_address_announcement::{Answer, LocalBalancer};
 use maplehook_failover::BalancerRouting;
-use maplehook_failover_agent::talk::Agreed;
+use maplehook_failover_agent::messages::AgreedState;
 use maplehook_locality::{Rules, Topology, Zone};
 use std::sync::Arc;
 use std::time::Duration;
@@ -65,7 +65,7 @@
             }
             member.holding.accept_grant(Some(request), number, Some(Arc::clone(&body)));
             if member.holding.newest().0 == number && number > 0 {
-                member.agreed = Agreed::decode(&body).map(|agreed| (number, Arc::new(agreed)));
+                member.agreed = AgreedState::decode(&body).map(|agreed| (number, Arc::new(agreed)));
             }
         }
     }
--- a/tools/simulator/src/places/explore/world.rs
+++ b/tools/simulator/src/places/explore/world.rs
@@ -3,7 +3,7 @@
 use maplehook_address_announcement::{Address, Announce, Decider, Order};
 use maplehook_cluster::Name;
 use maplehook_failover::{Document, FULL_SHARE, Row, Share};
-use maplehook_failover_agent::talk::Agreed;
+use maplehook_failover_agent::messages::AgreedState;
 use maplehook_locality::{Region, Zone};
 use maplehook_versions::{DocumentLeaseHolder, DocumentLeaseManager, LeaseTimes, SharedDocument as Log};
 use std::collections::BTreeSet;
@@ -106,9 +106,9 @@
     pub(super) given: DocumentLeaseManager,
     /// What it takes for what stands in the log.
     pub(super) number: u64,
-    pub(super) stands: Arc<Agreed>,
+    pub(super) stands: Arc<AgreedState>,
     /// A body of its own on its way, since this step.
-    pub(super) proposed: Option<(u32, Arc<Agreed>)>,
+    pub(super) proposed: Option<(u32, Arc<AgreedState>)>,
     /// By member: the last step at which it was heard.
     pub(super) heard: [Option<u32>; 3],
     pub(super) turns: bool,
@@ -118,7 +118,7 @@
 pub(super) struct Member {
     pub(super) holding: DocumentLeaseHolder,
     pub(super) request: u64,
-    pub(super) agreed: Option<(u64, Arc<Agreed>)>,
+    pub(super) agreed: Option<(u64, Arc<AgreedState>)>,
     /// Until which step.
     pub(super) stopped: u32,
     pub(super) cut: u32,
@@ -137,11 +137,11 @@
     pub(super) t: u32,
     pub(super) turning: bool,
     pub(super) log: Log,
-    pub(super) stands: Arc<Agreed>,
+    pub(super) stands: Arc<AgreedState>,
     /// When it came to stand there.
     pub(super) since: Duration,
     /// Bodies on their way: due at, by whom, the number that they rest on, the body.
-    pub(super) on_the_way: Vec<(u32, usize, u64, Arc<Agreed>)>,
+    pub(super) on_the_way: Vec<(u32, usize, u64, Arc<AgreedState>)>,
     pub(super) late_body: u32,
     pub(super) leader: Option<Leader>,
     /// One that does not know yet that it is none.
@@ -322,7 +322,7 @@
                 let site = if at.is_some_and(|at| at == "a") { "b" } else { "a" };
                 let (name, site, by) = ("one".into(), site.into(), "ann".into());
                 if let Ok(addresses) = leader.decider.order(&Order::Move { name, site, by, anyway: true }) {
-                    let agreed = Agreed { addresses, ..(*leader.stands).clone() };
+                    let agreed = AgreedState { addresses, ..(*leader.stands).clone() };
                     self.put(agreed);
                 }
             }
--- a/tools/simulator/src/rollout/ways.rs
+++ b/tools/simulator/src/rollout/ways.rs
@@ -4,9 +4,9 @@
 use maplehook_rollout::order::Member;
 use maplehook_rollout::{Command, Rollout, RolloutState, StageVerdict, plan};
 use maplehook_rollout_agent::document::{Change, Content, Document};
-use maplehook_rollout_agent::lead::Leading;
-use maplehook_rollout_agent::member::wanted;
-use maplehook_rollout_agent::talk::Stands;
+use maplehook_rollout_agent::leader::LeaderState;
+use maplehook_rollout_agent::member::member_target;
+use maplehook_rollout_agent::messages::MemberReport;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -61,7 +61,7 @@
 /// What decides.
 pub enum Decides {
     /// The leader's own part, and what stands in the log.
-    Judged(Box<(Leading, Document)>),
+    Judged(Box<(LeaderState, Document)>),
     /// Thresholds.
     Fixed(Box<Fixed>),
 }
@@ -86,9 +86,9 @@
         rollout,
         content: Content::Program { path: "p".into(), digest: "0".repeat(64) },
         by: members.first().map(|member| member.name.clone()).unwrap_or_default(),
-        at_ms: 0,
-        watched: Vec::new(),
-        before: None,
+        started_at_ms: 0,
+        stage_records: Vec::new(),
+        baseline: None,
         released: BTreeSet::new(),
         version: None,
     };
@@ -101,7 +101,7 @@
         let document = document(members)?;
         let names = members.iter().map(|member| member.name.clone()).collect();
         if way == Way::Judged {
-            let leading = Leading::new(names, document.clone(), Duration::ZERO);
+            let leading = LeaderState::new(names, document.clone(), Duration::ZERO);
             return Ok(Self::Judged(Box::new((leading, document))));
         }
         let mut rollout = document.change.ok_or("no change")?.rollout;
@@ -133,7 +133,7 @@
     /// On which side a balancer is to be, and by which step.
     pub fn wanted(&self, name: &str) -> (Side, u64) {
         match self {
-            Self::Judged(both) => wanted(&both.1, name, Duration::ZERO)
+            Self::Judged(both) => member_target(&both.1, name, Duration::ZERO)
                 .map_or((Side::Old, 0), |wanted| (wanted.side, wanted.step)),
             Self::Fixed(fixed) => (fixed.rollout.target_side(name), fixed.rollout.step),
         }
@@ -143,7 +143,7 @@
     pub fn another_leads(&mut self, members: &[Member], second: u64) {
         if let Self::Judged(both) = self {
             let names = members.iter().map(|member| member.name.clone()).collect();
-            both.0 = Leading::new(names, both.1.clone(), Duration::from_secs(second));
+            both.0 = LeaderState::new(names, both.1.clone(), Duration::from_secs(second));
         }
     }
 
@@ -154,12 +154,12 @@
                 let (leading, document) = &mut **both;
                 let now = Duration::from_secs(second);
                 for (name, (zone, side, step, report)) in heard {
-                    let stands = Stands { zone, side: Some((1, side, step)), report: Some(report) };
-                    leading.hear(now, &name, stands);
+                    let stands = MemberReport { zone, side: Some((1, side, step)), report: Some(report) };
+                    leading.record_report(now, &name, stands);
                 }
                 if let Some(bytes) = leading.tick(now, None, second * 1000) {
                     let next = Document::decode(&bytes);
-                    leading.ended(next.is_some());
+                    leading.finish_proposal(next.is_some());
                     *document = next.unwrap_or_else(|| document.clone());
                 }
             }
