--- a/crates/failover-agent/src/agent.rs
+++ b/crates/failover-agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! A balancer's part in places as whoever serves sees it: a thread that is started, watched, and ends.
+//! Handle of the failover agent: starts and stops its thread.
 
 use crate::config::Config;
 use crate::history::Writer;
@@ -16,44 +16,44 @@
 use std::time::Instant;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Wishes that may be under way.
+/// Maximum number of pending operator requests.
 pub(crate) const WISHES_MOST: usize = 16;
 
-/// A balancer's part in the agreement, as far as places go.
+/// Channels between the agent and the consensus service.
 pub struct Link {
-    /// How it stands with what is agreed on.
+    /// Status of the shared document.
     pub document_status: watch::Receiver<SharedDocumentStatus>,
-    /// By which number is acted.
+    /// Reports the number of the state that this balancer acts on.
     pub applied_number: watch::Sender<u64>,
-    /// The ways.
+    /// Channels for messages and proposals.
     pub channels: PartChannels,
 }
 
-/// What it takes part with.
+/// Inputs of the agent.
 pub struct Setup {
-    /// Its name, in reports and histories.
+    /// Balancer name in reports and histories.
     pub name: String,
-    /// Its start, which rises with each.
+    /// Generation of this process; rises with each start.
     pub generation: u64,
-    /// What is in force; another one whenever a version changes it. `None`: this version has no places.
+    /// Current configuration, updated by each version; `None` if the version has no zones.
     pub config: watch::Receiver<Option<Arc<Config>>>,
-    /// What is seen.
+    /// Counter snapshots from the serving thread.
     pub counters: watch::Receiver<CounterSnapshot>,
-    /// The agreement, where there is one.
+    /// Connection to the consensus service, if configured.
     pub link: Option<Link>,
-    /// Round trips to other balancers, where there is a tier.
+    /// Round-trip times to the peers, if this balancer is in a tier.
     pub rtts: Option<watch::Receiver<MeasuredRtts>>,
-    /// How many balancers there are, this one among them.
+    /// Number of balancers, including this one.
     pub balancer_count: usize,
-    /// Whether this balancer takes clients.
+    /// True while this balancer accepts clients.
     pub ready: Arc<AtomicBool>,
-    /// The file that a history goes to.
+    /// Path of the history file.
     pub history: Option<PathBuf>,
 }
 
-/// A balancer's part in places; it ends when this is dropped.
+/// Handle of the running agent; dropping the handle stops the thread.
 pub struct Agent {
-    /// By what to act; `None` before there is anything, and where the version has no places.
+    /// Active routing; `None` before the first routing and for a version without zones.
     pub active_routing: watch::Receiver<Option<Arc<ActiveRouting>>>,
     /// Answers operators and routers.
     pub status_board: StatusBoard,
@@ -61,17 +61,17 @@
     thread: Option<JoinHandle<()>>,
 }
 
-/// What is acted on here.
+/// Routing that this balancer acts on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ActiveRouting {
-    /// What it rests on.
+    /// Configuration that the routing was computed from.
     pub config: Arc<Config>,
-    /// Shares, rule by rule.
+    /// Destination shares by rule.
     pub routing: EffectiveRouting,
 }
 
 impl Agent {
-    /// Begins.
+    /// Starts the agent thread.
     pub fn start(setup: Setup) -> Result<Self, String> {
         let writer = match &setup.history {
             Some(path) => Writer::open(path, &setup.name)
--- a/crates/failover-agent/src/config.rs
+++ b/crates/failover-agent/src/config.rs
@@ -1,35 +1,37 @@
-//! What a balancer's part rests on, as the version in force has it.
+//! Settings of the agent, taken from the version in force.
 
 use maplehook_address_announcement::Address;
 use maplehook_config::{Places, Proxy, Upstream};
 use maplehook_failover::{Bounds, digest};
 use maplehook_locality::{Rules, Topology, Zone};
 
-/// Zones, rules, bounds and addresses, with the digest by which balancers tell whether they count alike.
+/// Zones, rules, bounds and addresses. Balancers compare the digest to detect different zone or rule
+/// numbering.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     /// Zones and regions.
     pub topology: Topology,
-    /// The rules, by this process's numbers of classes and tenants.
+    /// Locality rules, with this process's numbers of classes and tenants.
     pub rules: Rules,
-    /// The own zone.
+    /// Zone of this balancer.
     pub own_zone: Zone,
-    /// Bounds that no evidence moves.
+    /// Limits of the failover decisions, independent of the evidence.
     pub bounds: Bounds,
     /// Service addresses.
     pub addresses: Vec<Address>,
-    /// Names of classes and tenants, by the numbers that the rules count them by.
+    /// Class names, indexed by the class numbers of the rules.
     pub classes: Vec<String>,
-    /// Where no tenant has a name there is one that has none.
+    /// Tenant names, indexed by the tenant numbers of the rules; one empty name if no tenant is configured.
     pub tenants: Vec<String>,
-    /// Requests a second for one of weight, by zone; `None` where that is not stated for all upstreams of a zone.
+    /// Capacity in requests per second and unit of weight, by zone; `None` unless it is configured for every
+    /// upstream of the zone.
     pub capacity_per_weight: Vec<Option<f64>>,
-    /// Of the topology and the rules, whatever the numbers of classes and tenants are.
+    /// Digest of the topology and the rules, independent of the numbers of classes and tenants.
     pub digest: u64,
 }
 
 impl Config {
-    /// Of a file's or a version's places; `None` where it has none.
+    /// Builds the configuration from the zones of a file or a version; `None` if it configures no zones.
     pub fn from_proxy(proxy: &Proxy) -> Option<Self> {
         let places = proxy.places.as_ref()?;
         let Places { topology, own, rules, bounds, addresses, .. } = places;
@@ -53,7 +55,7 @@
         })
     }
 
-    /// The names of the sites, in the order of the regions.
+    /// Returns the site names in the order of the regions.
     pub fn sites(&self) -> Vec<String> {
         self.topology.regions().map(|region| self.topology.region_name(region).to_owned()).collect()
     }
--- a/crates/failover-agent/src/golden_tests.rs
+++ b/crates/failover-agent/src/golden_tests.rs
@@ -1,4 +1,4 @@
-//! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
+//! Serialized forms written by an earlier version must decode and encode without change.
 
 use crate::messages::{AgentMessage, AgreedState, OperatorRequest, Reply};
 use crate::status::{FailoverStatus, RowStatus, RttStatus, ShareStatus, ZoneStatus};
--- a/crates/failover-agent/src/history.rs
+++ b/crates/failover-agent/src/history.rs
@@ -1,7 +1,8 @@
-//! What a balancer acts on, written down as it happens, for a judge to read afterwards.
+//! Records the active routing of a balancer in a history file, which a checker reads afterwards.
 //!
-//! A thread of its own writes: neither plans nor answers wait for a disk. What does not fit in the queue, or comes after the file
-//! has reached its bound, is left out and counted, and that is said in the file.
+//! A separate thread writes the file, so neither plans nor answers wait for the disk. Records are dropped and
+//! counted when the queue is full or the file has reached its size limit; the file contains a note with the
+//! number of dropped records.
 
 use maplehook_history_checker::{Record, What};
 use std::fs::File;
@@ -12,31 +13,31 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Records that may wait.
+/// Maximum number of queued records.
 const WAIT_MOST: usize = 4096;
-/// Bytes of a file.
+/// Maximum size of the history file in bytes.
 const BYTES_MOST: u64 = 256 << 20;
 
-/// The machine's Unix clock in microseconds.
+/// Returns the system clock as Unix time in microseconds.
 pub fn unix_us() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(now.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Where records go; nowhere, where no file is wanted.
+/// Sender of history records; drops all records if no history file is configured.
 #[derive(Clone, Debug, Default)]
 pub struct Writer(Option<Sink>);
 
 #[derive(Clone, Debug)]
 struct Sink {
     by: Arc<str>,
-    // A sender is not for two threads at once.
+    // `SyncSender` is wrapped in a mutex because several threads share this writer.
     queue: Arc<Mutex<SyncSender<Record>>>,
     left_out: Arc<AtomicU64>,
 }
 
 impl Writer {
-    /// To a file, which is appended to: a balancer that starts again goes on with it.
+    /// Opens a history file for appending, so that a restarted balancer continues the same file.
     pub fn open(path: &Path, by: &str) -> std::io::Result<Self> {
         let file = File::options().create(true).append(true).open(path)?;
         let written = file.metadata()?.len();
@@ -50,17 +51,17 @@
         Ok(Self(Some(Sink { by: by.into(), queue: Arc::new(Mutex::new(queue)), left_out })))
     }
 
-    /// Whether anybody reads what is written.
+    /// Returns true if a history file is configured.
     pub fn is_on(&self) -> bool {
         self.0.is_some()
     }
 
-    /// Writes down what happens now.
+    /// Records an event at the current time.
     pub fn note(&self, what: What) {
         self.note_at(unix_us(), what);
     }
 
-    /// Writes down what happened at this time.
+    /// Records an event at a given Unix time in microseconds.
     pub fn note_at(&self, at_us: u64, what: What) {
         let Some(sink) = &self.0 else { return };
         let record = Record { at_us, by: sink.by.to_string(), what };
@@ -99,7 +100,7 @@
                 return;
             }
         }
-        // A killed process leaves what it has acted on.
+        // Flushes each batch so that a killed process leaves the records of its active routing.
         if let Err(e) = file.flush() {
             tracing::warn!("the history ends here: {e}");
             return;
--- a/crates/failover-agent/src/leader.rs
+++ b/crates/failover-agent/src/leader.rs
@@ -1,5 +1,5 @@
-//! The leader's part: it hears reports, decides on places and addresses, and has what it decided agreed on. One body at a time is
-//! on its way to the log; what is decided meanwhile goes with the next.
+//! Decisions of the leader: collects reports, decides on zones and addresses, and proposes the result. One
+//! proposal is in flight at a time; later decisions go into the next proposal.
 
 use crate::config::Config;
 use crate::messages::{AgreedState, OperatorRequest, Reply};
@@ -11,29 +11,29 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A leader's state. It begins with what stands in the log, whoever wrote it.
+/// State of a leader; starts from the state in the log, whichever balancer proposed it.
 pub struct LeaderState {
     config: Config,
     places: failover::Decider,
     addresses: addresses::Decider,
     measuring: RttEstimator,
-    /// What stands in the log, as far as this leader knows.
+    /// Newest state in the log that this leader knows.
     stands: AgreedState,
-    /// What is on its way there.
+    /// Proposal that is in flight.
     proposed: Option<AgreedState>,
-    /// The zone of each balancer that was heard of.
+    /// Zone, readiness and time of the last report, by balancer.
     zones: BTreeMap<String, (Zone, bool, Duration)>,
 }
 
-/// How long a balancer's word is taken for its site's.
+/// Age up to which a balancer's report counts for the health of its site.
 const FRESH: Duration = Duration::from_secs(3);
-/// How long a silent balancer is still known to be of its zone.
+/// Time for which a silent balancer still counts as a member of its zone.
 const REMEMBERED: Duration = Duration::from_secs(120);
-/// Balancers that are kept in mind.
+/// Maximum number of balancers in the table of reports.
 const HEARD_MOST: usize = 4096;
 
 impl LeaderState {
-    /// From an election on.
+    /// Creates the state of a newly elected leader.
     pub fn new(config: Config, stands: AgreedState, now: Duration) -> Self {
         let mut places = failover::Decider::new(
             config.topology.clone(),
@@ -49,23 +49,23 @@
         Self { config, places, addresses, measuring, stands, proposed: None, zones: BTreeMap::new() }
     }
 
-    /// Other rules or places are in force.
+    /// Applies changed rules or zones.
     pub fn reconfigure(&mut self, config: Config, now: Duration) {
         self.places.reconfigure(config.topology.clone(), config.rules.clone(), now);
         self.places.set_bounds(config.bounds);
         self.addresses.reconfigure(config.addresses.clone(), config.sites(), now);
         self.measuring = RttEstimator::new(&self.measuring.table(&self.config.topology), &config.topology);
         self.config = config;
-        // Zones are counted anew.
+        // Zone numbers may differ in the new configuration.
         self.zones.clear();
     }
 
-    /// The longest that a lease can last by this leader's clock.
+    /// Sets the maximum duration of a lease, measured on this leader's clock.
     pub fn set_max_lease(&mut self, longest: Duration) {
         self.addresses.set_max_lease(longest);
     }
 
-    /// What a balancer sees.
+    /// Records a balancer's report.
     pub fn record_report(&mut self, now: Duration, from: &str, report: Report) {
         let known = self.zones.len() < HEARD_MOST || self.zones.contains_key(from);
         if known && report.digest == self.config.digest {
@@ -74,15 +74,16 @@
         self.places.record_report(now, from, report);
     }
 
-    /// What a balancer measured of ways to others.
+    /// Records the round-trip times that a balancer measured to its peers.
     pub fn record_rtts(&mut self, now: Duration, from: &str, ways: &[PeerRtt]) {
         if self.zones.contains_key(from) {
             self.measuring.record(now, from, ways);
         }
     }
 
-    /// Time passes: what is to be agreed on, if there is anything new and nothing is on its way. `behind`: balancers that may
-    /// still act on what was agreed before; `in_touch`: those that hold a lease, and whether their program knows places.
+    /// Returns the next proposal if anything has changed and no proposal is in flight. `behind` lists
+    /// balancers that may still act on the previous state, with the maximum remaining time. `in_touch` lists
+    /// the lease holders and whether their program supports failover.
     pub fn tick(
         &mut self,
         now: Duration,
@@ -93,7 +94,7 @@
             return None;
         }
         let without = in_touch.iter().filter(|(_, knows)| !knows).count();
-        // Whoever is silent still is a member of its zone, for a while: that all of a zone are silent tells something.
+        // A silent balancer stays a member of its zone for a while: silence of a complete zone is evidence.
         self.zones.retain(|_, (.., at)| now.saturating_sub(*at) < REMEMBERED);
         let members: Vec<(String, Zone)> =
             self.zones.iter().map(|(name, (zone, ..))| (name.clone(), *zone)).collect();
@@ -114,7 +115,7 @@
         }))
     }
 
-    /// Another table of round trips than the one that stands.
+    /// Returns the table of round-trip times if it differs from the table in the log.
     fn trips(&mut self, now: Duration) -> Option<RttTable> {
         let by_digest = self.zones.iter().map(|(name, (zone, ..))| (fnv1a(name.as_bytes()), *zone)).collect();
         self.measuring.tick(now, |name| self.zones.get(name).map(|(zone, ..)| *zone), &by_digest);
@@ -127,7 +128,7 @@
         bytes
     }
 
-    /// An operator's wish: what is to be agreed on for it.
+    /// Applies an operator's request; returns the proposal for it.
     pub fn handle_request(
         &mut self,
         now: Duration,
@@ -180,7 +181,7 @@
         }
     }
 
-    /// What was proposed stands in the log, or does not.
+    /// Handles the outcome of the proposal: true if it is in the log.
     pub fn finish_proposal(&mut self, stands: bool) -> Option<&AgreedState> {
         let proposed = self.proposed.take()?;
         if !stands {
@@ -193,7 +194,8 @@
         Some(&self.stands)
     }
 
-    /// How each site does: what it can serve of its demand by the plan, and who of it is there.
+    /// Computes the health of each site: the part of its demand that it can serve by the plan, and its
+    /// reachable balancers.
     fn sites(&self, now: Duration) -> Vec<SiteHealth> {
         let topology = &self.config.topology;
         let fresh = |at: Duration| now.saturating_sub(at) < FRESH;
@@ -208,7 +210,8 @@
         topology.regions().map(health).collect()
     }
 
-    /// Sites of which somebody may still act on what was agreed before. Whoever was never heard of may be anywhere.
+    /// Returns, by region, the time for which a balancer may still act on the previous state. A balancer of
+    /// unknown zone counts in all regions.
     fn behind(&self, behind: &[(String, Duration)]) -> BTreeMap<Region, Duration> {
         let topology = &self.config.topology;
         let mut regions: BTreeMap<Region, Duration> = BTreeMap::new();
@@ -224,7 +227,7 @@
     }
 }
 
-/// What is not known yet may be soon.
+/// Maps a missing report to a retryable reply, because reports may arrive soon.
 fn not_now(why: failover::OrderError) -> Reply {
     match why {
         failover::OrderError::NoReportsYet => Reply::Unavailable(why.to_string()),
--- a/crates/failover-agent/src/lib.rs
+++ b/crates/failover-agent/src/lib.rs
@@ -1,7 +1,7 @@
-//! A balancer reports what it sees of zones, and acts by the plan that is agreed on.
+//! Failover agent: reports a balancer's observations of zones and applies the agreed plan.
 //!
-//! [`Taking`] is the thread; [`rates`], [`lead`] and [`talk`] decide nothing by a clock of their own. `docs/design/places.md` has the
-//! reasons.
+//! [`Agent`] runs the thread; [`rates`], [`leader`] and [`messages`] read no clock themselves. The design is
+//! described in `docs/design/places.md`.
 
 mod agent;
 pub mod config;
--- a/crates/failover-agent/src/messages.rs
+++ b/crates/failover-agent/src/messages.rs
@@ -1,30 +1,31 @@
-//! What balancers say to one another of places, and what operators want.
+//! Messages between the agents, and operators' requests.
 
 use maplehook_address_announcement::State;
 use maplehook_failover::Document;
 use maplehook_failover::rtt::{PeerRtt, RttTable};
 use serde::{Deserialize, Serialize};
 
-/// All that is agreed on beside versions: one body in the agreement's log.
+/// Part of the shared document for failover: one entry in the consensus log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AgreedState {
-    /// Zones, and where requests go.
+    /// Zone states and the failover plan.
     pub places: Document,
-    /// Service addresses.
+    /// State of the service addresses.
     pub addresses: State,
-    /// Round trips between zones. Programs that know none leave it out, and read what stands before it.
+    /// Round-trip times between zones. Programs without support for them omit this field and read only the
+    /// fields before it.
     #[serde(rename = "trips")]
     pub rtts: RttTable,
 }
 
 impl AgreedState {
-    /// For the log.
+    /// Encodes the state for the log.
     pub fn encode(&self) -> Vec<u8> {
-        // Nothing in it is of a kind that can't be encoded.
+        // Encoding cannot fail: the state contains only encodable types.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// From the log; `None` for what is none, as of a later program.
+    /// Decodes a state from the log; `None` if it is malformed or comes from a newer program.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let ((places, addresses), rest) = postcard::take_from_bytes(bytes).ok()?;
         let rtts = if rest.is_empty() { RttTable::default() } else { postcard::from_bytes(rest).ok()? };
@@ -34,90 +35,91 @@
     }
 }
 
-/// What an operator wants. Places and sites go by their names.
+/// Request of an operator; places and sites are given by name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OperatorRequest {
-    /// A zone or a region is taken out.
+    /// Evacuates a zone or a region.
     Evacuate {
-        /// Which.
+        /// Name of the zone or region.
         place: String,
-        /// For how long; until it is released if there is none.
+        /// Duration in milliseconds; without it, the evacuation lasts until it is released.
         for_ms: Option<u64>,
-        /// Though the rest could not bear it.
+        /// Evacuates even if the remaining zones lack the capacity.
         anyway: bool,
     },
-    /// The plan stays as it is.
+    /// Pauses all plan changes.
     Hold,
-    /// What was held or taken out is so no more.
+    /// Ends an evacuation or a pause.
     Release {
-        /// The zone or region; all, and the hold, if there is none.
+        /// Zone or region to release; without it, all evacuations and the pause end.
         place: Option<String>,
     },
-    /// An address goes to a site.
+    /// Moves an address to a site.
     Move {
-        /// Which.
+        /// Name of the address.
         name: String,
-        /// Where.
+        /// Name of the destination site.
         site: String,
-        /// Though it seems ill.
+        /// Moves the address even if the site appears unhealthy.
         anyway: bool,
     },
-    /// A site announces an address no more.
+    /// Withdraws an address from a site.
     Withdraw {
-        /// Which.
+        /// Name of the address.
         name: String,
-        /// Where.
+        /// Name of the site.
         site: String,
-        /// Though it is the last.
+        /// Withdraws the address even from its last site.
         anyway: bool,
     },
-    /// It may again.
+    /// Allows a withdrawn site to announce an address again.
     Restore {
-        /// Which.
+        /// Name of the address.
         name: String,
-        /// Where.
+        /// Name of the site.
         site: String,
     },
 }
 
-/// How a wish ended.
+/// Outcome of an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
-    /// It stands in the log under this number.
+    /// The change is in the log under this number.
     Done(u64),
-    /// It is not done, and why; asking again is of no use as long as things stand so.
+    /// Rejected for the given reason; a repeated request fails until the state changes.
     Refused(String),
-    /// It is not done, or nobody knows; asking again is harmless.
+    /// Not done, or the outcome is unknown; the request may be repeated safely.
     Unavailable(String),
 }
 
-/// What is said.
+/// Message between two agents.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AgentMessage {
-    /// What a balancer sees: an encoded [`maplehook_failover::Report`].
+    /// Observations of a balancer: an encoded [`maplehook_failover::Report`].
     Report(Vec<u8>),
-    /// An operator's wish, passed on to the leader.
+    /// Operator request that is forwarded to the leader.
     #[serde(rename = "Wish")]
     ForwardedRequest {
-        /// By which its end is known.
+        /// Identifier that the outcome refers to.
         ticket: u64,
-        /// Who passes it on.
+        /// Name of the forwarding balancer.
         by: String,
-        /// What.
+        /// Content of the operator's request.
         #[serde(rename = "wish")]
         request: OperatorRequest,
     },
-    /// Its end.
+    /// Outcome of a forwarded request.
     #[serde(rename = "End")]
     RequestOutcome {
-        /// Which.
+        /// Identifier of the forwarded request.
         ticket: u64,
-        /// How.
+        /// Reply for the operator.
         reply: Reply,
     },
-    /// Round trips to other balancers. A message of its own: reports stay as programs before it read them.
+    /// Round-trip times to the peers. A separate message, because older programs could not decode an extended
+    /// report.
     #[serde(rename = "Trips")]
     RoundTripTimes(Vec<PeerRtt>),
 }
--- a/crates/failover-agent/src/messaging.rs
+++ b/crates/failover-agent/src/messaging.rs
@@ -1,4 +1,4 @@
-//! What a balancer says to others of places, what it hears, and operators' wishes.
+//! Messages to and from other agents, and operators' requests.
 
 use crate::agent::WISHES_MOST;
 use crate::messages::{AgentMessage, OperatorRequest, Reply};
@@ -15,7 +15,7 @@
 impl Runner {
     pub(crate) fn end(&mut self, wisher: Wisher, reply: Reply) {
         match wisher {
-            // Whoever asked may have given up.
+            // The requester may have given up waiting.
             Wisher::Here(to) => drop(to.send(reply)),
             Wisher::There(name, ticket) => self.tell(&name, &AgentMessage::RequestOutcome { ticket, reply }),
         }
@@ -24,7 +24,7 @@
     fn tell(&self, to: &Name, say: &AgentMessage) {
         let Ok(body) = postcard::to_allocvec(say) else { return };
         if let Some(link) = &self.setup.link {
-            // What does not fit is lost, as on a way.
+            // Messages are best effort: a full queue drops them, as the network may.
             let _ = link
                 .channels
                 .outgoing
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Round trips to other balancers, to whoever leads.
+    /// Sends the round-trip times to the leader.
     pub(crate) fn tell_trips(&mut self) {
         let Some(trips) = &self.setup.rtts else { return };
         let way = |(name, took): &(Name, std::time::Duration)| PeerRtt {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Share of the own clients' demand that is served, by own evidence.
+    /// Updates the served part of the local clients' demand from local evidence.
     pub(crate) fn served(&mut self) {
         let (sights, demand) = self.sights();
         let sum = |of: &dyn Fn(&ZoneObservation) -> f32| sights.iter().map(of).sum::<f32>();
@@ -113,7 +113,7 @@
         }
     }
 
-    /// An operator wants something, here or at another balancer.
+    /// Handles an operator's request: applies it as leader, or forwards it to the leader.
     pub(crate) fn wish(&mut self, wish: OperatorRequest, wisher: Wisher, by: Option<String>) {
         let now = self.now();
         if let Some(leading) = &mut self.leading {
--- a/crates/failover-agent/src/observations.rs
+++ b/crates/failover-agent/src/observations.rs
@@ -1,4 +1,4 @@
-//! What is seen of zones: by requests, and by probes of what is listed.
+//! Combines the evidence about zones from requests and from probes.
 
 use crate::rates::CounterSnapshot;
 use crate::runner::Runner;
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 impl Runner {
-    /// Another look at what is sent and listed.
+    /// Records a counter snapshot and updates the probe targets.
     pub(crate) fn saw(&mut self, seen: CounterSnapshot) {
         if let Some(config) = self.config().filter(|config| config.digest == seen.digest)
             && self.aims.as_ref() != Some(&seen.upstreams)
@@ -17,7 +17,7 @@
         self.window.push(seen);
     }
 
-    /// What is seen of zones and asked for by rules, by requests and by probes.
+    /// Returns the observations by zone and the demand by rule.
     pub(crate) fn sights(&self) -> (Vec<ZoneObservation>, Vec<Demand>) {
         let (mut sights, demand) = self.window.rates();
         self.prober.add(&mut sights);
--- a/crates/failover-agent/src/probe.rs
+++ b/crates/failover-agent/src/probe.rs
@@ -1,7 +1,8 @@
-//! Connections made for no other end than to see whether a zone is there.
+//! Connection probes that test whether a zone is reachable.
 //!
-//! A zone that serves its own alone has no other observers; without them nobody could tell a lost zone from a balancer with a
-//! bad network. A probe is a connection that is closed at once: it costs an upstream no request.
+//! A zone that serves only its local clients has no other observers. Without probes, an unreachable zone
+//! could not be told from a balancer with a faulty network. A probe is a connection that is closed at once,
+//! so it costs an upstream no request.
 
 use maplehook_failover::ZoneObservation;
 use maplehook_locality::Zone;
@@ -12,30 +13,30 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Zones that are probed in one round, and how often there is one.
+/// Maximum number of zones in one probe round.
 const ZONES_AT_ONCE: usize = 8;
 pub(crate) const ROUND: Duration = Duration::from_millis(500);
-/// The last probes of a zone that are counted, and how old they may be.
+/// Number of recent probes per zone that count as evidence.
 const COUNTED: usize = 3;
 const FRESH: Duration = Duration::from_secs(8);
-/// Upstreams of one zone that are probed in turn: more of them say no more of whether it is there.
+/// Maximum number of probed upstreams per zone; more targets add no evidence about reachability.
 pub const MAX_PROBE_TARGETS: usize = 64;
-/// The longest wait for a connection.
+/// Timeout of a probe's connection attempt.
 const WAIT_MOST: Duration = Duration::from_secs(1);
 
-/// How a probe ended.
+/// Result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Probed {
     zone: Zone,
-    /// How long the connection took; `None`: there was none.
+    /// Connection time; `None` if the connection failed.
     took: Option<Duration>,
 }
 
-/// What is known by probes.
+/// Probe targets and recent results, by zone.
 pub(crate) struct Prober {
     targets: BTreeMap<Zone, Vec<SocketAddr>>,
     turn: usize,
-    /// The next upstream of each zone.
+    /// Index of the next target within each zone.
     next: usize,
     last: BTreeMap<Zone, VecDeque<(Instant, Probed)>>,
     tell: mpsc::Sender<Probed>,
@@ -44,19 +45,19 @@
 
 impl Prober {
     pub(crate) fn new() -> Self {
-        // No more can be under way than are begun while the longest of them lasts.
+        // Four rounds of results fit: more probes cannot run within one connect timeout.
         let (tell, told) = mpsc::channel(4 * ZONES_AT_ONCE);
         Self { targets: BTreeMap::new(), turn: 0, next: 0, last: BTreeMap::new(), tell, told }
     }
 
-    /// Zones are counted anew: nothing is known of them.
+    /// Clears all results, because zone numbers may have changed.
     pub(crate) fn forget(&mut self) {
         self.targets.clear();
         self.last.clear();
     }
 
-    /// Whom to probe from now on, by the list in force: all zones but the own one, which its requests tell of. What is known of a
-    /// zone stays as long as any of it is listed.
+    /// Sets the probe targets from the current endpoint list. The local zone is excluded, because requests
+    /// already provide its evidence. Results of a zone stay as long as the list contains an endpoint of it.
     pub(crate) fn aim(&mut self, own: Zone, listed: &[(Zone, SocketAddr)]) {
         self.targets.clear();
         for (zone, address) in listed.iter().filter(|(zone, _)| *zone != own) {
@@ -68,7 +69,7 @@
         self.last.retain(|zone, _| self.targets.contains_key(zone));
     }
 
-    /// Begins the next round.
+    /// Starts the next probe round.
     pub(crate) fn round(&mut self) {
         let zones: Vec<Zone> = self.targets.keys().copied().collect();
         let many = zones.len().min(ZONES_AT_ONCE);
@@ -81,7 +82,7 @@
                 let begun = Instant::now();
                 let made = timeout(WAIT_MOST, TcpStream::connect(address)).await;
                 let took = matches!(made, Ok(Ok(_))).then(|| begun.elapsed());
-                // What does not fit is one look less.
+                // A full queue drops this result.
                 let _ = tell.try_send(Probed { zone, took });
             });
         }
@@ -89,7 +90,7 @@
         self.next = self.next.wrapping_add(1);
     }
 
-    /// A probe has ended.
+    /// Records a probe result.
     pub(crate) fn heard(&mut self, probed: Probed) {
         let of_it = self.last.entry(probed.zone).or_default();
         of_it.push_back((Instant::now(), probed));
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Adds what is known to what requests have shown.
+    /// Merges the probe results into the observations from requests.
     pub(crate) fn add(&self, sights: &mut [ZoneObservation]) {
         for sight in sights {
             let Some(of_it) = self.last.get(&sight.zone) else { continue };
@@ -127,7 +128,8 @@
         (Zone(zone), SocketAddr::from(([192, 0, 2, zone as u8], 1000 + n)))
     }
 
-    /// What is known of a zone outlives a change of its list, and not its end; however long a list is, no more of it is kept.
+    /// Results of a zone must survive a list change but not the removal of the zone, and a long list must not
+    /// exceed the target limit.
     #[test]
     fn it_aims_at_the_list_in_force() {
         let mut prober = Prober::new();
--- a/crates/failover-agent/src/rates.rs
+++ b/crates/failover-agent/src/rates.rs
@@ -1,4 +1,4 @@
-//! From counters that only rise to rates over the last second: what a report is made of. Pure.
+//! Converts monotonic counters into rates over the last second, which reports contain. No I/O and no clock.
 
 use maplehook_failover::report::RATE_WINDOW;
 use maplehook_failover::{Demand, ZoneObservation};
@@ -8,79 +8,79 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Snapshots that are kept: more of them do not make a rate better.
+/// Maximum number of stored snapshots; more snapshots do not improve a rate.
 const KEPT: usize = 16;
 
-/// A zone's counters and figures at one moment, as the serving thread has them.
+/// Counters and gauges of a zone at one moment, supplied by the serving thread.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneCounters {
-    /// Which.
+    /// Zone number in the topology.
     pub zone: Zone,
-    /// Whether rooms are requests a second; else they are weights.
+    /// True if capacities are in requests per second; otherwise they are weights.
     pub stated: bool,
-    /// What the listed upstreams could take if all were well and warm.
+    /// Capacity of the listed upstreams if all were healthy and out of slow start.
     pub listed: f64,
-    /// What those can take now that can be used.
+    /// Capacity of the usable upstreams now.
     pub usable: f64,
-    /// Part of `listed` that is missing since upstreams are cold.
+    /// Part of `listed` that is missing because of slow start.
     pub slow_start: f64,
-    /// What is held there against what could be held in good time.
+    /// Ratio of requests in flight to the number that can be served within the latency objective.
     pub load: f64,
-    /// Mean time of a new connection, in milliseconds.
+    /// Mean connection time in milliseconds.
     pub connect_ms: f64,
-    /// Attempts that were sent, ever.
+    /// Total number of forwarded attempts.
     pub sent: u64,
-    /// Answered in time.
+    /// Total number of attempts answered in time.
     pub ok: u64,
-    /// Late, or given up while the upstream was reached.
+    /// Total number of attempts that were late, or cancelled after reaching the upstream.
     pub slow: u64,
-    /// Answered with an error.
+    /// Total number of attempts answered with an error.
     pub failed: u64,
-    /// Not reached.
+    /// Total number of attempts that did not reach the upstream.
     pub unreached: u64,
 }
 
-/// A rule's counters.
+/// Counters of a locality rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RuleCounters {
-    /// Requests that came, ever.
+    /// Total number of received requests.
     pub requests: u64,
-    /// Refused here.
+    /// Total number of requests that this balancer rejected.
     pub rejected: u64,
 }
 
-/// Everything at one moment.
+/// All counters of a balancer at one moment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CounterSnapshot {
-    /// When, on the process's clock.
+    /// Time of the snapshot on the process clock.
     pub at: Duration,
-    /// The digest of the topology and rules that zones and rules are counted by.
+    /// Digest of the topology and rules that number the zones and rules.
     pub digest: u64,
-    /// Whether clients are taken.
+    /// True if the balancer accepts clients.
     pub ready: bool,
-    /// Zones, sorted.
+    /// Zone counters, sorted by zone.
     pub zones: Vec<ZoneCounters>,
-    /// Rules, in their order.
+    /// Rule counters, in the order of the rules.
     pub rules: Vec<RuleCounters>,
-    /// Where listed upstreams of each zone listen, some of them if there are many.
+    /// Endpoints of the listed upstreams with their zones; a long list is truncated.
     pub upstreams: Arc<Vec<(Zone, SocketAddr)>>,
 }
 
-/// The snapshots of the last second.
+/// Snapshots of the last second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SnapshotWindow {
     kept: VecDeque<CounterSnapshot>,
 }
 
 impl SnapshotWindow {
-    /// Takes one in. Counters by other zones and rules than before begin anew.
+    /// Adds a snapshot. Clears older snapshots if the topology, the rules or the clock have changed.
     pub fn push(&mut self, seen: CounterSnapshot) {
         if self.kept.back().is_some_and(|last| last.digest != seen.digest || last.at >= seen.at) {
             self.kept.clear();
         }
         self.kept.push_back(seen);
         let newest = self.kept.back().map_or(Duration::ZERO, |last| last.at);
-        // One that is just older than the span stays: rates are over the whole of it.
+        // Retains one snapshot older than the window, so that rates cover the complete window.
         while self.kept.len() > KEPT
             || self.kept.get(1).is_some_and(|second| second.at + RATE_WINDOW <= newest)
         {
@@ -88,12 +88,12 @@
         }
     }
 
-    /// The newest.
+    /// Returns the newest snapshot.
     pub fn last(&self) -> Option<&CounterSnapshot> {
         self.kept.back()
     }
 
-    /// What a report says of zones and rules; nothing before there are two snapshots.
+    /// Returns the observations and demand for a report; both are empty until there are two snapshots.
     pub fn rates(&self) -> (Vec<ZoneObservation>, Vec<Demand>) {
         let (Some(first), Some(last)) = (self.kept.front(), self.kept.back()) else {
             return Default::default();
@@ -102,7 +102,7 @@
         if span <= 0.0 {
             return Default::default();
         }
-        // Counters that fell are of another start of what counts.
+        // A decreased counter means that the counting side restarted; the rate is then 0.
         let rate = |now: u64, before: u64| (now.saturating_sub(before) as f64 / span) as f32;
         let sight = |z: &ZoneCounters| {
             let before = first.zones.iter().find(|other| other.zone == z.zone).copied().unwrap_or_default();
@@ -151,7 +151,7 @@
         window.push(seen(0, 0, 0));
         assert_eq!(window.rates(), Default::default());
         for n in 1..=20u64 {
-            // 100 a second for the first two seconds, 50 after that.
+            // The rate is 100 per second for two seconds and 50 per second afterwards.
             let sent = if n <= 10 { 20 * n } else { 200 + 10 * (n - 10) };
             window.push(seen(200 * n, sent, 2 * sent));
         }
@@ -169,7 +169,7 @@
         assert_eq!(window.rates().0[0].sent, 0.0);
         window.push(CounterSnapshot { digest: 7, ..seen(600, 100, 100) });
         assert_eq!(window.rates(), Default::default());
-        // A clock that stands still, or goes back, has no rates.
+        // Rates are empty when the clock stands still or goes back.
         window.push(CounterSnapshot { digest: 7, ..seen(600, 300, 100) });
         assert_eq!(window.rates(), Default::default());
     }
--- a/crates/failover-agent/src/routing.rs
+++ b/crates/failover-agent/src/routing.rs
@@ -1,4 +1,4 @@
-//! By what a balancer acts, said where it has changed, and written down.
+//! Recomputes the routing that is active on this balancer, publishes it and records it in the history.
 
 use crate::agent::ActiveRouting;
 use crate::config::Config;
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 impl Runner {
-    /// Says by what to act, if that is something else than before.
+    /// Recomputes the active routing and publishes it if it has changed.
     pub(crate) fn act(&mut self) {
         let (Some(config), now) = (self.config(), self.now()) else { return };
         let until = self.standing().lease_end;
@@ -32,7 +32,8 @@
             tracing::info!(epoch, in_common, "acts by: {}", acted.routing.reason);
         }
         if self.board.writer.is_on() {
-            // Of what is agreed on, the plan's own rows: what an absent row comes to follows each balancer's evidence.
+            // Records plan rows only: the routing of a rule without a plan row follows each balancer's local
+            // evidence.
             let plan = self.agreed.as_ref().map(|agreed| &agreed.places.plan);
             let planned =
                 |rule: usize| plan.is_some_and(|plan| plan.row(rule as u16, config.own_zone).is_some());
@@ -75,7 +76,7 @@
     }
 }
 
-/// What is acted on, as it is shown.
+/// Converts the effective routing into the rows that operators see.
 fn rows(config: &Config, acts: &EffectiveRouting) -> Vec<RowStatus> {
     let (topology, rules) = (&config.topology, config.rules.all());
     let from = topology.zone_name(config.own_zone);
--- a/crates/failover-agent/src/runner.rs
+++ b/crates/failover-agent/src/runner.rs
@@ -1,6 +1,8 @@
-//! The thread on which a balancer takes part in places: it reports what it sees, leads if it is the one to, and says by what to act.
+//! Thread of the failover agent: reports observations, acts as leader if elected, and publishes the active
+//! routing.
 //!
-//! It shares watched values with the thread that serves: what is seen goes in, shares come out. No request waits for it.
+//! Exchanges watched values with the serving thread: observations in, shares out. Requests never wait for
+//! this thread.
 
 use crate::agent::{ActiveRouting, Link, Setup};
 use crate::config::Config;
@@ -22,24 +24,24 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{MissedTickBehavior, interval, sleep_until};
 
-/// How often evidence is looked at.
+/// Interval between evaluations of the evidence.
 const TICK: Duration = Duration::from_millis(200);
-/// Ticks between two reports.
+/// Number of ticks between two reports.
 const REPORT_EACH: u64 = 2;
-/// Ticks between two words of round trips: they change slowly.
+/// Number of ticks between two reports of round-trip times, which change slowly.
 const TRIPS_EACH: u64 = 10;
-/// How long a wish that was passed on may take, and a body on its way to the log.
+/// Timeout for a forwarded request and for a proposal.
 pub(crate) const WISH: Duration = Duration::from_millis(3000);
 
-/// A body on its way to the log.
+/// A proposal that is in flight.
 pub(crate) struct OnItsWay {
     done: oneshot::Receiver<Result<u64, ProposalError>>,
     until: Instant,
-    /// Who is to hear of it.
+    /// Requester to notify of the outcome.
     wisher: Option<Wisher>,
 }
 
-/// Who is to hear how a wish ended.
+/// Origin of an operator's request, which receives the outcome.
 pub(crate) enum Wisher {
     Here(oneshot::Sender<Reply>),
     There(Name, u64),
@@ -52,21 +54,21 @@
     pub(crate) acted: watch::Sender<Option<Arc<ActiveRouting>>>,
     pub(crate) window: SnapshotWindow,
     pub(crate) prober: Prober,
-    /// The list that is probed.
+    /// Endpoint list that the prober currently uses.
     pub(crate) aims: Option<Arc<Vec<(Zone, SocketAddr)>>>,
     pub(crate) acting: Option<BalancerRouting>,
     pub(crate) agreed: Option<Arc<AgreedState>>,
     pub(crate) number: u64,
     pub(crate) leading: Option<LeaderState>,
-    /// The number in the log that what it decides rests on.
+    /// Log number that this leader's decisions are based on.
     pub(crate) rests_on: u64,
-    /// When the standing that is looked at came: what it says of time left shrinks from then on.
+    /// Time at which the current document status was received; remaining times in it count from here.
     pub(crate) stood_at: Instant,
     pub(crate) on_its_way: Option<OnItsWay>,
     pub(crate) passed_on: BTreeMap<u64, (oneshot::Sender<Reply>, Instant)>,
     pub(crate) reports: u64,
     pub(crate) ticks: u64,
-    /// The epoch that a history says is acted on.
+    /// Epoch and plan flag of the last routing record in the history.
     pub(crate) noted: Option<(u64, bool)>,
 }
 
@@ -125,7 +127,7 @@
         let mut standing = self.setup.link.as_ref().map(|link| link.document_status.clone());
         self.configured();
         loop {
-            // A version without places leaves nothing to look at.
+            // A version without zones needs no ticks.
             let looks = self.acting.is_some() || !self.passed_on.is_empty();
             let until = self.standing().lease_end.map(tokio::time::Instant::from_std);
             let runs_out = until.filter(|until| *until > tokio::time::Instant::now());
@@ -149,7 +151,7 @@
                 Some((from, body)) = heard(&mut self.setup.link) => self.hear(&from, &body),
                 Some((wish, reply)) = wished.recv() => self.wish(wish, Wisher::Here(reply), None),
                 ended = done(&mut self.on_its_way) => self.ended(ended),
-                // A lease that has run out is over at once, not at the next tick.
+                // Reacts to an expired lease immediately instead of at the next tick.
                 () = sleep_until(runs_out.unwrap_or_else(tokio::time::Instant::now)), if runs_out.is_some() => {
                     self.act();
                 }
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Another version, or the first.
+    /// Applies the first configuration or a changed one.
     fn configured(&mut self) {
         let now = self.now();
         let Some(config) = self.config() else {
@@ -191,7 +193,7 @@
         self.act();
     }
 
-    /// What is agreed on has changed, or who leads, or the lease.
+    /// Handles a change of the agreed state, the leader or the lease.
     fn stood(&mut self) {
         let standing = self.standing();
         if let Some(common) = standing.received.as_ref().filter(|common| common.number != self.number) {
@@ -221,7 +223,7 @@
         }
     }
 
-    /// This one leads from now on, or no more.
+    /// Starts or stops acting as leader.
     fn lead(&mut self, standing: &SharedDocumentStatus) {
         let Some(config) = self.config().filter(|_| standing.is_leader) else {
             if self.leading.take().is_some() {
@@ -232,7 +234,7 @@
         };
         let number = standing.committed.as_ref().map_or(0, |agreed| agreed.number);
         if self.on_its_way.is_none() && number > self.rests_on {
-            // A body that was given up, or another one's, has come to stand there after all.
+            // The log contains an abandoned proposal or another leader's proposal, so the state is rebuilt.
             self.leading = None;
         }
         if self.leading.is_none() {
@@ -293,7 +295,7 @@
     fn decide(&mut self) {
         let (now, standing) = (self.now(), self.standing());
         let Some(leading) = &mut self.leading else { return };
-        // Who is behind is said of what stands in the log: of an earlier body than this rests on it says nothing.
+        // The lagging members refer to the committed number and say nothing about an earlier one.
         let number = standing.committed.as_ref().map_or(0, |agreed| agreed.number);
         if self.on_its_way.is_some() || number != self.rests_on {
             return;
@@ -346,7 +348,7 @@
                     self.note_agreed(&agreed);
                 }
             }
-            // Whether it stands in the log is not known: the log is read again.
+            // The outcome is unknown, so the state is read from the log again.
             _ => {
                 self.leading = None;
                 let standing = self.standing();
--- a/crates/failover-agent/src/status.rs
+++ b/crates/failover-agent/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of places.
+//! Failover status as operators see it.
 
 use crate::config::Config;
 use crate::messages::AgreedState;
@@ -8,114 +8,114 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A zone.
+/// Status of a zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneStatus {
-    /// Its name.
+    /// Name of the zone.
     pub zone: String,
-    /// Its region.
+    /// Name of the region that contains the zone.
     pub region: String,
-    /// `serving`, `ill`, `lost`, `cut`, `evacuated` or `returning`.
+    /// One of `serving`, `ill`, `lost`, `cut`, `evacuated` and `returning`.
     pub state: String,
-    /// Why.
+    /// Readable reason for the state.
     pub why: String,
-    /// What can be used of it, in requests a second.
+    /// Usable capacity in requests per second.
     pub usable: f32,
-    /// Its load over that.
+    /// Ratio of the load to `usable`.
     pub load: f32,
-    /// For how long it has stood so.
+    /// Duration of the current state in milliseconds.
     pub since_ms: u64,
-    /// Zones whose observers stand behind it.
+    /// Number of zones whose observers support the state.
     pub observers: u16,
 }
 
-/// A part of a row.
+/// Share of a row that goes to one zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShareStatus {
-    /// To which zone.
+    /// Name of the destination zone.
     pub zone: String,
-    /// How much of the row, 0 to 1.
+    /// Fraction of the row's requests, 0 to 1.
     pub share: f64,
 }
 
-/// A row of the plan.
+/// Row of the plan: the distribution of one rule's requests from one zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RowStatus {
-    /// The rule.
+    /// Name of the locality rule.
     pub rule: String,
-    /// The zone that requests come into.
+    /// Zone in which the requests arrive.
     pub from: String,
-    /// Where they go; what is missing to 1 is refused.
+    /// Destination zones; the missing part to 1 is rejected.
     #[serde(rename = "to")]
     pub shares: Vec<ShareStatus>,
 }
 
-/// The way between two zones.
+/// Round-trip time between two zones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RttStatus {
-    /// One of them.
+    /// First zone of the pair.
     pub a: String,
-    /// The other one.
+    /// Second zone of the pair.
     pub b: String,
-    /// There and back, in milliseconds.
+    /// Round-trip time in milliseconds.
     #[serde(rename = "ms")]
     pub rtt_ms: f64,
-    /// Whether the file says so; else it was measured.
+    /// True if the value is configured; false if it was measured.
     pub stated: bool,
 }
 
-/// What `GET /control/places` shows.
+/// Status that `GET /control/places` shows.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FailoverStatus {
-    /// The epoch of the plan that is acted on here; 0 before the first.
+    /// Epoch of the plan that this balancer acts on; 0 before the first plan.
     pub epoch: u64,
-    /// The number of what is agreed on, in the log.
+    /// Number of the agreed state in the consensus log.
     pub number: u64,
-    /// Who leads, as far as is known.
+    /// Name of the leader, if known.
     pub leader: Option<String>,
-    /// Whether the plan that is agreed on is acted on here.
+    /// True if this balancer acts on the agreed plan.
     #[serde(rename = "in_common")]
     pub uses_shared_plan: bool,
-    /// By what else, if it is not.
+    /// Readable reason for the active routing.
     #[serde(rename = "by")]
     pub routing_reason: String,
-    /// The own zone.
+    /// Zone of this balancer.
     pub own_zone: String,
-    /// The own region.
+    /// Region of this balancer.
     pub own_region: String,
-    /// All zones.
+    /// All zones with their states.
     #[serde(rename = "places")]
     pub zones: Vec<ZoneStatus>,
-    /// Rows that differ from the first step of their rule.
+    /// Plan rows that differ from the first preference of their rule.
     pub plan: Vec<RowStatus>,
-    /// What this balancer acts on itself, rule by rule.
+    /// Active rows on this balancer, one per rule.
     #[serde(rename = "acts")]
     pub active_rows: Vec<RowStatus>,
-    /// What operators have taken out: zones, by whom, for how long still.
+    /// Evacuations by operators: zones, requesting balancer, remaining milliseconds.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub evacuated: Vec<(Vec<String>, String, Option<u64>)>,
-    /// Who holds the plan as it is.
+    /// Balancer at which an operator paused plan changes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "held")]
     pub held_by: Option<String>,
-    /// Why nothing moves though much seems ill.
+    /// Reason why the plan does not change although many zones appear unhealthy.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub shared_cause: Option<String>,
-    /// Ways between zones that are stated or measured, in the order of the zones.
+    /// Configured and measured round-trip times, in the order of the zones.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "trips")]
     pub rtts: Vec<RttStatus>,
-    /// Balancers in touch whose program knows no places.
+    /// Lease holders whose program does not support failover.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "without")]
     pub members_without_failover: Vec<String>,
-    /// Balancers in touch that act on the plan, as the leader knows.
+    /// Lease holders that act on the plan, as far as the leader knows.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "with")]
     pub members_on_plan: Vec<String>,
 }
 
-/// Ways that are known, by these zones and by what was measured in common.
+/// Returns the known round-trip times; configured values take precedence over measured ones.
 pub(crate) fn trips(topology: &Topology, measured: Option<&RttTable>) -> Vec<RttStatus> {
     let mut known = topology.clone();
     known.set_measured(measured.into_iter().flat_map(|measured| measured.resolve(topology)));
@@ -132,7 +132,7 @@
 }
 
 impl FailoverStatus {
-    /// The part that stands in what is agreed on, which came so long ago.
+    /// Builds the part of the status that comes from an agreed state of the given age.
     pub fn from_agreed(config: &Config, agreed: &AgreedState, age: Duration) -> Self {
         let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
         let document = &agreed.places;
--- a/crates/failover-agent/src/status_board.rs
+++ b/crates/failover-agent/src/status_board.rs
@@ -1,4 +1,4 @@
-//! What operators and routers are answered: computed when it is asked for, from what stands then.
+//! Answers operators and routers from the state at the time of the request.
 
 use crate::config::Config;
 use crate::history::{Writer, unix_us};
@@ -15,95 +15,95 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::timeout;
 
-/// How long an operator waits for a wish.
+/// Timeout for an operator's request to this balancer.
 const WISH: Duration = Duration::from_millis(3500);
-/// Plans that are remembered for operators.
+/// Number of past plans that are stored for operators.
 const REMEMBERED: usize = 64;
 
-/// A plan that was in force, for operators.
+/// A plan that was in force, as operators see it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PastPlan {
-    /// When this balancer began to act by it, in Unix milliseconds.
+    /// Unix time in milliseconds at which this balancer began to act on the plan.
     pub at_ms: u64,
-    /// How it stood then.
+    /// Status of this balancer at that time.
     pub shown: FailoverStatus,
 }
 
-/// How it stands here, as the thread of places knows it.
+/// State of this balancer, published by the agent thread.
 #[derive(Clone, Debug, Default)]
 pub struct LocalState {
-    /// What it rests on.
+    /// Settings that the state was computed from.
     pub config: Option<Arc<Config>>,
-    /// What was told last, and when.
+    /// Newest agreed state and the time at which it was received.
     pub agreed: Option<(Arc<AgreedState>, Instant)>,
-    /// Its number in the log.
+    /// Number of the agreed state in the consensus log.
     pub number: u64,
-    /// Whether it is acted on.
+    /// True if this balancer acts on the shared plan.
     pub uses_shared_plan: bool,
-    /// By what, in words.
+    /// Readable reason for the active routing.
     pub routing_reason: String,
-    /// What is acted on here, rule by rule.
+    /// Active rows on this balancer, one per rule.
     pub active_rows: Vec<RowStatus>,
-    /// Share of the own clients' demand that is served, by own evidence.
+    /// Part of the demand of this balancer's clients that is served, 0 to 1, by local evidence.
     pub served: f64,
 }
 
-/// An address as `GET /control/addresses` shows it.
+/// Status of a service address, as `GET /control/addresses` shows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AddressStatus {
-    /// Its name.
+    /// Configured name of the address.
     pub name: String,
-    /// What is announced.
+    /// IP address and port that are announced.
     pub address: String,
-    /// `one` or `many`.
+    /// Announcement mode: `one` site or `many` sites.
     pub announce: Announce,
-    /// Rises with each change of it.
+    /// Epoch of the address; rises with each change.
     pub epoch: u64,
-    /// Its sites, the first first.
+    /// Sites of the address, the preferred site first.
     pub sites: Vec<SiteStatus>,
-    /// Of `one`: who holds it.
+    /// Site that holds the address, in mode `one`.
     pub holder: Option<String>,
-    /// Of `one`: who is to hold it next, once the one before can announce no more.
+    /// Next holder in mode `one`; takes over once the previous holder can no longer announce.
     pub next: Option<String>,
-    /// Why all stay although they seem ill, if that is so.
+    /// Reason why all sites keep announcing although they appear unhealthy.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub all_stay: Option<String>,
 }
 
-/// A site of it.
+/// Status of one site of an address.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SiteStatus {
-    /// Its name.
+    /// Name of the region that the site serves.
     pub site: String,
-    /// Its preference; none if it does not announce.
+    /// Preference of the announcement; `None` if the site does not announce.
     pub preference: Option<u32>,
-    /// How it stands.
+    /// Phase of the site in lower case, or `unknown`.
     pub phase: String,
-    /// By whose order it is withdrawn.
+    /// Balancer at which an operator withdrew the site.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub withdrawn_by: Option<String>,
 }
 
-/// What a router is answered.
+/// Announcement that a router receives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// The address's name.
+    /// Configured name of the address.
     pub name: String,
-    /// What is announced.
+    /// IP address and port to announce.
     pub address: String,
-    /// The site.
+    /// Site of this balancer.
     pub site: String,
-    /// More is better.
+    /// Routing preference; a larger value is better.
     pub preference: u32,
-    /// Rises with each change.
+    /// Epoch of the address; rises with each change.
     pub epoch: u64,
-    /// For how long from before it was asked.
+    /// Validity in milliseconds, counted from before the router sent its request.
     pub good_for_ms: u64,
 }
 
 pub(crate) type Wished = (OperatorRequest, oneshot::Sender<Reply>);
 
-/// Answers operators and routers, on any thread.
+/// Answers operators and routers; callable from any thread.
 #[derive(Clone)]
 pub struct StatusBoard {
     pub(crate) stands: watch::Receiver<LocalState>,
@@ -112,24 +112,24 @@
     pub(crate) past: Arc<Mutex<VecDeque<PastPlan>>>,
     pub(crate) writer: Writer,
     pub(crate) epoch: Instant,
-    /// Whether this balancer takes clients.
+    /// True while this balancer accepts clients.
     pub ready: Arc<AtomicBool>,
 }
 
 impl StatusBoard {
-    /// What `GET /control/places` shows.
+    /// Returns the status for `GET /control/places`.
     pub fn status(&self) -> FailoverStatus {
         let stands = self.stands.borrow().clone();
         let standing = self.standing.as_ref().map(|standing| standing.borrow().clone());
         shown(&stands, standing.as_ref())
     }
 
-    /// The plans that were acted on here, the newest last.
+    /// Returns the plans that this balancer acted on, the newest last.
     pub fn history(&self) -> Vec<PastPlan> {
         self.past.lock().unwrap_or_else(PoisonError::into_inner).iter().cloned().collect()
     }
 
-    /// The plan of an epoch, if it is remembered.
+    /// Returns the stored plan of an epoch.
     pub fn explain(&self, epoch: u64) -> Option<PastPlan> {
         self.history().into_iter().rev().find(|past| past.shown.epoch == epoch)
     }
@@ -142,7 +142,7 @@
         }
     }
 
-    /// What `GET /control/addresses` shows.
+    /// Returns the service addresses for `GET /control/addresses`.
     pub fn addresses(&self) -> Vec<AddressStatus> {
         let stands = self.stands.borrow().clone();
         let Some(config) = &stands.config else { return Vec::new() };
@@ -174,8 +174,9 @@
         config.addresses.iter().map(shown).collect()
     }
 
-    /// What a router is answered: an announcement, or why there is none. `None`: there is no such address. The clock is read here,
-    /// after the question has come, and nothing of an answer is kept: whoever was stopped and is woken has withdrawn.
+    /// Returns the announcement for a router, or the reason for a withdrawal; `None` if the address does not
+    /// exist. The clock is read after the request arrives and no answer is cached, so a process that was
+    /// suspended withdraws when it resumes.
     pub fn announce(&self, name: &str) -> Option<Result<Announcement, String>> {
         let stands = self.stands.borrow().clone();
         let config = stands.config.as_ref()?;
@@ -220,7 +221,7 @@
         Some(answer)
     }
 
-    /// An operator's wish.
+    /// Passes an operator's request to the agent thread and waits for the reply.
     pub async fn request(&self, wish: OperatorRequest) -> Reply {
         let (reply, ended) = oneshot::channel();
         if self.wishes.try_send((wish, reply)).is_err() {
--- a/crates/failover-agent/tests/leading.rs
+++ b/crates/failover-agent/tests/leading.rs
@@ -1,4 +1,4 @@
-//! The leader's part, without its thread: what it has agreed on, one body at a time, and operators' wishes by name.
+//! Tests the leader without its thread: agreed states, one proposal at a time, and operators' requests.
 
 use maplehook_failover::{Demand, Report, ZoneObservation, ZoneState};
 use maplehook_failover_agent::Config;
@@ -35,7 +35,7 @@
     text
 }
 
-/// A leader that has heard all zones for some seconds.
+/// Leader that receives reports from all zones.
 struct Led {
     leading: LeaderState,
     config: Config,
@@ -57,7 +57,7 @@
         led
     }
 
-    /// So many looks, each with a report of every balancer.
+    /// Advances the given number of 400 ms steps, each with a report of every balancer.
     fn run(&mut self, looks: u32) {
         for _ in 0..looks {
             self.now += Duration::from_millis(400);
@@ -117,7 +117,7 @@
     assert_eq!(led.agreed.addresses.addresses["book"].holder.as_deref(), Some("n"));
 }
 
-/// A site that holds an address goes by another name: whoever has not heard of it may announce for as long as leases last here.
+/// After a rename, balancers that still know the old site name may announce it until their leases end.
 #[test]
 fn a_site_that_is_named_no_more_is_waited_for_by_the_leases_of_this_agreement() {
     let mut led = Led::new();
@@ -172,7 +172,7 @@
     assert_eq!(AgreedState::decode(&led.agreed.encode()).as_ref(), Some(&led.agreed));
 }
 
-/// What one says of its ways: 2 ms to its own region, so long to the other one.
+/// Round-trip times measured in one zone: 2 ms within the region, `far_ms` to the other region.
 fn ways(own: usize, far_ms: f32) -> Vec<maplehook_failover::rtt::PeerRtt> {
     let way = |zone: usize| maplehook_failover::rtt::PeerRtt {
         peer: maplehook_cluster::hash::fnv1a(format!("b{zone}0").as_bytes()),
@@ -181,7 +181,7 @@
     (0..4).map(way).collect()
 }
 
-/// Looks during which all say so of their ways; how long until the body has another table.
+/// Reports round-trip times in each step; returns the step at which the agreed table changes.
 fn measured(led: &mut Led, looks: u32, far_ms: f32) -> Option<u32> {
     let before = led.agreed.rtts.clone();
     (1..=looks).find(|_| {
@@ -196,7 +196,7 @@
 #[test]
 fn ways_are_agreed_on_after_a_time_and_stay_with_whoever_leads_next() {
     let mut led = Led::new();
-    // Nobody who is not known to be anywhere is heard.
+    // Reports of a balancer in an unknown zone are ignored.
     led.leading.record_rtts(led.now, "stranger", &ways(0, 9.0));
     let took = measured(&mut led, 30, 12.0).expect("a table");
     assert!((12..=15).contains(&took), "5 s of 400 ms each, and not {took}");
@@ -217,7 +217,7 @@
     assert_eq!(led.agreed.places.plan.epoch, epoch, "near first is the same rule however long a way is");
 }
 
-/// Programs before it read what stands before the table, and write none.
+/// Older programs decode the fields before the table and encode no table.
 #[test]
 fn a_body_without_ways_is_read_and_one_with_them_is_read_by_programs_without() {
     let mut led = Led::new();
@@ -235,7 +235,8 @@
     assert!(AgreedState::decode(&wild.encode()).is_none());
 }
 
-/// A step that is only for what is near enough holds no zone before its way was measured, for this leader as for the next one.
+/// A `within` step must exclude a zone of unknown round-trip time, and the next leader must use the agreed
+/// table.
 #[test]
 fn a_plan_goes_by_the_ways_that_are_agreed_on() {
     let rules = "rules = 'rule all { prefer own zone > own region within 5ms; when lost refuse; }'\n";
--- a/crates/rollout-agent/src/agent.rs
+++ b/crates/rollout-agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! A balancer's part in changes in stages as whoever serves sees it: a thread that is started, watched, and ends.
+//! Handle of the rollout agent: starts and stops its thread.
 
 use crate::runner::Runner;
 use crate::status_board::{LocalState, StatusBoard};
@@ -10,91 +10,91 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Wishes that may be under way.
+/// Maximum number of pending operator requests.
 pub(crate) const WISHES_MOST: usize = 16;
-/// Reports that may wait for the thread.
+/// Capacity of the queue of interval reports from the serving thread.
 const REPORTS: usize = 4;
 
-/// A balancer's part in the agreement, as far as changes in stages go.
+/// Channels between the agent and the consensus service.
 pub struct Link {
-    /// How it stands with what is agreed on.
+    /// Status of the shared document.
     pub document_status: watch::Receiver<SharedDocumentStatus>,
-    /// The ways.
+    /// Channels for messages and proposals.
     pub channels: PartChannels,
-    /// The version in force.
+    /// Version in force.
     pub active_version: watch::Receiver<ActiveVersion>,
-    /// Takes proposals.
+    /// Client that proposes settings versions.
     pub admin: AdminClient,
 }
 
-/// What it takes part with.
+/// Inputs of the agent.
 pub struct Setup {
-    /// Its name.
+    /// Name of this balancer.
     pub name: String,
-    /// All balancers that there may be, this one among them.
+    /// Names of all possible balancers, including this one.
     pub names: Vec<String>,
-    /// Its zone.
+    /// Zone of this balancer.
     pub zone: String,
-    /// The operator's file, into which texts of settings are read.
+    /// Operator's settings file, whose shared sections a change replaces.
     pub file: String,
-    /// The own program's SHA-256, in hexadecimal, where whoever started it has said so.
+    /// SHA-256 of the running program in hexadecimal, if the supervisor provided it.
     pub digest: Option<String>,
-    /// How often processes of this balancer have crashed, where whoever started it has said so.
+    /// Number of crashed processes of this balancer, if the supervisor provided it; otherwise 0.
     pub crashes: u32,
-    /// The agreement.
+    /// Connection to the consensus service.
     pub link: Link,
 }
 
-/// By what settings to act while they are changed in stages.
+/// Settings that this balancer applies during a rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StagedSettings {
-    /// The change.
+    /// Number of the change.
     pub number: u64,
-    /// The step that this is by.
+    /// Rollout step that set the target side.
     pub step: u64,
-    /// The side.
+    /// Target side of this balancer.
     pub side: Side,
-    /// The label of the version that it takes the place of: it counts as long as that one is in force.
+    /// Label of the version that these settings replace; the settings apply while that version is in force.
     pub base_version: String,
-    /// The rules.
+    /// Rules to apply.
     pub rules: Arc<Proxy>,
 }
 
-/// What the thread that serves has come to act on.
+/// Side that the serving thread has applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppliedSide {
-    /// The change.
+    /// Number of the change.
     pub number: u64,
-    /// The step.
+    /// Rollout step of the applied settings.
     pub step: u64,
-    /// The side.
+    /// Applied side.
     pub side: Side,
 }
 
-/// What passes between the two threads, at the one that serves.
+/// Serving thread's end of the channels to the agent thread.
 pub struct ServingChannels {
-    /// By what to act; `None`: by the version in force alone.
+    /// Settings to apply; `None` applies the version in force.
     pub staged: watch::Receiver<Option<Arc<StagedSettings>>>,
-    /// What is acted on.
+    /// Acknowledges the applied side.
     pub applied: watch::Sender<Option<AppliedSide>>,
-    /// Over which interval to count; `None`: nothing is counted.
+    /// Interval over which requests are counted; `None` disables counting.
     pub report_interval: watch::Receiver<Option<Duration>>,
-    /// What was counted.
+    /// Receives the counts of each interval.
     pub reports: mpsc::Sender<IntervalReport>,
 }
 
-/// A balancer's part in changes in stages; it ends when this is dropped.
+/// Handle of the running agent; dropping the handle stops the thread.
 pub struct Agent {
-    /// Answers operators and whoever starts programs.
+    /// Answers operators and the supervisor.
     pub status_board: StatusBoard,
-    /// For the thread that serves; taken once.
+    /// Channels for the serving thread, which takes them once.
     pub serving: Option<ServingChannels>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Agent {
-    /// Begins.
+    /// Starts the agent thread.
     pub fn start(setup: Setup) -> Result<Self, String> {
         let (stands, shows) = watch::channel(LocalState::default());
         let (staged_to, staged) = watch::channel(None);
--- a/crates/rollout-agent/src/document.rs
+++ b/crates/rollout-agent/src/document.rs
@@ -1,4 +1,4 @@
-//! What is agreed on of changes in stages: one part of the common document.
+//! Rollout part of the shared document.
 
 use maplehook_canary::IntervalReport;
 use maplehook_consensus::MAX_PART_BYTES;
@@ -6,117 +6,117 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The longest text of settings, in bytes: with all the rest it fits into the part.
+/// Maximum size of a settings text in bytes; with all other fields it fits into the document part.
 pub const MAX_SETTINGS_BYTES: usize = 128 << 10;
-/// Changes that are remembered.
+/// Maximum number of past changes in the document.
 const PAST_MOST: usize = 16;
-/// Lines of evidence that are kept of a stage.
+/// Maximum number of evidence lines that the document stores per stage.
 pub(crate) const EVIDENCE_MOST: usize = 8;
 
-/// What changes.
+/// Content of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Content {
-    /// The shared sections of an operator's file.
+    /// Shared sections of an operator's settings file.
     Settings {
-        /// Their text.
+        /// Text of the shared sections.
         text: String,
-        /// The version that is in force meanwhile.
+        /// Version that stays in force during the rollout.
         #[serde(rename = "rests_on")]
         base_version: u64,
     },
-    /// A program.
+    /// Another version of the program.
     Program {
-        /// Its path.
+        /// File path of the program.
         path: String,
-        /// SHA-256 of its bytes, in hexadecimal.
+        /// SHA-256 of the program file in hexadecimal.
         digest: String,
     },
 }
 
-/// A stage as it went.
+/// Record of a stage that has begun.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StageRecord {
-    /// Which, from 0 on.
+    /// Stage index, starting at 0.
     pub stage: usize,
-    /// Since when, in Unix milliseconds.
+    /// Start of the stage in Unix milliseconds.
     pub since_ms: u64,
-    /// Until when; none while it runs.
+    /// End of the stage in Unix milliseconds; `None` while it runs.
     pub until_ms: Option<u64>,
-    /// What was known at its end, measure by measure.
+    /// Evidence at the end of the stage, one line per measure.
     pub evidence: Vec<String>,
-    /// What it came to.
+    /// Readable verdict; empty while the stage runs.
     pub verdict: String,
 }
 
-/// The change that runs, or ran last.
+/// The running or most recent change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Plan and state.
+    /// Rollout plan and state.
     pub rollout: Rollout,
-    /// What changes.
+    /// Content of the change.
     pub content: Content,
-    /// At which balancer an operator began it.
+    /// Balancer at which an operator started the change.
     pub by: String,
-    /// When, in Unix milliseconds.
+    /// Start of the change in Unix milliseconds.
     #[serde(rename = "at_ms")]
     pub started_at_ms: u64,
-    /// The stages that have begun.
+    /// Records of the stages that have begun.
     #[serde(rename = "watched")]
     pub stage_records: Vec<StageRecord>,
-    /// What the old ones did just before the last of them was changed.
+    /// Report of the old side from just before the last stage, which has no old side to compare with.
     #[serde(rename = "before")]
     pub baseline: Option<IntervalReport>,
-    /// Of a program: who may be away now to be changed, or has been.
+    /// Balancers that may restart, or have restarted, with the new program.
     pub released: BTreeSet<String>,
-    /// Of settings: the version that they have become.
+    /// Version number of the completed settings.
     pub version: Option<u64>,
 }
 
 impl Change {
-    /// Whether no other change may begin.
+    /// Returns true while no other change may begin.
     pub fn is_active(&self) -> bool {
         let settings = matches!(self.content, Content::Settings { .. });
         let unsaid = settings && self.rollout.state == RolloutState::Completed && self.version.is_none();
         unsaid || !self.rollout.state.is_over()
     }
 
-    /// Whether everybody is in a stage: nobody is left to compare with.
+    /// Returns true if a stage contains all balancers, so that none are left for comparison.
     pub fn stage_includes_all_members(&self, stage: usize) -> bool {
         self.rollout.order.stage(stage).len() == self.rollout.order.members().len()
     }
 }
 
-/// A change that is over.
+/// A change that has ended or was replaced by a newer one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PastChange {
-    /// Its number.
+    /// Number of the change.
     pub number: u64,
-    /// When it began, in Unix milliseconds.
+    /// Start of the change in Unix milliseconds.
     #[serde(rename = "at_ms")]
     pub started_at_ms: u64,
-    /// At which balancer it was begun.
+    /// Balancer at which the change was started.
     pub by: String,
-    /// What changed.
+    /// Readable content of the change.
     #[serde(rename = "what")]
     pub content: String,
-    /// How it ended.
+    /// Readable final state.
     #[serde(rename = "ended")]
     pub outcome: String,
 }
 
-/// All of it.
+/// Rollout state that the balancers agree on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// The number of the last change.
+    /// Number of the newest change.
     pub number: u64,
-    /// The change that runs, or ran last.
+    /// The running or most recent change.
     pub change: Option<Change>,
-    /// Those before, the latest last.
+    /// Earlier changes, the newest last.
     pub past: Vec<PastChange>,
 }
 
 impl Document {
-    /// For the log; an error where it is too long.
+    /// Encodes the document for the log; fails if the document is too long.
     pub fn encode(&self) -> Result<Vec<u8>, String> {
         let bytes = postcard::to_allocvec(self).map_err(|e| e.to_string())?;
         if bytes.len() > MAX_PART_BYTES {
@@ -128,12 +128,12 @@
         Ok(bytes)
     }
 
-    /// From the log; `None` for what is none, as of a later program.
+    /// Decodes a document from the log; `None` if it is malformed or comes from a newer program.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 
-    /// Another change takes the place of the last one, which is remembered.
+    /// Starts a change and moves the previous change to the past changes.
     pub fn begin(&mut self, change: Change) {
         self.number = change.rollout.number;
         if let Some(last) = self.change.replace(change) {
@@ -143,14 +143,14 @@
         self.past.drain(..spare);
     }
 
-    /// All changes, the one that runs among them, the latest last.
+    /// Returns all changes including the running one, the newest last.
     pub fn history(&self) -> Vec<PastChange> {
         self.past.iter().cloned().chain(self.change.as_ref().map(past)).collect()
     }
 }
 
 impl Content {
-    /// In words.
+    /// Returns a readable description of the content.
     pub fn words(&self) -> String {
         match self {
             Self::Settings { base_version: rests_on, .. } => format!("settings on version {rests_on}"),
@@ -159,7 +159,7 @@
     }
 }
 
-/// How a state is said.
+/// Returns a readable description of a rollout state.
 pub fn words(state: &RolloutState) -> String {
     match state {
         RolloutState::Running(stage) => format!("running stage {}", stage + 1),
@@ -190,7 +190,7 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// No panic on what the log holds.
+        /// Malformed log entries must not cause a panic.
         #[test]
         fn garbage_is_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
             if let Some(document) = Document::decode(&bytes) {
--- a/crates/rollout-agent/src/evaluation.rs
+++ b/crates/rollout-agent/src/evaluation.rs
@@ -1,4 +1,4 @@
-//! The leader's judgement of one stage, from what balancers report: an interval at a time, none counted twice.
+//! Evaluates one stage on the leader from balancer reports. Each report counts in one interval only.
 
 use crate::document::Change;
 use crate::messages::MemberReport;
@@ -9,32 +9,32 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How long a balancer's last word holds, or three intervals.
+/// Minimum time without reports after which a balancer counts as silent; three intervals if that is longer.
 const FRESH: Duration = Duration::from_millis(2500);
-/// The longest name of a class, a tenant or a zone.
+/// Maximum length of a class, tenant or zone name in bytes.
 const WORD_MOST: usize = 512;
-/// Reports of one balancer that may wait.
+/// Maximum number of queued reports per balancer.
 const WAITING: usize = 8;
-/// Intervals of the old ones that the last stage is compared with.
+/// Number of old-side intervals that form the baseline of the last stage.
 const BEFORE: usize = 30;
 
-/// What a leader has heard of a balancer.
+/// Latest state and queued reports of a balancer, as the leader received them.
 #[derive(Clone, Debug, Default)]
 pub struct MemberState {
-    /// Its zone.
+    /// Zone of the balancer.
     pub zone: String,
-    /// When, last.
+    /// Time of the last report.
     pub at: Duration,
-    /// The change's number, the side, and the step that it had heard of.
+    /// Number of the change, side, and step that the balancer last reported.
     pub stands: Option<(u64, Side, u64)>,
-    /// Reports, and when each came.
+    /// Queued interval reports with their times of arrival.
     reports: VecDeque<(Duration, IntervalReport)>,
-    /// Of reports that were left out.
+    /// Crashes from reports that carried no interval report.
     crashes: u32,
 }
 
 impl MemberState {
-    /// A balancer has said where it stands. What is larger than any that this program says is passed over.
+    /// Records a balancer's report and drops oversized fields, which this program never sends.
     pub fn hear(&mut self, now: Duration, mut stands: MemberReport) {
         let long = |word: &str| word.len() > WORD_MOST;
         let large = |report: &IntervalReport| {
@@ -50,7 +50,8 @@
         let turned = side(&self.stands) != side(&stands.side);
         (self.zone, self.at, self.stands) = (stands.zone, now, stands.side);
         if turned {
-            // What became of requests meanwhile is of neither side; that a process has crashed is.
+            // After a side change, the request counts belong to neither side and are dropped. Crashes still
+            // count.
             self.reports.clear();
             self.crashes = stands.report.map_or(0, |report| report.crashes);
         } else if let Some(mut report) = stands.report {
@@ -62,7 +63,8 @@
         }
     }
 
-    /// What came an interval ago or earlier: by then it has come from all.
+    /// Merges the reports that are at least one interval old; by then the reports of all balancers have
+    /// arrived.
     fn due(&mut self, now: Duration, interval: Duration) -> Option<IntervalReport> {
         let due = self.reports.iter().take_while(|(at, _)| now.saturating_sub(*at) >= interval).count();
         let due: Vec<IntervalReport> = self.reports.drain(..due).map(|(_, report)| report).collect();
@@ -70,49 +72,49 @@
     }
 }
 
-/// The judgement of a stage.
+/// Evaluation of a stage.
 #[derive(Clone, Debug)]
 pub struct StageEvaluation {
-    /// The change and the stage.
+    /// Number of the change and index of the stage.
     of: (u64, usize),
     judge: Judge,
     begun: Duration,
-    /// Whether all of the stage has been changed since.
+    /// True once all members of the stage have applied the change.
     placed: bool,
     verdict: Option<Verdict>,
     before: VecDeque<IntervalReport>,
 }
 
 impl StageEvaluation {
-    /// Of the stage that runs; `usual`: shares of bad requests of the intervals before.
+    /// Starts the evaluation of a stage; `usual` holds the fractions of bad requests in earlier intervals.
     pub fn new(change: &Change, stage: usize, usual: &[f64], now: Duration) -> Self {
         let of = (change.rollout.number, stage);
         let judge = judge(change, stage, usual);
         Self { of, judge, begun: now, placed: false, verdict: None, before: VecDeque::new() }
     }
 
-    /// Whether it is of this stage.
+    /// Returns true if this evaluation belongs to the given change and stage.
     pub fn is_of(&self, number: u64, stage: usize) -> bool {
         self.of == (number, stage)
     }
 
-    /// What is usual at the old ones.
+    /// Returns the fractions of bad requests on the old side.
     pub fn usual(&self) -> Vec<f64> {
         self.judge.baseline()
     }
 
-    /// What the old ones did of late, all of it together.
+    /// Returns the merged recent reports of the old side.
     pub fn before(&self) -> Option<IntervalReport> {
         IntervalReport::merged(&self.before)
     }
 
-    /// What is known, line by line.
+    /// Returns the verdict and the evidence, one line each.
     pub fn lines(&self) -> Vec<String> {
         let verdict = self.verdict.as_ref().map(ToString::to_string);
         verdict.into_iter().chain(self.judge.evidence()).collect()
     }
 
-    /// An interval is over: what it comes to, if that says anything.
+    /// Evaluates a finished interval; returns a verdict if the evidence suffices.
     pub fn interval(
         &mut self,
         now: Duration,
@@ -122,7 +124,7 @@
         let rollout = &change.rollout;
         let (plan, stage) = (&rollout.plan, self.of.1);
         if !self.placed && rollout.is_stage_changed() {
-            // Only now is it a stage: what was before counts for what is usual alone.
+            // The stage begins once all members have changed. Earlier intervals count for the baseline only.
             (self.judge, self.placed) = (judge(change, stage, &self.judge.baseline()), true);
         }
         let (sides, reports) = self.take(now, change, heard);
@@ -156,8 +158,8 @@
         judged
     }
 
-    /// Who is on which side, and what each of them reports. Whoever was just heard of and has nothing yet is left out; whoever is
-    /// silent is where it is to be, or was.
+    /// Collects sides and due reports by balancer. A balancer that has reported recently but has no due
+    /// report is left out. A silent balancer counts on its last known side.
     fn take(
         &self,
         now: Duration,
@@ -180,7 +182,8 @@
                 }
             } else {
                 let known = rollout.sides.get(&member.name).map(|(side, _)| *side);
-                // One that was as before and out of reach all the time says nothing of the change.
+                // A balancer that was unreachable from the start and still on the old side provides no
+                // evidence.
                 let side = said.or(known.filter(|side| *side == Side::New));
                 if let (Some(side), true) = (side, now.saturating_sub(self.begun) >= fresh) {
                     sides.insert(name, side);
--- a/crates/rollout-agent/src/golden_tests.rs
+++ b/crates/rollout-agent/src/golden_tests.rs
@@ -1,4 +1,4 @@
-//! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
+//! Serialized forms written by an earlier version must decode and encode without change.
 
 use crate::document::{Content, Document, PastChange, StageRecord};
 use crate::messages::{AgentMessage, MemberReport, OperatorRequest, Preview, Reply, RequestedContent};
--- a/crates/rollout-agent/src/leader.rs
+++ b/crates/rollout-agent/src/leader.rs
@@ -1,6 +1,6 @@
-//! The leader's part: it hears where balancers stand and what they report, judges the stage, and says what is to be agreed on.
+//! Decisions of the leader: collects reports, evaluates the stage and proposes the next document.
 //!
-//! It begins with what stands in the log, whoever wrote it, and goes on from the same stage. One document at a time is on its way.
+//! Continues from the stage in the log, whichever balancer proposed it. One proposal is in flight at a time.
 
 use crate::document::{Change, Content, Document, EVIDENCE_MOST, MAX_SETTINGS_BYTES, StageRecord, words};
 use crate::evaluation::{MemberState, StageEvaluation};
@@ -13,61 +13,61 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long after the time for whoever is cut off all have to have gone back.
+/// Extra time, after the lost-contact timeout, within which all balancers must have rolled back.
 const GIVE_UP: Duration = Duration::from_secs(30);
 
-/// What a plan rests on.
+/// Local state that a rollout plan is checked against.
 pub struct PlanContext<'a> {
-    /// The version in force, if one is and none is on its way.
+    /// Version in force; `None` if there is no version or a proposal is pending.
     pub in_force: Option<u64>,
-    /// Its rules.
+    /// Rules of the version in force.
     pub rules: &'a Proxy,
-    /// Reads a text as it would be acted on here.
+    /// Parses a settings text as this balancer would apply it.
     pub read: &'a dyn Fn(&str) -> Result<Proxy, String>,
-    /// The time, in Unix milliseconds.
+    /// Current Unix time in milliseconds.
     pub unix_ms: u64,
 }
 
-/// A leader's state.
+/// State of a leader.
 pub struct LeaderState {
-    /// All balancers that there may be.
+    /// Names of all possible balancers.
     names: Vec<String>,
     stands: Document,
     proposed: Option<Document>,
     heard: BTreeMap<String, MemberState>,
     judging: Option<StageEvaluation>,
-    /// When the next interval is over.
+    /// Time at which the next interval ends.
     next: Duration,
-    /// Since when which change is undone.
+    /// Change that is rolling back, and the start of its rollback.
     undoing: Option<(u64, Duration)>,
 }
 
 impl LeaderState {
-    /// From an election on.
+    /// Creates the state of a newly elected leader.
     pub fn new(names: Vec<String>, stands: Document, now: Duration) -> Self {
         let (heard, judging) = (BTreeMap::new(), None);
         Self { names, stands, proposed: None, heard, judging, next: now, undoing: None }
     }
 
-    /// What stands in the log, as far as this leader knows.
+    /// Returns the newest document in the log that this leader knows.
     pub fn committed(&self) -> &Document {
         &self.stands
     }
 
-    /// A balancer says where it stands.
+    /// Records a balancer's report.
     pub fn record_report(&mut self, now: Duration, from: &str, stands: MemberReport) {
         if self.names.iter().any(|name| name == from) {
             self.heard.entry(from.to_owned()).or_default().hear(now, stands);
         }
     }
 
-    /// What is known of the stage that runs.
+    /// Returns the number of the active change and the evidence of its running stage.
     pub fn evidence(&self) -> Option<(u64, Vec<String>)> {
         let change = self.stands.change.as_ref().filter(|change| change.is_active())?;
         Some((change.rollout.number, self.judging.as_ref().map(StageEvaluation::lines).unwrap_or_default()))
     }
 
-    /// Time passes: what is to be agreed on, if there is anything new and nothing is on its way.
+    /// Returns the next proposal if anything has changed and no proposal is in flight.
     pub fn tick(&mut self, now: Duration, in_force: Option<u64>, unix_ms: u64) -> Option<Vec<u8>> {
         if self.proposed.is_some() {
             return None;
@@ -86,14 +86,15 @@
         self.propose(document).ok()
     }
 
-    /// Where balancers say that they stand.
+    /// Applies the reported sides to the rollout.
     fn place(&self, change: &mut Change) {
         let number = change.rollout.number;
         let undoes = change.rollout.rollback_step > 0;
         for (name, heard) in &self.heard {
             let Some((of, side, step)) = heard.stands else { continue };
             let known = change.rollout.sides.get(name);
-            // Which step one has heard of matters for what is undone alone: the log need not have it each time.
+            // The known step matters during a rollback only, so other step changes are not written to the
+            // log.
             let news = known.is_none_or(|(before, had)| {
                 *before != side || (undoes && *had < change.rollout.rollback_step)
             });
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Another version came into force: the change rests on nothing any more.
+    /// Rolls back a settings change when another version came into force, because its base no longer applies.
     fn foreign(&self, change: &mut Change, in_force: Option<u64>) {
         let Content::Settings { base_version: rests_on, .. } = change.content else { return };
         let undone = change.rollout.rollback_step > 0 || change.rollout.state == RolloutState::Completed;
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Who may be away now, to be started with another program.
+    /// Selects the balancers that may restart with the new program now.
     fn release(&self, now: Duration, change: &mut Change) {
         let (Content::Program { .. }, RolloutState::Running(stage)) =
             (&change.content, &change.rollout.state)
@@ -182,14 +183,15 @@
         Ok(bytes)
     }
 
-    /// What was proposed stands in the log, or does not.
+    /// Handles the outcome of the proposal: true if it is in the log.
     pub fn finish_proposal(&mut self, stands: bool) {
         if let Some(proposed) = self.proposed.take().filter(|_| stands) {
             self.stands = proposed;
         }
     }
 
-    /// Settings that all stages were judged well with: the text, and the version that it rests on. They are to be the next version.
+    /// Returns settings that passed all stages, with their base version. The text must become the next
+    /// version.
     pub fn completed_settings(&self) -> Option<(&str, u64)> {
         let change = self.stands.change.as_ref().filter(|change| change.version.is_none())?;
         match &change.content {
@@ -202,7 +204,7 @@
         }
     }
 
-    /// These settings are a version now, or can't be one.
+    /// Records that the completed settings became a version, or rolls them back if they were rejected.
     pub fn settings_proposed(&mut self, version: Result<u64, String>) -> Option<Vec<u8>> {
         let mut document = self.stands.clone();
         let change = document.change.as_mut().filter(|_| self.proposed.is_none())?;
@@ -223,7 +225,7 @@
         self.propose(document).ok()
     }
 
-    /// An operator's wish: what is to be agreed on for it, with the change's number; or its end.
+    /// Applies an operator's request; returns the proposal and the number of the change, or a final reply.
     pub fn handle_request(
         &mut self,
         by: &str,
@@ -243,7 +245,7 @@
             OperatorRequest::Start { plan, content: what } => {
                 let (mut change, _) =
                     self.plan(by, plan, what, ground).map_err(|why| match self.same(plan, what) {
-                        // Its answer was lost.
+                        // The reply to the first request was lost.
                         Some(number) => Reply::Done(number),
                         None => Reply::Refused(why),
                     })?;
@@ -280,7 +282,7 @@
         Ok((bytes, number))
     }
 
-    /// The change that runs, if it is this one.
+    /// Returns the number of the active change if it has the given plan and content.
     fn same(&self, plan: &str, what: &RequestedContent) -> Option<u64> {
         let change = self.stands.change.as_ref().filter(|change| change.is_active())?;
         let plan = maplehook_rollout::plan::parse(plan).ok()?;
@@ -354,7 +356,7 @@
     }
 }
 
-/// Whether it was played.
+/// Applies a command; returns true if the rollout accepted it.
 fn play(change: &mut Change, command: &Command) -> bool {
     let played = change.rollout.apply(command);
     if let Err(why) = &played {
@@ -363,7 +365,7 @@
     played.is_ok()
 }
 
-/// Notes which stages begin and end.
+/// Records the starts and ends of stages.
 fn watch(change: &mut Change, judging: Option<&StageEvaluation>, unix_ms: u64) {
     let running = change.rollout.stage();
     let verdict = words(&change.rollout.state);
--- a/crates/rollout-agent/src/lib.rs
+++ b/crates/rollout-agent/src/lib.rs
@@ -1,9 +1,11 @@
-//! A balancer's part in changes in stages: settings or a program that go to some first, and to the others once those do not do worse.
+//! Rollout agent: applies new settings or a new program to some balancers first, and to the others once the
+//! first are not worse.
 //!
-//! [`Taking`] is a thread of its own: it reports what became of requests while a change runs, says by what to act here, and, at the
-//! leader, plays [`maplehook_rollout::Command`]s on the agreed [`Document`] and puts what comes of it by compare-and-set. Pure are
-//! [`document`], [`parts`] (what of settings may differ between stages), [`judging`], [`lead`] and [`member`];
-//! `docs/design/rollout.md` has the options that were weighed.
+//! [`Agent`] runs its own thread. It reports request outcomes while a change runs and publishes the target
+//! side of this balancer. On the leader, it applies [`maplehook_rollout::Command`]s to the agreed
+//! [`Document`] and proposes the result by compare-and-set. The modules [`document`], [`staged_settings`],
+//! [`evaluation`], [`leader`] and [`member`] perform no I/O. Design alternatives are described in
+//! `docs/design/rollout.md`.
 
 pub mod agent;
 pub mod document;
--- a/crates/rollout-agent/src/member.rs
+++ b/crates/rollout-agent/src/member.rs
@@ -1,4 +1,4 @@
-//! On which side a balancer is to be.
+//! Target side of a balancer.
 
 use crate::document::{Content, Document, words};
 use maplehook_canary::Side;
@@ -6,22 +6,23 @@
 use maplehook_rollout::{Rollout, RolloutState};
 use std::time::Duration;
 
-/// Where a balancer is to be.
+/// Side and program that a balancer must apply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberTarget {
-    /// The change.
+    /// Number of the change.
     pub number: u64,
-    /// The step that this is by.
+    /// Rollout step that set this target.
     pub step: u64,
-    /// The side.
+    /// Target side of the balancer.
     pub side: Side,
-    /// Of a program: its path and digest.
+    /// Path and SHA-256 digest of the new program, for a program change.
     pub program: Option<(String, String)>,
-    /// The state, in words.
+    /// Readable state of the rollout.
     pub state_description: String,
 }
 
-/// Where a balancer is to be by what is agreed on, when it has held no lease for so long; `None` where there never was a change.
+/// Returns the target of a balancer that has held no lease for the given time; `None` before the first
+/// change.
 pub fn member_target(document: &Document, own: &str, silent: Duration) -> Option<MemberTarget> {
     let change = document.change.as_ref()?;
     let Rollout { number, step, state, plan, .. } = &change.rollout;
@@ -29,7 +30,7 @@
     let program = match &change.content {
         Content::Settings { .. } => None,
         Content::Program { path, digest } => {
-            // One after the other, as many of a zone as may be away.
+            // Balancers restart in turn, limited by the number per zone that may be away at the same time.
             if !change.released.contains(own) && *state != RolloutState::Completed {
                 side = Side::Old;
             }
--- a/crates/rollout-agent/src/messages.rs
+++ b/crates/rollout-agent/src/messages.rs
@@ -1,121 +1,121 @@
-//! What balancers say to one another of changes in stages, and what operators want.
+//! Messages between the agents, and operators' requests.
 
 use maplehook_canary::{IntervalReport, Side};
 use serde::{Deserialize, Serialize};
 
-/// What is to change.
+/// Content of a requested change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestedContent {
-    /// The shared sections of an operator's file.
+    /// Shared sections of an operator's settings file.
     Settings {
-        /// Their text.
+        /// Text of the shared sections.
         text: String,
     },
-    /// A program, which is on each machine already.
+    /// Program that is already installed on each machine.
     Program {
-        /// Its path there.
+        /// File path of the program on each machine.
         path: String,
-        /// SHA-256 of its bytes, in hexadecimal.
+        /// SHA-256 of the program file in hexadecimal.
         digest: String,
     },
 }
 
-/// What an operator wants.
+/// Request of an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OperatorRequest {
-    /// It is said what would be done.
+    /// Returns a preview without starting the change.
     Plan {
-        /// The plan's file.
+        /// Text of the plan file.
         plan: String,
-        /// What changes.
+        /// Content of the change.
         #[serde(rename = "what")]
         content: RequestedContent,
     },
-    /// It is begun.
+    /// Starts the change.
     Start {
-        /// The plan's file.
+        /// Text of the plan file.
         plan: String,
-        /// What changes.
+        /// Content of the change.
         #[serde(rename = "what")]
         content: RequestedContent,
     },
-    /// It waits at its stage.
+    /// Pauses the rollout at its stage.
     Hold,
-    /// It goes on.
+    /// Resumes a paused rollout.
     Go,
-    /// All go back.
+    /// Rolls all balancers back.
     Undo,
 }
 
-/// Who would be in which stage, and what of it is staged.
+/// Stages and settings of a requested change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Preview {
-    /// Who is added by each stage.
+    /// Names of the balancers that each stage adds.
     pub stages: Vec<Vec<String>>,
-    /// What differs between the stages.
+    /// Readable differences between the stages.
     pub staged: Vec<String>,
-    /// What contradicts: its strictest reading holds on both sides until the last stage has been judged.
+    /// Conflicting settings; both sides use their strictest reading until the last stage has passed.
     pub kept_back: Vec<String>,
 }
 
-/// How a wish ended.
+/// Outcome of an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
-    /// It is agreed on; the change's number.
+    /// Agreed on; contains the number of the change.
     Done(u64),
-    /// What would be done.
+    /// Preview of the requested change.
     Planned(Preview),
-    /// It is not done, and why; asking again is of no use as long as things stand so.
+    /// Rejected for the given reason; a repeated request fails until the state changes.
     Refused(String),
-    /// It is not done, or nobody knows; asking again is harmless.
+    /// Not done, or the outcome is unknown; the request may be repeated safely.
     Unavailable(String),
 }
 
-/// Where a balancer stands.
+/// Applied side and request counts of a balancer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberReport {
-    /// Its zone.
+    /// Zone of the balancer.
     pub zone: String,
-    /// The change's number, the side, and the latest step that it has heard of; none while no change runs.
+    /// Number of the change, applied side, and newest step that the balancer knows; `None` without a change.
     pub side: Option<(u64, Side, u64)>,
-    /// What became of requests since the last one.
+    /// Request counts since the previous report.
     pub report: Option<IntervalReport>,
 }
 
-/// What is said.
+/// Message between two agents.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AgentMessage {
-    /// Where a balancer stands.
+    /// Applied side and request counts of a balancer.
     #[serde(rename = "Stands")]
     MemberReport(Box<MemberReport>),
-    /// What the leader knows of the stage that runs.
+    /// Leader's evidence for the running stage.
     #[serde(rename = "Known")]
     StageEvidence {
-        /// The change's number.
+        /// Number of the change.
         number: u64,
-        /// Line by line.
+        /// Evidence, one line per measure.
         lines: Vec<String>,
     },
-    /// An operator's wish, passed on to the leader.
+    /// Operator request that is forwarded to the leader.
     #[serde(rename = "Wish")]
     ForwardedRequest {
-        /// By which its end is known.
+        /// Identifier that the outcome refers to.
         ticket: u64,
-        /// Who passes it on.
+        /// Name of the forwarding balancer.
         by: String,
-        /// What.
+        /// Content of the operator's request.
         #[serde(rename = "wish")]
         request: OperatorRequest,
     },
-    /// Its end.
+    /// Outcome of a forwarded request.
     #[serde(rename = "End")]
     RequestOutcome {
-        /// Which.
+        /// Identifier of the forwarded request.
         ticket: u64,
-        /// How.
+        /// Reply for the operator.
         reply: Reply,
     },
 }
--- a/crates/rollout-agent/src/messaging.rs
+++ b/crates/rollout-agent/src/messaging.rs
@@ -1,4 +1,4 @@
-//! What a balancer says to others of a change in stages, what it hears, and operators' wishes.
+//! Messages to and from other agents, and forwarding of operators' requests.
 
 use crate::agent::WISHES_MOST;
 use crate::messages::{AgentMessage, MemberReport, OperatorRequest, Reply};
@@ -11,14 +11,14 @@
 use maplehook_transport::frames::Message;
 use std::time::Instant;
 
-/// Lines that a leader tells, and how long each may be.
+/// Maximum number of evidence lines in a message, and maximum length of a line in bytes.
 const LINES: usize = 24;
 const LINE: usize = 1024;
 
 impl Runner {
     fn tell(&self, to: &Name, say: &AgentMessage) {
         let Ok(body) = postcard::to_allocvec(say) else { return };
-        // What does not fit is lost, as on a way.
+        // Messages are best effort: a full queue drops them, as the network may.
         let _ = self
             .setup
             .link
@@ -29,13 +29,13 @@
 
     pub(crate) fn end(&self, wisher: Wisher, reply: Reply) {
         match wisher {
-            // Whoever asked may have given up.
+            // The requester may have given up waiting.
             Wisher::Here(to) => drop(to.send(reply)),
             Wisher::There(name, ticket) => self.tell(&name, &AgentMessage::RequestOutcome { ticket, reply }),
         }
     }
 
-    /// Says where this one stands, and what it has counted if it has.
+    /// Reports the applied side and the counts of a finished interval.
     pub(crate) fn say(&mut self, counted: Option<IntervalReport>) {
         let report = counted.map(|mut report| {
             let now = used();
@@ -49,7 +49,7 @@
         let (now, side) = (self.now(), self.side());
         let mut stands = MemberReport { zone: self.setup.zone.clone(), side, report };
         self.said_at = Some(Instant::now());
-        // Said once, to whoever leads then.
+        // Crashes are reported once, to the current leader.
         let crashes = |stands: &mut MemberReport, crashes: &mut u32| {
             if let Some(report) = &mut stands.report {
                 report.crashes = std::mem::take(crashes);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The leader tells all what is known of the stage that runs.
+    /// Sends the evidence for the running stage from the leader to all balancers.
     pub(crate) fn tell_what_is_known(&mut self) {
         let Some((number, mut lines)) = self.leading.as_ref().and_then(|leading| leading.evidence()) else {
             return;
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Whoever leads is to answer it.
+    /// Forwards an operator's request to the leader.
     pub(crate) fn pass_on(&mut self, wish: OperatorRequest, wisher: Wisher) {
         let leader = self.standing().leader.filter(|leader| leader.as_str() != self.setup.name);
         match (wisher, leader) {
--- a/crates/rollout-agent/src/process_usage.rs
+++ b/crates/rollout-agent/src/process_usage.rs
@@ -1,22 +1,22 @@
-//! What the own process uses, as the system tells it.
+//! Resource usage of this process, read from `/proc`.
 
 use std::time::Duration;
 
-/// The system counts processors' time for `/proc` in hundredths of a second (`USER_HZ`, proc(5)).
+/// Unit of processor time in `/proc`: hundredths of a second (`USER_HZ`, proc(5)).
 const TICK: Duration = Duration::from_millis(10);
 
-/// What the own process uses.
+/// Resource usage of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Used {
-    /// Processor's time since its start.
+    /// Processor time since the start of the process.
     pub(crate) cpu: Duration,
-    /// Memory that it holds, in KiB.
+    /// Resident memory in KiB.
     pub(crate) memory_kb: u64,
-    /// Descriptors that are open.
+    /// Number of open file descriptors.
     pub(crate) descriptors: u64,
 }
 
-/// Looks; what can't be read is 0, and compared with nothing.
+/// Reads the current usage. Unreadable values are 0 and are not compared.
 pub(crate) fn used() -> Used {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
@@ -24,7 +24,8 @@
     Used { cpu: cpu(&stat), memory_kb: memory_kb(&status), descriptors }
 }
 
-/// `utime` and `stime`, the 14th and 15th word; the 2nd, the name, may hold anything but ends with the last bracket.
+/// Parses `utime` and `stime`, fields 14 and 15. Field 2, the process name, may contain any character and
+/// ends at the last closing parenthesis.
 fn cpu(stat: &str) -> Duration {
     let after = stat.rsplit_once(')').map_or("", |(_, after)| after);
     let ticks: u32 =
--- a/crates/rollout-agent/src/proposals.rs
+++ b/crates/rollout-agent/src/proposals.rs
@@ -1,4 +1,4 @@
-//! The leader's part on the thread: what it decides is put, and settings that went through all stages are proposed.
+//! Submits the leader's decisions as proposals, and settings that passed all stages as the next version.
 
 use crate::agent::WISHES_MOST;
 use crate::document::Document;
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 
 impl Runner {
-    /// This one leads from now on, or no more.
+    /// Starts or stops acting as leader.
     pub(crate) fn lead(&mut self, standing: &SharedDocumentStatus) {
         if !standing.is_leader {
             if self.leading.take().is_some() {
@@ -31,14 +31,14 @@
         }
         let number = standing.committed.as_ref().map_or(0, |agreed| agreed.number);
         if self.on_its_way.is_none() && number > self.rests_on {
-            // A document that was given up, or another one's, has come to stand there after all.
+            // The log contains an abandoned proposal or another leader's proposal, so the state is rebuilt.
             self.leading = None;
         }
         if self.leading.is_none() {
             self.rests_on = number;
             let stands = standing.committed.as_ref().map(|agreed| Document::decode(&agreed.body));
             let Some(stands) = stands.unwrap_or_else(|| Some(Document::default())) else {
-                // Written by a later program: whoever understands it has to lead.
+                // A newer program wrote the document, so a balancer with that program must lead.
                 return;
             };
             tracing::info!("leads changes in stages");
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The version in force, if one is here and none is on its way.
+    /// Returns the version in force here, or `None` if there is no version or another one is pending.
     fn in_force(&self) -> Option<u64> {
         let acting = self.setup.link.active_version.borrow();
         (acting.mode(Instant::now()) == EnforcementMode::Current).then(|| acting.label.parse().ok()).flatten()
@@ -108,7 +108,7 @@
                 self.rests_on = *ended.as_ref().unwrap_or(&self.rests_on);
                 leading.finish_proposal(true);
             }
-            // Whether it stands in the log is not known: the log is read again.
+            // The outcome is unknown, so the state is read from the log again.
             _ => {
                 self.leading = None;
                 let standing = self.standing();
@@ -125,7 +125,7 @@
         }
     }
 
-    /// An operator wants something, here or at another balancer.
+    /// Handles an operator's request: applies or queues it as leader, or forwards it to the leader.
     pub(crate) fn wish(&mut self, wish: OperatorRequest, wisher: Wisher, by: Option<String>) {
         if self.leading.is_some() && self.standing().is_leader {
             if self.on_its_way.is_some() {
@@ -150,14 +150,15 @@
     }
 }
 
-/// Proposes settings as the next version: its number, or why it can't be one; `None`: nobody knows, and it is tried again.
+/// Proposes settings as the next version; returns its number or the reason for a rejection. `None` means that
+/// the outcome is unknown and the caller must retry.
 async fn propose(wishes: &AdminClient, text: String, rests_on: u64) -> Option<Result<u64, String>> {
     let of = digest(&text);
     let (_, reply) = wishes.request(AdminRequest::Propose { text, expected: Some(rests_on) }).await?;
     match reply {
         Said::Done(version) => Some(Ok(version)),
         Said::Rejected(why) => match wishes.request(AdminRequest::Status).await {
-            // A leader before this one has proposed it.
+            // An earlier leader has already proposed these settings.
             Some((local, _)) if local.digest == of => Some(Ok(local.active_version)),
             _ => Some(Err(why)),
         },
--- a/crates/rollout-agent/src/runner.rs
+++ b/crates/rollout-agent/src/runner.rs
@@ -1,6 +1,7 @@
-//! The thread on which a balancer takes part in changes in stages: it says by what to act, reports, and leads if it is the one to.
+//! Thread of the rollout agent: publishes the settings to apply, reports, and acts as leader if elected.
 //!
-//! It shares watched values with the thread that serves. No request waits for it, and while no change runs nothing is counted.
+//! Exchanges watched values with the serving thread. Requests never wait for this thread, and nothing is
+//! counted unless a change is active.
 
 use crate::agent::{AppliedSide, Setup, StagedSettings};
 use crate::document::{Content, Document};
@@ -20,24 +21,24 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// How often it is looked at.
+/// Interval between evaluations of the rollout state.
 const TICK: Duration = Duration::from_millis(50);
-/// How often one says where it is while no change runs, and the leader tells what it knows.
+/// Interval of member reports without a change, and of the leader's evidence messages.
 pub(crate) const CALM: Duration = Duration::from_secs(1);
-/// How long a wish that was passed on may take, and a document on its way to the log.
+/// Timeout for a forwarded request and for a proposal.
 pub(crate) const WISH: Duration = Duration::from_millis(3000);
 
-/// Who is to hear how a wish ended.
+/// Origin of an operator's request, which receives the outcome.
 pub(crate) enum Wisher {
     Here(oneshot::Sender<Reply>),
     There(Name, u64),
 }
 
-/// A document on its way to the log.
+/// A proposal that is in flight.
 pub(crate) struct OnItsWay {
     pub(crate) done: oneshot::Receiver<Result<u64, ProposalError>>,
     pub(crate) until: Instant,
-    /// Who is to hear of it, and of which change.
+    /// Requester to notify of the outcome, and the number of the change.
     pub(crate) wisher: Option<(Wisher, u64)>,
 }
 
@@ -51,16 +52,17 @@
     pub(crate) document: Arc<Document>,
     pub(crate) number: u64,
     pub(crate) wanted: Option<MemberTarget>,
-    /// What the last text comes to: the change, the version that it rests on, and the new rules; `None`: it can't be read here.
+    /// Number of the last parsed settings change and its rules; `None` in place of rules that cannot be
+    /// parsed here.
     read: Option<(u64, Option<Arc<Proxy>>)>,
     pub(crate) leading: Option<LeaderState>,
-    /// The number in the log that what it decides rests on.
+    /// Log number that this leader's decisions are based on.
     pub(crate) rests_on: u64,
     pub(crate) on_its_way: Option<OnItsWay>,
-    /// Wishes that wait for the document that is on its way.
+    /// Requests that wait for the proposal in flight.
     pub(crate) waits: VecDeque<(OperatorRequest, Wisher, Option<String>)>,
     pub(crate) passed_on: BTreeMap<u64, (oneshot::Sender<Reply>, Instant)>,
-    /// The end of a proposal of settings that went through all stages.
+    /// Outcome of proposing the completed settings as the next version.
     pub(crate) proposing: Option<oneshot::Receiver<Option<Result<u64, String>>>>,
     pub(crate) used: Used,
     pub(crate) said_at: Option<Instant>,
@@ -168,7 +170,7 @@
         }
     }
 
-    /// What is agreed on has changed, or who leads, or the lease.
+    /// Handles a change of the agreed document, the leader or the lease.
     fn stood(&mut self) {
         let standing = self.standing();
         if let Some(common) = standing.received.as_ref().filter(|common| common.number != self.number) {
@@ -191,7 +193,7 @@
         self.act();
     }
 
-    /// By what to act here, and whether to count.
+    /// Updates the target of this balancer and the reporting interval.
     fn act(&mut self) {
         let until = self.standing().lease_end;
         let silent =
@@ -215,7 +217,8 @@
         });
     }
 
-    /// By what settings to act: until they are undone on all sides, or are the version in force.
+    /// Returns the staged settings to apply, until they are rolled back on all sides or become the version in
+    /// force.
     fn staging(&mut self) -> Option<Arc<StagedSettings>> {
         let change = self.document.change.as_ref().filter(|change| {
             change.is_active() || change.rollout.state == maplehook_rollout::RolloutState::Completed
@@ -255,7 +258,8 @@
         Some(Arc::new(StagedSettings { number, step, side, base_version: rests_on, rules }))
     }
 
-    /// Where this one stands: what the thread that serves acts on, or which program it is.
+    /// Returns the change number, applied side and step: the settings in use by the serving thread, or the
+    /// running program.
     pub(crate) fn side(&self) -> Option<(u64, Side, u64)> {
         let change = self.document.change.as_ref().filter(|change| change.is_active())?;
         let (number, step) = (change.rollout.number, change.rollout.step);
@@ -267,7 +271,7 @@
             Content::Settings { .. } => {
                 let acked = (*self.acks.borrow()).filter(|acked| acked.number == number);
                 acked.map(|acked| (number, acked.side, acked.step)).or_else(|| {
-                    // It can't act on the new ones, or on none at all: as before.
+                    // This balancer cannot apply the new settings, so it stays on the old side.
                     let cannot = matches!(&self.read, Some((of, None)) if *of == number);
                     cannot.then_some((number, Side::Old, step))
                 })
@@ -276,7 +280,7 @@
     }
 }
 
-/// The rules of the own file with this shared part.
+/// Parses the local file combined with the given shared sections.
 pub(crate) fn read(file: &str, shared: &str) -> Result<Proxy, String> {
     let whole = maplehook_config::with_shared(file, shared).map_err(|e| e.to_string())?;
     let operator = maplehook_config::parse(&whole).map_err(|e| e.to_string())?;
--- a/crates/rollout-agent/src/staged_settings.rs
+++ b/crates/rollout-agent/src/staged_settings.rs
@@ -1,5 +1,6 @@
-//! What of new settings may differ between stages: what contradicts nothing by the agreement's table ([`compatibility`]). The rest holds in
-//! its strictest reading on both sides until the last stage has been judged.
+//! Selects the settings that may differ between stages: those that do not conflict by the table of
+//! [`compatibility`]. All other settings use the stricter reading on both sides until the last stage has
+//! passed.
 //!
 //! [`compatibility`]: maplehook_versions::compatibility
 
@@ -7,11 +8,12 @@
 use maplehook_versions::compatibility::{conflicts, strictest};
 use std::collections::BTreeMap;
 
-/// What one side acts on while the other acts on `other`: its own times, weights and guarantees, and for the rest the strictest
-/// reading of both.
+/// Returns the rules of one side while the other side acts on `other`: deadlines, weights and guarantees of
+/// the local side, and the strictest reading of both for all other settings.
 pub fn staged(own: &Proxy, other: &Proxy) -> Proxy {
     let mut staged = strictest(other, own);
-    // Of these the reading of both has the lesser; they say how well, and never contradict.
+    // The strictest reading takes the smaller values of these settings. They affect quality only and never
+    // conflict.
     for (class, own) in staged.settings.classes.iter_mut().zip(&own.settings.classes) {
         (class.deadline, class.latency_objective) = (own.deadline, own.latency_objective);
     }
@@ -21,7 +23,7 @@
         }
     }
     staged.settings.tenants.clone_from(&own.settings.tenants);
-    // Which answers may be tried again goes with the effect that both have.
+    // The set of retryable answers must match the effect that both sides use.
     for (k, name) in own.classes.iter().enumerate() {
         let Some(n) = other.classes.iter().position(|of| of == name) else { continue };
         let strict = staged.settings.classes[k].effect;
@@ -32,16 +34,17 @@
     staged
 }
 
-/// What may be staged and what not.
+/// Settings of a change, split by whether they may be staged.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StageableParts {
-    /// What differs between the stages, in words.
+    /// Readable differences between the stages.
     pub staged: Vec<String>,
-    /// What contradicts, in words.
+    /// Readable conflicts, which apply after the last stage.
     pub kept_back: Vec<String>,
 }
 
-/// What of a change may be staged; an error where none of it may, or where even its strictest reading contradicts.
+/// Splits a change into staged and conflicting settings; fails if nothing can be staged or if even the
+/// strictest readings conflict.
 pub fn parts(old: &Proxy, new: &Proxy) -> Result<StageableParts, String> {
     const ORDINARY: &str = "propose it the ordinary way: maplehook settings propose FILE";
     let kept_back = conflicts(old, new);
@@ -65,7 +68,7 @@
     names.iter().map(String::as_str).zip(of).collect()
 }
 
-/// How two readings differ, in words.
+/// Returns readable differences between two sets of rules.
 fn differences(old: &Proxy, new: &Proxy) -> Vec<String> {
     let mut found = Vec::new();
     let ms = |time: std::time::Duration| time.as_millis();
@@ -122,7 +125,7 @@
     found
 }
 
-/// Whether two readings are the same, whatever the order in which they list upstreams.
+/// Returns true if two sets of rules are equal apart from the order of upstreams.
 fn alike(old: &Proxy, new: &Proxy) -> bool {
     let sorted = |proxy: &Proxy| {
         let mut proxy = proxy.clone();
@@ -137,7 +140,7 @@
     use super::*;
     use proptest::prelude::*;
 
-    /// An operator's file with these words in it.
+    /// Parses an operator's file with the given class, tenant and upstream settings.
     fn proxy(effect: &str, deadline: u64, rate: u32, upstreams: &[(&str, bool)]) -> Proxy {
         let upstreams: String = upstreams
             .iter()
@@ -171,7 +174,7 @@
             ]
         );
         assert!(parts.kept_back.len() == 1 && parts.kept_back[0].contains("effect"), "{parts:?}");
-        // Each side keeps its own times, a longer one too, and both the stricter effect.
+        // Each side uses its own deadline, even a longer one; both use the stricter effect.
         let (before, after) = (staged(&old, &new), staged(&new, &old));
         assert_eq!(before.settings.classes[0].deadline, old.settings.classes[0].deadline);
         assert_eq!(after.settings.classes[0].deadline, new.settings.classes[0].deadline);
@@ -186,7 +189,7 @@
         let why = parts(&old, &new).unwrap_err();
         assert!(why.contains("none of it may differ") && why.contains("settings propose"), "{why}");
         assert!(parts(&old, &old).unwrap_err().contains("nothing changes"));
-        // A list alone, too.
+        // A changed endpoint list alone cannot be staged.
         let longer = proxy("idempotent", 2000, 50, &[("u", false), ("v", false), ("w", false)]);
         assert!(parts(&old, &longer).is_err());
     }
@@ -204,7 +207,7 @@
 
     proptest! {
         #![proptest_config(ProptestConfig::with_cases(64))]
-        /// Whatever changes, the two sides never contradict one another where a change is let through.
+        /// The two sides must not conflict for any accepted change.
         #[test]
         fn the_sides_never_contradict(old in any_proxy(), new in any_proxy()) {
             if parts(&old, &new).is_ok() {
--- a/crates/rollout-agent/src/status.rs
+++ b/crates/rollout-agent/src/status.rs
@@ -1,4 +1,4 @@
-//! How a change stands, as operators are shown it.
+//! Rollout status as operators see it.
 
 use crate::document::{Change, Document, words};
 use crate::messages::Preview;
@@ -6,72 +6,72 @@
 use maplehook_rollout::RolloutState;
 use serde::{Deserialize, Serialize};
 
-/// A balancer of a stage.
+/// Status of a balancer in a stage.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// Name of the balancer.
     pub name: String,
-    /// Its zone.
+    /// Zone of the balancer.
     pub zone: String,
-    /// `old`, `new`, or `unknown` as long as it has not said.
+    /// Applied side: `old`, `new`, or `unknown` until the balancer has reported it.
     pub side: String,
 }
 
-/// A stage.
+/// Status of a stage.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StageStatus {
-    /// Whom it adds.
+    /// Balancers that this stage adds to the previous stage.
     #[serde(rename = "who")]
     pub members: Vec<MemberStatus>,
-    /// Since when, in Unix milliseconds; none if it has not begun.
+    /// Start of the stage in Unix milliseconds; `None` if it has not begun.
     pub since_ms: Option<u64>,
-    /// Until when.
+    /// End of the stage in Unix milliseconds; `None` if it has not ended.
     pub until_ms: Option<u64>,
-    /// Old against new, measure by measure.
+    /// Comparison of the old and new sides, one line per measure.
     pub evidence: Vec<String>,
-    /// What it came to.
+    /// Readable verdict; empty until the stage has ended.
     pub verdict: String,
 }
 
-/// What `GET /control/rollout` shows.
+/// Status that `GET /control/rollout` shows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutStatus {
-    /// The change's number; 0 if there was none.
+    /// Number of the change; 0 before the first change.
     pub number: u64,
     /// `planned`, `running`, `held`, `undoing`, `undone`, `done`, `failed to undo`; `none`.
     pub state: String,
-    /// The same, with what there is to say.
+    /// Readable state with its details.
     #[serde(rename = "word")]
     pub state_description: String,
-    /// Counts what has happened to it.
+    /// Step of the rollout; rises with each event.
     pub step: u64,
-    /// What changes.
+    /// Readable content of the change.
     #[serde(rename = "what")]
     pub content: String,
-    /// At which balancer it was begun.
+    /// Balancer at which the change was started.
     pub by: String,
-    /// When, in Unix milliseconds.
+    /// Start of the change in Unix milliseconds.
     pub at_ms: u64,
-    /// Of settings: the version that they have become.
+    /// Version number of the completed settings.
     pub version: Option<u64>,
-    /// The stages.
+    /// Status of each stage, in order.
     pub stages: Vec<StageStatus>,
-    /// What it waits for.
+    /// Conditions that the rollout waits for.
     #[serde(rename = "waits")]
     pub waiting_for: Vec<String>,
-    /// What happened.
+    /// Events of the rollout, in order.
     pub events: Vec<String>,
-    /// Whether no other change may begin.
+    /// True while no other change may begin.
     #[serde(rename = "runs")]
     pub is_active: bool,
-    /// The side on which this balancer is to be.
+    /// Target side of this balancer.
     #[serde(rename = "own")]
     pub target_side: String,
-    /// The leader.
+    /// Name of the leader, if known.
     pub leader: Option<String>,
 }
 
-/// A side's word.
+/// Returns the outer name of a side.
 pub fn side(side: Side) -> &'static str {
     match side {
         Side::Old => "old",
@@ -80,7 +80,7 @@
 }
 
 impl RolloutStatus {
-    /// By what is agreed on, and by what the leader has told of the stage that runs.
+    /// Builds the status from the agreed document and the leader's evidence for the running stage.
     pub fn from_document(document: &Document, known: &[String]) -> Self {
         let Some(change) = &document.change else {
             return Self {
@@ -166,7 +166,7 @@
 }
 
 impl Preview {
-    /// Line by line.
+    /// Returns the preview as text, one line per stage or setting.
     pub fn table(&self) -> String {
         let mut text = String::new();
         for (n, who) in self.stages.iter().enumerate() {
--- a/crates/rollout-agent/src/status_board.rs
+++ b/crates/rollout-agent/src/status_board.rs
@@ -1,4 +1,4 @@
-//! What operators and whoever starts programs are answered: from what stands when they ask.
+//! Answers operators and the supervisor from the state at the time of the request.
 
 use crate::document::{Change, Content, Document, PastChange};
 use crate::member::MemberTarget;
@@ -10,53 +10,53 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::timeout;
 
-/// How long an operator waits for a wish.
+/// Timeout for an operator's request to this balancer.
 const WISH: Duration = Duration::from_millis(3500);
 
-/// How it stands here, as the thread knows it.
+/// State of this balancer, published by the agent thread.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LocalState {
-    /// What was told last.
+    /// Newest agreed document.
     pub document: Arc<Document>,
-    /// Where this balancer is to be.
+    /// Side and step that this balancer must apply.
     pub wanted: Option<MemberTarget>,
-    /// What the leader has told of the stage that runs.
+    /// Evidence lines of the running stage, received from the leader.
     pub known: Vec<String>,
-    /// The leader.
+    /// Name of the leader, if known.
     pub leader: Option<String>,
 }
 
-/// Where this balancer is to be: what `GET /control/rollout/own` answers.
+/// Target of this balancer, as `GET /control/rollout/own` returns it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetStatus {
-    /// The change's number.
+    /// Number of the change.
     pub number: u64,
-    /// Counts what has happened to it.
+    /// Step of the rollout; rises with each event.
     pub step: u64,
-    /// `old` or `new`.
+    /// Target side: `old` or `new`.
     pub side: String,
-    /// Whether the change is not over yet.
+    /// True until the change has ended.
     #[serde(rename = "runs")]
     pub is_active: bool,
-    /// The program that `new` is, where one changes.
+    /// Program of the `new` side, if the change replaces the program.
     pub program: Option<TargetProgram>,
-    /// The state, in words.
+    /// Readable state of the rollout.
     #[serde(rename = "word")]
     pub state_description: String,
 }
 
-/// A program.
+/// Program that a balancer must run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetProgram {
-    /// Its path.
+    /// File path of the program.
     pub path: String,
-    /// SHA-256 of its bytes, in hexadecimal.
+    /// SHA-256 of the program file in hexadecimal.
     pub digest: String,
 }
 
 pub(crate) type Wished = (OperatorRequest, oneshot::Sender<Reply>);
 
-/// Answers, on any thread.
+/// Answers operators and the supervisor; callable from any thread.
 #[derive(Clone)]
 pub struct StatusBoard {
     pub(crate) stands: watch::Receiver<LocalState>,
@@ -64,7 +64,7 @@
 }
 
 impl StatusBoard {
-    /// How the change stands that runs, or ran last.
+    /// Returns the status of the running or most recent change.
     pub fn status(&self) -> RolloutStatus {
         let stands = self.stands.borrow().clone();
         let own = stands.wanted.as_ref().map_or("", |wanted| side(wanted.side)).to_owned();
@@ -75,12 +75,12 @@
         }
     }
 
-    /// All changes, the latest last.
+    /// Returns all changes, the newest last.
     pub fn history(&self) -> Vec<PastChange> {
         self.stands.borrow().document.history()
     }
 
-    /// Where this balancer is to be; `None`: there was no change.
+    /// Returns the target of this balancer; `None` before the first change.
     pub fn target(&self) -> Option<TargetStatus> {
         let stands = self.stands.borrow();
         let MemberTarget { number, step, side: of, program, state_description: word } =
@@ -97,7 +97,7 @@
         })
     }
 
-    /// Why no settings may be proposed: some are changed in stages.
+    /// Returns the reason why settings cannot be proposed now; `None` unless a rollout of settings is active.
     pub fn settings_lock_reason(&self) -> Option<String> {
         let stands = self.stands.borrow();
         let change = stands.document.change.as_ref().filter(|change| change.is_active())?;
@@ -107,7 +107,7 @@
         })
     }
 
-    /// An operator's wish.
+    /// Passes an operator's request to the agent thread and waits for the reply.
     pub async fn request(&self, wish: OperatorRequest) -> Reply {
         let (reply, ended) = oneshot::channel();
         if self.wishes.try_send((wish, reply)).is_err() {
--- a/crates/rollout-agent/tests/leading.rs
+++ b/crates/rollout-agent/tests/leading.rs
@@ -1,4 +1,4 @@
-//! A leader over members that are played: what it has agreed on, whoever leads.
+//! Tests the leader with simulated members: agreed documents across changes of leader.
 
 use maplehook_canary::{IntervalReport, Side};
 use maplehook_config::Proxy;
@@ -28,15 +28,15 @@
     (0..4).map(|n| format!("b{n}")).collect()
 }
 
-/// Four balancers, whoever leads, and what stands in the log.
+/// Four balancers, their leader and the document in the log.
 struct World {
     now: Duration,
     leading: LeaderState,
     log: Document,
     in_force: u64,
-    /// Who is out of reach.
+    /// Names of unreachable balancers.
     away: Vec<String>,
-    /// Who stays as before, whatever is wanted.
+    /// Names of balancers that stay on the old side whatever their target is.
     stays: Vec<String>,
 }
 
@@ -79,7 +79,7 @@
         self.log.change.as_ref().unwrap().rollout.state.clone()
     }
 
-    /// So many seconds; `does`: what a member does with a report, by its side.
+    /// Advances the given number of seconds; `does` modifies each member's report according to its side.
     fn play(&mut self, seconds: f64, does: &dyn Fn(Side, &mut IntervalReport)) {
         let until = self.now + Duration::from_secs_f64(seconds);
         while self.now < until {
@@ -149,7 +149,7 @@
     let change = world.log.change.as_ref().unwrap();
     assert_eq!((change.rollout.furthest_stage, change.stage_records.len()), (Some(0), 1));
     assert!(change.stage_records[0].verdict.contains("failed"), "{:?}", change.stage_records);
-    // The next one may begin, and this one is remembered.
+    // The next change may begin, and the rolled-back change is in the history.
     assert_eq!(world.start().unwrap(), 2);
     assert!(world.log.history()[0].outcome.contains("undone"));
 }
@@ -238,7 +238,7 @@
     );
 }
 
-/// The changed one is silent: that counts against it. One that was out of reach from the beginning and is as before does not.
+/// Silence must count against a changed balancer, but not against one that was unreachable before it changed.
 #[test]
 fn silence_counts_against_the_changed_side_alone() {
     let mut world = World::new();
@@ -267,7 +267,7 @@
     assert!(matches!(world.state(), RolloutState::RolledBack { why } if why.contains("version 2")));
 }
 
-/// A program: as many of a zone as may be away at once, and all in the end.
+/// The number of balancers of a zone that restart together is limited, but all must restart in the end.
 #[test]
 fn a_program_goes_to_as_many_of_a_zone_as_may_be_away() {
     let mut world = World::new();
@@ -286,8 +286,8 @@
     assert_eq!((world.state(), most), (RolloutState::Completed, 1));
 }
 
-/// One that was out of reach when this leader came, and is as before, says nothing of the change; nor is it waited for but to be
-/// changed itself.
+/// A balancer that was unreachable when this leader was elected, and is on the old side, must not block a
+/// stage that it does not belong to.
 #[test]
 fn whoever_was_out_of_reach_before_holds_nothing_up() {
     let mut world = World::new();
@@ -302,7 +302,8 @@
     assert_eq!(world.state(), RolloutState::Running(2));
 }
 
-/// One of the stage can't act on it: the stage is not left, however well the others do, and an operator is told whom it waits for.
+/// A stage must not pass while one of its members cannot apply the change, and the operator must see that
+/// member's name.
 #[test]
 fn a_stage_that_is_not_all_changed_waits_for_an_operator() {
     let mut world = World::new();
