--- a/crates/failover-agent/src/agent.rs
+++ b/crates/failover-agent/src/agent.rs
@@ -1,7 +1,7 @@
 //! Handle of the failover agent: starts and stops its thread.
 
 use crate::config::Config;
-use crate::history::Writer;
+use crate::history::HistoryWriter;
 use crate::rates::CounterSnapshot;
 use crate::runner::Runner;
 use crate::status_board::{LocalState, StatusBoard};
@@ -17,7 +17,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 /// Maximum number of pending operator requests.
-pub(crate) const WISHES_MOST: usize = 16;
+pub(crate) const MAX_PENDING_REQUESTS: usize = 16;
 
 /// Channels between the agent and the consensus service.
 pub struct Link {
@@ -74,33 +74,33 @@
     /// Starts the agent thread.
     pub fn start(setup: Setup) -> Result<Self, String> {
         let writer = match &setup.history {
-            Some(path) => Writer::open(path, &setup.name)
+            Some(path) => HistoryWriter::open(path, &setup.name)
                 .map_err(|e| format!("operator.history: {}: {e}", path.display()))?,
-            None => Writer::default(),
+            None => HistoryWriter::default(),
         };
-        let (stands, shows) = watch::channel(LocalState::default());
-        let (acted_to, acted) = watch::channel(None);
-        let (wishes, wished) = mpsc::channel(WISHES_MOST);
-        let (stop, stopped) = oneshot::channel();
+        let (local_state, local_state_receiver) = watch::channel(LocalState::default());
+        let (routing_sender, active_routing) = watch::channel(None);
+        let (requests, request_receiver) = mpsc::channel(MAX_PENDING_REQUESTS);
+        let (stop, stop_receiver) = oneshot::channel();
         let epoch = Instant::now();
         let board = StatusBoard {
-            stands: shows,
-            standing: setup.link.as_ref().map(|link| link.document_status.clone()),
-            wishes,
-            past: Arc::new(Mutex::new(VecDeque::new())),
+            local_state: local_state_receiver,
+            document_status: setup.link.as_ref().map(|link| link.document_status.clone()),
+            requests,
+            past_plans: Arc::new(Mutex::new(VecDeque::new())),
             writer: writer.clone(),
             epoch,
             ready: Arc::clone(&setup.ready),
         };
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
-        let runner = Runner::new(setup, board.clone(), stands, acted_to);
+        let runner = Runner::new(setup, board.clone(), local_state, routing_sender);
         let thread = std::thread::Builder::new()
             .name("places".into())
             .stack_size(1024 * 1024)
-            .spawn(move || runtime.block_on(runner.run(wished, stopped)))
+            .spawn(move || runtime.block_on(runner.run(request_receiver, stop_receiver)))
             .map_err(|e| e.to_string())?;
-        Ok(Self { active_routing: acted, status_board: board, stop: Some(stop), thread: Some(thread) })
+        Ok(Self { active_routing, status_board: board, stop: Some(stop), thread: Some(thread) })
     }
 }
 
--- a/crates/failover-agent/src/golden_tests.rs
+++ b/crates/failover-agent/src/golden_tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_agreed_document_is_written_as_it_was() {
+fn agreed_state_encoding_is_unchanged() {
     let documents: Vec<AgreedState> = samples(maplehook_golden::TEXTS);
     let lines: String = documents.iter().map(|document| hex(&document.encode()) + "\n").collect();
     assert_text("agreed-encoded.txt", &lines);
--- a/crates/failover-agent/src/history.rs
+++ b/crates/failover-agent/src/history.rs
@@ -14,9 +14,9 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Maximum number of queued records.
-const WAIT_MOST: usize = 4096;
+const MAX_QUEUED_RECORDS: usize = 4096;
 /// Maximum size of the history file in bytes.
-const BYTES_MOST: u64 = 256 << 20;
+const MAX_FILE_BYTES: u64 = 256 << 20;
 
 /// Returns the system clock as Unix time in microseconds.
 pub fn unix_us() -> u64 {
@@ -26,83 +26,85 @@
 
 /// Sender of history records; drops all records if no history file is configured.
 #[derive(Clone, Debug, Default)]
-pub struct Writer(Option<Sink>);
+pub struct HistoryWriter(Option<RecordSender>);
 
 #[derive(Clone, Debug)]
-struct Sink {
+struct RecordSender {
     by: Arc<str>,
     // `SyncSender` is wrapped in a mutex because several threads share this writer.
     queue: Arc<Mutex<SyncSender<Record>>>,
-    left_out: Arc<AtomicU64>,
+    dropped: Arc<AtomicU64>,
 }
 
-impl Writer {
+impl HistoryWriter {
     /// Opens a history file for appending, so that a restarted balancer continues the same file.
     pub fn open(path: &Path, by: &str) -> std::io::Result<Self> {
         let file = File::options().create(true).append(true).open(path)?;
-        let written = file.metadata()?.len();
-        let (queue, taken) = sync_channel(WAIT_MOST);
-        let left_out = Arc::new(AtomicU64::new(0));
-        let (count, name) = (Arc::clone(&left_out), by.to_owned());
+        let file_bytes = file.metadata()?.len();
+        let (queue, records) = sync_channel(MAX_QUEUED_RECORDS);
+        let dropped = Arc::new(AtomicU64::new(0));
+        let (count, name) = (Arc::clone(&dropped), by.to_owned());
         std::thread::Builder::new()
             .name("history".into())
             .stack_size(256 * 1024)
-            .spawn(move || write(BufWriter::new(file), written, &taken, &count, &name))?;
-        Ok(Self(Some(Sink { by: by.into(), queue: Arc::new(Mutex::new(queue)), left_out })))
+            .spawn(move || write_records(BufWriter::new(file), file_bytes, &records, &count, &name))?;
+        Ok(Self(Some(RecordSender { by: by.into(), queue: Arc::new(Mutex::new(queue)), dropped })))
     }
 
     /// Returns true if a history file is configured.
-    pub fn is_on(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.0.is_some()
     }
 
     /// Records an event at the current time.
-    pub fn note(&self, what: What) {
-        self.note_at(unix_us(), what);
+    pub fn record(&self, what: What) {
+        self.record_at(unix_us(), what);
     }
 
     /// Records an event at a given Unix time in microseconds.
-    pub fn note_at(&self, at_us: u64, what: What) {
+    pub fn record_at(&self, at_us: u64, what: What) {
         let Some(sink) = &self.0 else { return };
         let record = Record { at_us, by: sink.by.to_string(), what };
         let queue = sink.queue.lock().unwrap_or_else(PoisonError::into_inner);
         if queue.try_send(record).is_err() {
-            sink.left_out.fetch_add(1, Ordering::Relaxed);
+            sink.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-fn write(
+fn write_records(
     mut file: BufWriter<File>,
-    mut written: u64,
-    taken: &Receiver<Record>,
-    left_out: &AtomicU64,
+    mut file_bytes: u64,
+    records: &Receiver<Record>,
+    dropped: &AtomicU64,
     by: &str,
 ) {
-    while let Ok(record) = taken.recv() {
+    while let Ok(record) = records.recv() {
         let mut batch = vec![record];
-        batch.extend(taken.try_iter().take(WAIT_MOST));
-        let missing = left_out.swap(0, Ordering::Relaxed);
-        if missing > 0 {
-            let text = format!("{missing} records are missing here");
+        batch.extend(records.try_iter().take(MAX_QUEUED_RECORDS));
+        let dropped_count = dropped.swap(0, Ordering::Relaxed);
+        if dropped_count > 0 {
+            let text = format!("{dropped_count} records are missing here");
             batch.push(Record { at_us: unix_us(), by: by.to_owned(), what: What::Note { text } });
         }
         for record in batch {
             let Ok(line) = serde_json::to_string(&record) else { continue };
-            written += line.len() as u64 + 1;
-            if written > BYTES_MOST {
-                tracing::warn!("the history has reached its bound of {BYTES_MOST} bytes and ends here");
+            file_bytes += line.len() as u64 + 1;
+            if file_bytes > MAX_FILE_BYTES {
+                tracing::warn!(
+                    "the history file reached its limit of {MAX_FILE_BYTES} bytes; no more records are written"
+                );
                 let _ = file.flush();
                 return;
             }
             if let Err(e) = writeln!(file, "{line}") {
-                tracing::warn!("the history ends here: {e}");
+                tracing::warn!("cannot write the history file; no more records are written: {e}");
                 return;
             }
         }
         // Flushes each batch so that a killed process leaves the records of its active routing.
         if let Err(e) = file.flush() {
-            tracing::warn!("the history ends here: {e}");
+            tracing::warn!("cannot write the history file; no more records are written: {e}");
             return;
         }
     }
--- a/crates/failover-agent/src/leader.rs
+++ b/crates/failover-agent/src/leader.rs
@@ -16,9 +16,9 @@
     config: Config,
     places: failover::Decider,
     addresses: addresses::Decider,
-    measuring: RttEstimator,
+    rtt_estimator: RttEstimator,
     /// Newest state in the log that this leader knows.
-    stands: AgreedState,
+    committed: AgreedState,
     /// Proposal that is in flight.
     proposed: Option<AgreedState>,
     /// Zone, readiness and time of the last report, by balancer.
@@ -26,27 +26,31 @@
 }
 
 /// Age up to which a balancer's report counts for the health of its site.
-const FRESH: Duration = Duration::from_secs(3);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
 /// Time for which a silent balancer still counts as a member of its zone.
-const REMEMBERED: Duration = Duration::from_secs(120);
+const SILENT_MEMBER_RETENTION: Duration = Duration::from_secs(120);
 /// Maximum number of balancers in the table of reports.
-const HEARD_MOST: usize = 4096;
+const MAX_TRACKED_BALANCERS: usize = 4096;
 
 impl LeaderState {
     /// Creates the state of a newly elected leader.
-    pub fn new(config: Config, stands: AgreedState, now: Duration) -> Self {
+    pub fn new(config: Config, committed: AgreedState, now: Duration) -> Self {
         let mut places = failover::Decider::new(
             config.topology.clone(),
             config.rules.clone(),
             config.bounds,
-            Some(&stands.places).filter(|places| !places.zones.is_empty()),
+            Some(&committed.places).filter(|places| !places.zones.is_empty()),
             now,
         );
-        let addresses =
-            addresses::Decider::new(config.addresses.clone(), config.sites(), Some(&stands.addresses), now);
-        places.set_rtt_table(&stands.rtts);
-        let measuring = RttEstimator::new(&stands.rtts, &config.topology);
-        Self { config, places, addresses, measuring, stands, proposed: None, zones: BTreeMap::new() }
+        let addresses = addresses::Decider::new(
+            config.addresses.clone(),
+            config.sites(),
+            Some(&committed.addresses),
+            now,
+        );
+        places.set_rtt_table(&committed.rtts);
+        let rtt_estimator = RttEstimator::new(&committed.rtts, &config.topology);
+        Self { config, places, addresses, rtt_estimator, committed, proposed: None, zones: BTreeMap::new() }
     }
 
     /// Applies changed rules or zones.
@@ -54,7 +58,8 @@
         self.places.reconfigure(config.topology.clone(), config.rules.clone(), now);
         self.places.set_bounds(config.bounds);
         self.addresses.reconfigure(config.addresses.clone(), config.sites(), now);
-        self.measuring = RttEstimator::new(&self.measuring.table(&self.config.topology), &config.topology);
+        self.rtt_estimator =
+            RttEstimator::new(&self.rtt_estimator.table(&self.config.topology), &config.topology);
         self.config = config;
         // Zone numbers may differ in the new configuration.
         self.zones.clear();
@@ -67,17 +72,17 @@
 
     /// Records a balancer's report.
     pub fn record_report(&mut self, now: Duration, from: &str, report: Report) {
-        let known = self.zones.len() < HEARD_MOST || self.zones.contains_key(from);
-        if known && report.digest == self.config.digest {
+        let is_known = self.zones.len() < MAX_TRACKED_BALANCERS || self.zones.contains_key(from);
+        if is_known && report.digest == self.config.digest {
             self.zones.insert(from.to_owned(), (report.zone, report.ready, now));
         }
         self.places.record_report(now, from, report);
     }
 
     /// Records the round-trip times that a balancer measured to its peers.
-    pub fn record_rtts(&mut self, now: Duration, from: &str, ways: &[PeerRtt]) {
+    pub fn record_rtts(&mut self, now: Duration, from: &str, rtts: &[PeerRtt]) {
         if self.zones.contains_key(from) {
-            self.measuring.record(now, from, ways);
+            self.rtt_estimator.record(now, from, rtts);
         }
     }
 
@@ -95,31 +100,31 @@
         }
         let without = in_touch.iter().filter(|(_, knows)| !knows).count();
         // A silent balancer stays a member of its zone for a while: silence of a complete zone is evidence.
-        self.zones.retain(|_, (.., at)| now.saturating_sub(*at) < REMEMBERED);
+        self.zones.retain(|_, (.., reported_at)| now.saturating_sub(*reported_at) < SILENT_MEMBER_RETENTION);
         let members: Vec<(String, Zone)> =
             self.zones.iter().map(|(name, (zone, ..))| (name.clone(), *zone)).collect();
         self.places.set_members(&members, without);
         let places = self.places.tick(now);
         let sites = self.sites(now);
-        let behind = self.behind(behind);
-        let addresses = self.addresses.tick(now, &sites, &behind);
-        let trips = self.trips(now);
-        if places.is_none() && addresses.is_none() && trips.is_none() {
+        let lagging = self.lagging_regions(behind);
+        let addresses = self.addresses.tick(now, &sites, &lagging);
+        let rtts = self.rtt_table_change(now);
+        if places.is_none() && addresses.is_none() && rtts.is_none() {
             return None;
         }
-        let stands = self.stands.clone();
+        let committed = self.committed.clone();
         Some(self.propose(AgreedState {
-            places: places.unwrap_or(stands.places),
-            addresses: addresses.unwrap_or(stands.addresses),
-            rtts: trips.unwrap_or(stands.rtts),
+            places: places.unwrap_or(committed.places),
+            addresses: addresses.unwrap_or(committed.addresses),
+            rtts: rtts.unwrap_or(committed.rtts),
         }))
     }
 
     /// Returns the table of round-trip times if it differs from the table in the log.
-    fn trips(&mut self, now: Duration) -> Option<RttTable> {
+    fn rtt_table_change(&mut self, now: Duration) -> Option<RttTable> {
         let by_digest = self.zones.iter().map(|(name, (zone, ..))| (fnv1a(name.as_bytes()), *zone)).collect();
-        self.measuring.tick(now, |name| self.zones.get(name).map(|(zone, ..)| *zone), &by_digest);
-        Some(self.measuring.table(&self.config.topology)).filter(|table| *table != self.stands.rtts)
+        self.rtt_estimator.tick(now, |name| self.zones.get(name).map(|(zone, ..)| *zone), &by_digest);
+        Some(self.rtt_estimator.table(&self.config.topology)).filter(|table| *table != self.committed.rtts)
     }
 
     fn propose(&mut self, agreed: AgreedState) -> Vec<u8> {
@@ -133,40 +138,41 @@
         &mut self,
         now: Duration,
         by: &str,
-        wish: &OperatorRequest,
+        request: &OperatorRequest,
     ) -> Result<Vec<u8>, Reply> {
         if self.proposed.is_some() {
             return Err(Reply::Unavailable("another change is on its way; ask again".into()));
         }
-        let (mut agreed, by) = (self.stands.clone(), by.to_owned());
-        match wish {
+        let (mut agreed, by) = (self.committed.clone(), by.to_owned());
+        match request {
             OperatorRequest::Evacuate { place, for_ms, anyway } => {
                 let zones = self.zones_of(place)?;
                 let order = failover::Order::Evacuate { zones, by, for_ms: *for_ms, anyway: *anyway };
-                agreed.places = self.places.order(now, order).map_err(not_now)?;
+                agreed.places = self.places.order(now, order).map_err(order_error_reply)?;
             }
             OperatorRequest::Hold => {
-                agreed.places = self.places.order(now, failover::Order::Hold { by }).map_err(not_now)?;
+                agreed.places =
+                    self.places.order(now, failover::Order::Hold { by }).map_err(order_error_reply)?;
             }
             OperatorRequest::Release { place } => {
                 let zones = place.as_ref().map(|place| self.zones_of(place)).transpose()?.unwrap_or_default();
                 let order = failover::Order::Release { by, zones };
-                agreed.places = self.places.order(now, order).map_err(not_now)?;
+                agreed.places = self.places.order(now, order).map_err(order_error_reply)?;
             }
             OperatorRequest::Move { name, site, anyway } => {
                 let (name, site) = (name.clone(), site.clone());
                 let order = addresses::Order::Move { name, site, by, anyway: *anyway };
-                agreed.addresses = self.addresses.order(&order).map_err(refused)?;
+                agreed.addresses = self.addresses.order(&order).map_err(rejection)?;
             }
             OperatorRequest::Withdraw { name, site, anyway } => {
                 let (name, site) = (name.clone(), site.clone());
                 let order = addresses::Order::Withdraw { name, site, by, anyway: *anyway };
-                agreed.addresses = self.addresses.order(&order).map_err(refused)?;
+                agreed.addresses = self.addresses.order(&order).map_err(rejection)?;
             }
             OperatorRequest::Restore { name, site } => {
                 let (name, site) = (name.clone(), site.clone());
                 let order = addresses::Order::Restore { name, site, by };
-                agreed.addresses = self.addresses.order(&order).map_err(refused)?;
+                agreed.addresses = self.addresses.order(&order).map_err(rejection)?;
             }
         }
         Ok(self.propose(agreed))
@@ -182,28 +188,29 @@
     }
 
     /// Handles the outcome of the proposal: true if it is in the log.
-    pub fn finish_proposal(&mut self, stands: bool) -> Option<&AgreedState> {
+    pub fn finish_proposal(&mut self, committed: bool) -> Option<&AgreedState> {
         let proposed = self.proposed.take()?;
-        if !stands {
+        if !committed {
             return None;
         }
         self.places.accepted(&proposed.places);
         self.places.set_rtt_table(&proposed.rtts);
         self.addresses.accepted(&proposed.addresses);
-        self.stands = proposed;
-        Some(&self.stands)
+        self.committed = proposed;
+        Some(&self.committed)
     }
 
     /// Computes the health of each site: the part of its demand that it can serve by the plan, and its
     /// reachable balancers.
     fn sites(&self, now: Duration) -> Vec<SiteHealth> {
         let topology = &self.config.topology;
-        let fresh = |at: Duration| now.saturating_sub(at) < FRESH;
+        let is_recent = |reported_at: Duration| now.saturating_sub(reported_at) < MAX_REPORT_AGE;
         let health = |region: Region| {
-            let of_it: Vec<_> =
+            let members: Vec<_> =
                 self.zones.values().filter(|(zone, ..)| topology.region_of(*zone) == region).collect();
-            let in_touch = of_it.iter().filter(|(.., at)| fresh(*at)).count();
-            let ready = of_it.iter().filter(|(_, ready, at)| *ready && fresh(*at)).count();
+            let in_touch = members.iter().filter(|(.., reported_at)| is_recent(*reported_at)).count();
+            let ready =
+                members.iter().filter(|(_, ready, reported_at)| *ready && is_recent(*reported_at)).count();
             let (served, near) = self.places.served(region);
             SiteHealth { region, served, near, ready, cut_off: in_touch == 0 }
         };
@@ -212,15 +219,16 @@
 
     /// Returns, by region, the time for which a balancer may still act on the previous state. A balancer of
     /// unknown zone counts in all regions.
-    fn behind(&self, behind: &[(String, Duration)]) -> BTreeMap<Region, Duration> {
+    fn lagging_regions(&self, behind: &[(String, Duration)]) -> BTreeMap<Region, Duration> {
         let topology = &self.config.topology;
         let mut regions: BTreeMap<Region, Duration> = BTreeMap::new();
-        for (name, left) in behind {
-            let known = self.zones.get(name).map(|(zone, ..)| topology.region_of(*zone));
-            let of: Vec<Region> = known.map_or_else(|| topology.regions().collect(), |region| vec![region]);
-            for region in of {
-                let most = regions.entry(region).or_default();
-                *most = (*most).max(*left);
+        for (name, remaining) in behind {
+            let region = self.zones.get(name).map(|(zone, ..)| topology.region_of(*zone));
+            let affected: Vec<Region> =
+                region.map_or_else(|| topology.regions().collect(), |region| vec![region]);
+            for region in affected {
+                let longest = regions.entry(region).or_default();
+                *longest = (*longest).max(*remaining);
             }
         }
         regions
@@ -228,13 +236,13 @@
 }
 
 /// Maps a missing report to a retryable reply, because reports may arrive soon.
-fn not_now(why: failover::OrderError) -> Reply {
-    match why {
-        failover::OrderError::NoReportsYet => Reply::Unavailable(why.to_string()),
-        _ => refused(why),
+fn order_error_reply(reason: failover::OrderError) -> Reply {
+    match reason {
+        failover::OrderError::NoReportsYet => Reply::Unavailable(reason.to_string()),
+        _ => rejection(reason),
     }
 }
 
-fn refused(why: impl std::fmt::Display) -> Reply {
-    Reply::Refused(why.to_string())
+fn rejection(reason: impl std::fmt::Display) -> Reply {
+    Reply::Refused(reason.to_string())
 }
--- a/crates/failover-agent/src/messages.rs
+++ b/crates/failover-agent/src/messages.rs
@@ -30,8 +30,8 @@
         let ((places, addresses), rest) = postcard::take_from_bytes(bytes).ok()?;
         let rtts = if rest.is_empty() { RttTable::default() } else { postcard::from_bytes(rest).ok()? };
         let agreed = Self { places, addresses, rtts };
-        let sound = agreed.places.is_sound() && agreed.addresses.is_sound() && agreed.rtts.is_sound();
-        sound.then_some(agreed)
+        let is_sound = agreed.places.is_sound() && agreed.addresses.is_sound() && agreed.rtts.is_sound();
+        is_sound.then_some(agreed)
     }
 }
 
--- a/crates/failover-agent/src/observations.rs
+++ b/crates/failover-agent/src/observations.rs
@@ -7,20 +7,20 @@
 
 impl Runner {
     /// Records a counter snapshot and updates the probe targets.
-    pub(crate) fn saw(&mut self, seen: CounterSnapshot) {
-        if let Some(config) = self.config().filter(|config| config.digest == seen.digest)
-            && self.aims.as_ref() != Some(&seen.upstreams)
+    pub(crate) fn record_snapshot(&mut self, snapshot: CounterSnapshot) {
+        if let Some(config) = self.config().filter(|config| config.digest == snapshot.digest)
+            && self.probed_endpoints.as_ref() != Some(&snapshot.upstreams)
         {
-            self.prober.aim(config.own_zone, &seen.upstreams);
-            self.aims = Some(Arc::clone(&seen.upstreams));
+            self.prober.set_targets(config.own_zone, &snapshot.upstreams);
+            self.probed_endpoints = Some(Arc::clone(&snapshot.upstreams));
         }
-        self.window.push(seen);
+        self.window.push(snapshot);
     }
 
     /// Returns the observations by zone and the demand by rule.
-    pub(crate) fn sights(&self) -> (Vec<ZoneObservation>, Vec<Demand>) {
-        let (mut sights, demand) = self.window.rates();
-        self.prober.add(&mut sights);
-        (sights, demand)
+    pub(crate) fn observations(&self) -> (Vec<ZoneObservation>, Vec<Demand>) {
+        let (mut observations, demand) = self.window.rates();
+        self.prober.merge_into(&mut observations);
+        (observations, demand)
     }
 }
--- a/crates/failover-agent/src/rates.rs
+++ b/crates/failover-agent/src/rates.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Maximum number of stored snapshots; more snapshots do not improve a rate.
-const KEPT: usize = 16;
+const MAX_SNAPSHOTS: usize = 16;
 
 /// Counters and gauges of a zone at one moment, supplied by the serving thread.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -69,33 +69,34 @@
 /// Snapshots of the last second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SnapshotWindow {
-    kept: VecDeque<CounterSnapshot>,
+    snapshots: VecDeque<CounterSnapshot>,
 }
 
 impl SnapshotWindow {
     /// Adds a snapshot. Clears older snapshots if the topology, the rules or the clock have changed.
-    pub fn push(&mut self, seen: CounterSnapshot) {
-        if self.kept.back().is_some_and(|last| last.digest != seen.digest || last.at >= seen.at) {
-            self.kept.clear();
+    pub fn push(&mut self, snapshot: CounterSnapshot) {
+        if self.snapshots.back().is_some_and(|last| last.digest != snapshot.digest || last.at >= snapshot.at)
+        {
+            self.snapshots.clear();
         }
-        self.kept.push_back(seen);
-        let newest = self.kept.back().map_or(Duration::ZERO, |last| last.at);
+        self.snapshots.push_back(snapshot);
+        let newest_at = self.snapshots.back().map_or(Duration::ZERO, |last| last.at);
         // Retains one snapshot older than the window, so that rates cover the complete window.
-        while self.kept.len() > KEPT
-            || self.kept.get(1).is_some_and(|second| second.at + RATE_WINDOW <= newest)
+        while self.snapshots.len() > MAX_SNAPSHOTS
+            || self.snapshots.get(1).is_some_and(|second| second.at + RATE_WINDOW <= newest_at)
         {
-            self.kept.pop_front();
+            self.snapshots.pop_front();
         }
     }
 
     /// Returns the newest snapshot.
     pub fn last(&self) -> Option<&CounterSnapshot> {
-        self.kept.back()
+        self.snapshots.back()
     }
 
     /// Returns the observations and demand for a report; both are empty until there are two snapshots.
     pub fn rates(&self) -> (Vec<ZoneObservation>, Vec<Demand>) {
-        let (Some(first), Some(last)) = (self.kept.front(), self.kept.back()) else {
+        let (Some(first), Some(last)) = (self.snapshots.front(), self.snapshots.back()) else {
             return Default::default();
         };
         let span = last.at.saturating_sub(first.at).as_secs_f64();
@@ -104,31 +105,35 @@
         }
         // A decreased counter means that the counting side restarted; the rate is then 0.
         let rate = |now: u64, before: u64| (now.saturating_sub(before) as f64 / span) as f32;
-        let sight = |z: &ZoneCounters| {
-            let before = first.zones.iter().find(|other| other.zone == z.zone).copied().unwrap_or_default();
+        let observation = |counters: &ZoneCounters| {
+            let before =
+                first.zones.iter().find(|other| other.zone == counters.zone).copied().unwrap_or_default();
             ZoneObservation {
-                zone: z.zone,
-                stated: z.stated,
-                listed: z.listed as f32,
-                usable: z.usable as f32,
-                warming: z.slow_start as f32,
-                sent: rate(z.sent, before.sent),
-                ok: rate(z.ok, before.ok),
-                slow: rate(z.slow, before.slow),
-                failed: rate(z.failed, before.failed),
-                unreached: rate(z.unreached, before.unreached),
-                connect_ms: z.connect_ms as f32,
-                load: z.load as f32,
+                zone: counters.zone,
+                stated: counters.stated,
+                listed: counters.listed as f32,
+                usable: counters.usable as f32,
+                warming: counters.slow_start as f32,
+                sent: rate(counters.sent, before.sent),
+                ok: rate(counters.ok, before.ok),
+                slow: rate(counters.slow, before.slow),
+                failed: rate(counters.failed, before.failed),
+                unreached: rate(counters.unreached, before.unreached),
+                connect_ms: counters.connect_ms as f32,
+                load: counters.load as f32,
                 ..ZoneObservation::default()
             }
         };
-        let demand = |(rule, seen): (usize, &RuleCounters)| {
+        let demand = |(rule, counters): (usize, &RuleCounters)| {
             let before = first.rules.get(rule).copied().unwrap_or_default();
-            let requests = rate(seen.requests, before.requests);
-            let rejected = rate(seen.rejected, before.rejected);
-            (requests > 0.0).then_some(Demand { rule: rule as u16, asked: requests, rejected })
+            let request_rate = rate(counters.requests, before.requests);
+            let rejected = rate(counters.rejected, before.rejected);
+            (request_rate > 0.0).then_some(Demand { rule: rule as u16, asked: request_rate, rejected })
         };
-        (last.zones.iter().map(sight).collect(), last.rules.iter().enumerate().filter_map(demand).collect())
+        (
+            last.zones.iter().map(observation).collect(),
+            last.rules.iter().enumerate().filter_map(demand).collect(),
+        )
     }
 }
 
@@ -136,7 +141,7 @@
 mod tests {
     use super::*;
 
-    fn seen(ms: u64, sent: u64, requests: u64) -> CounterSnapshot {
+    fn snapshot(ms: u64, sent: u64, requests: u64) -> CounterSnapshot {
         CounterSnapshot {
             at: Duration::from_millis(ms),
             zones: vec![ZoneCounters { zone: Zone(1), sent, ok: sent / 2, ..ZoneCounters::default() }],
@@ -146,31 +151,31 @@
     }
 
     #[test]
-    fn rates_are_over_the_last_second() {
+    fn rates_cover_the_last_second() {
         let mut window = SnapshotWindow::default();
-        window.push(seen(0, 0, 0));
+        window.push(snapshot(0, 0, 0));
         assert_eq!(window.rates(), Default::default());
         for n in 1..=20u64 {
             // The rate is 100 per second for two seconds and 50 per second afterwards.
             let sent = if n <= 10 { 20 * n } else { 200 + 10 * (n - 10) };
-            window.push(seen(200 * n, sent, 2 * sent));
+            window.push(snapshot(200 * n, sent, 2 * sent));
         }
-        let (sights, demand) = window.rates();
-        assert_eq!((sights[0].zone, sights[0].sent, sights[0].ok), (Zone(1), 50.0, 25.0));
+        let (observations, demand) = window.rates();
+        assert_eq!((observations[0].zone, observations[0].sent, observations[0].ok), (Zone(1), 50.0, 25.0));
         assert_eq!(demand, [Demand { rule: 1, asked: 100.0, rejected: 0.0 }]);
-        assert!(window.kept.len() <= 7, "what is older is forgotten");
+        assert!(window.snapshots.len() <= 7, "snapshots older than the window are dropped");
     }
 
     #[test]
-    fn other_rules_begin_anew_and_counters_that_fall_do_no_harm() {
+    fn a_changed_digest_or_decreased_counter_yields_no_rate() {
         let mut window = SnapshotWindow::default();
-        window.push(seen(0, 500, 500));
-        window.push(seen(500, 100, 100));
+        window.push(snapshot(0, 500, 500));
+        window.push(snapshot(500, 100, 100));
         assert_eq!(window.rates().0[0].sent, 0.0);
-        window.push(CounterSnapshot { digest: 7, ..seen(600, 100, 100) });
+        window.push(CounterSnapshot { digest: 7, ..snapshot(600, 100, 100) });
         assert_eq!(window.rates(), Default::default());
         // Rates are empty when the clock stands still or goes back.
-        window.push(CounterSnapshot { digest: 7, ..seen(600, 300, 100) });
+        window.push(CounterSnapshot { digest: 7, ..snapshot(600, 300, 100) });
         assert_eq!(window.rates(), Default::default());
     }
 }
--- a/crates/failover-agent/src/runner.rs
+++ b/crates/failover-agent/src/runner.rs
@@ -8,9 +8,9 @@
 use crate::config::Config;
 use crate::leader::LeaderState;
 use crate::messages::{AgreedState, Reply};
-use crate::probe::{Prober, ROUND};
+use crate::probe::{PROBE_INTERVAL, Prober};
 use crate::rates::SnapshotWindow;
-use crate::status_board::{LocalState, StatusBoard, Wished};
+use crate::status_board::{LocalState, QueuedRequest, StatusBoard};
 use bytes::Bytes;
 use maplehook_cluster::Name;
 use maplehook_consensus::{PartProposal, ProposalError, SharedDocumentStatus};
@@ -25,79 +25,79 @@
 use tokio::time::{MissedTickBehavior, interval, sleep_until};
 
 /// Interval between evaluations of the evidence.
-const TICK: Duration = Duration::from_millis(200);
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 /// Number of ticks between two reports.
-const REPORT_EACH: u64 = 2;
+const TICKS_PER_REPORT: u64 = 2;
 /// Number of ticks between two reports of round-trip times, which change slowly.
-const TRIPS_EACH: u64 = 10;
+const TICKS_PER_RTT_REPORT: u64 = 10;
 /// Timeout for a forwarded request and for a proposal.
-pub(crate) const WISH: Duration = Duration::from_millis(3000);
+pub(crate) const LEADER_REPLY_TIMEOUT: Duration = Duration::from_millis(3000);
 
 /// A proposal that is in flight.
-pub(crate) struct OnItsWay {
-    done: oneshot::Receiver<Result<u64, ProposalError>>,
-    until: Instant,
+pub(crate) struct PendingProposal {
+    outcome_receiver: oneshot::Receiver<Result<u64, ProposalError>>,
+    deadline: Instant,
     /// Requester to notify of the outcome.
-    wisher: Option<Wisher>,
+    requester: Option<Requester>,
 }
 
 /// Origin of an operator's request, which receives the outcome.
-pub(crate) enum Wisher {
-    Here(oneshot::Sender<Reply>),
-    There(Name, u64),
+pub(crate) enum Requester {
+    Local(oneshot::Sender<Reply>),
+    Remote(Name, u64),
 }
 
 pub(crate) struct Runner {
     pub(crate) setup: Setup,
     pub(crate) board: StatusBoard,
-    pub(crate) stands: watch::Sender<LocalState>,
-    pub(crate) acted: watch::Sender<Option<Arc<ActiveRouting>>>,
+    pub(crate) local_state: watch::Sender<LocalState>,
+    pub(crate) active_routing: watch::Sender<Option<Arc<ActiveRouting>>>,
     pub(crate) window: SnapshotWindow,
     pub(crate) prober: Prober,
     /// Endpoint list that the prober currently uses.
-    pub(crate) aims: Option<Arc<Vec<(Zone, SocketAddr)>>>,
-    pub(crate) acting: Option<BalancerRouting>,
+    pub(crate) probed_endpoints: Option<Arc<Vec<(Zone, SocketAddr)>>>,
+    pub(crate) routing: Option<BalancerRouting>,
     pub(crate) agreed: Option<Arc<AgreedState>>,
     pub(crate) number: u64,
-    pub(crate) leading: Option<LeaderState>,
+    pub(crate) leader_state: Option<LeaderState>,
     /// Log number that this leader's decisions are based on.
-    pub(crate) rests_on: u64,
+    pub(crate) base_number: u64,
     /// Time at which the current document status was received; remaining times in it count from here.
-    pub(crate) stood_at: Instant,
-    pub(crate) on_its_way: Option<OnItsWay>,
-    pub(crate) passed_on: BTreeMap<u64, (oneshot::Sender<Reply>, Instant)>,
+    pub(crate) status_received_at: Instant,
+    pub(crate) pending_proposal: Option<PendingProposal>,
+    pub(crate) forwarded_requests: BTreeMap<u64, (oneshot::Sender<Reply>, Instant)>,
     pub(crate) reports: u64,
     pub(crate) ticks: u64,
     /// Epoch and plan flag of the last routing record in the history.
-    pub(crate) noted: Option<(u64, bool)>,
+    pub(crate) recorded_routing: Option<(u64, bool)>,
 }
 
 impl Runner {
     pub(crate) fn new(
         setup: Setup,
         board: StatusBoard,
-        stands: watch::Sender<LocalState>,
-        acted: watch::Sender<Option<Arc<ActiveRouting>>>,
+        local_state: watch::Sender<LocalState>,
+        active_routing: watch::Sender<Option<Arc<ActiveRouting>>>,
     ) -> Self {
         Self {
             setup,
             board,
-            stands,
-            acted,
+            local_state,
+            active_routing,
             window: SnapshotWindow::default(),
             prober: Prober::new(),
-            aims: None,
-            acting: None,
+            probed_endpoints: None,
+            routing: None,
             agreed: None,
             number: 0,
-            leading: None,
-            rests_on: 0,
-            stood_at: Instant::now(),
-            on_its_way: None,
-            passed_on: BTreeMap::new(),
+            leader_state: None,
+            base_number: 0,
+            status_received_at: Instant::now(),
+            pending_proposal: None,
+            forwarded_requests: BTreeMap::new(),
             reports: 0,
             ticks: 0,
-            noted: None,
+            recorded_routing: None,
         }
     }
 
@@ -109,287 +109,308 @@
         self.setup.config.borrow().clone()
     }
 
-    pub(crate) fn standing(&self) -> SharedDocumentStatus {
+    pub(crate) fn document_status(&self) -> SharedDocumentStatus {
         self.setup.link.as_ref().map(|link| link.document_status.borrow().clone()).unwrap_or_default()
     }
 
     pub(crate) async fn run(
         mut self,
-        mut wished: mpsc::Receiver<Wished>,
-        mut stopped: oneshot::Receiver<()>,
+        mut requests: mpsc::Receiver<QueuedRequest>,
+        mut stop: oneshot::Receiver<()>,
     ) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut rounds = interval(ROUND);
-        rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut seen = self.setup.counters.clone();
+        let mut probe_rounds = interval(PROBE_INTERVAL);
+        probe_rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut counters = self.setup.counters.clone();
         let mut config = self.setup.config.clone();
-        let mut standing = self.setup.link.as_ref().map(|link| link.document_status.clone());
-        self.configured();
+        let mut document_status = self.setup.link.as_ref().map(|link| link.document_status.clone());
+        self.apply_config();
         loop {
             // A version without zones needs no ticks.
-            let looks = self.acting.is_some() || !self.passed_on.is_empty();
-            let until = self.standing().lease_end.map(tokio::time::Instant::from_std);
-            let runs_out = until.filter(|until| *until > tokio::time::Instant::now());
+            let is_active = self.routing.is_some() || !self.forwarded_requests.is_empty();
+            let lease_end = self.document_status().lease_end.map(tokio::time::Instant::from_std);
+            let lease_end = lease_end.filter(|end| *end > tokio::time::Instant::now());
             tokio::select! {
-                _ = &mut stopped => break,
-                _ = ticks.tick(), if looks => self.tick(),
-                _ = rounds.tick(), if looks => self.prober.round(),
-                Some(probed) = self.prober.told.recv() => self.prober.heard(probed),
-                Ok(()) = seen.changed() => {
-                    let seen = seen.borrow_and_update().clone();
-                    self.saw(seen);
+                _ = &mut stop => break,
+                _ = ticks.tick(), if is_active => self.tick(),
+                _ = probe_rounds.tick(), if is_active => self.prober.start_round(),
+                Some(result) = self.prober.results.recv() => self.prober.record_result(result),
+                Ok(()) = counters.changed() => {
+                    let counters = counters.borrow_and_update().clone();
+                    self.record_snapshot(counters);
                 }
                 Ok(()) = config.changed() => {
                     config.borrow_and_update();
-                    self.configured();
+                    self.apply_config();
                 }
-                Ok(()) = changed(&mut standing) => {
-                    self.stood_at = Instant::now();
-                    self.stood();
+                Ok(()) = status_changed(&mut document_status) => {
+                    self.status_received_at = Instant::now();
+                    self.apply_document_status();
                 }
-                Some((from, body)) = heard(&mut self.setup.link) => self.hear(&from, &body),
-                Some((wish, reply)) = wished.recv() => self.wish(wish, Wisher::Here(reply), None),
-                ended = done(&mut self.on_its_way) => self.ended(ended),
+                Some((from, body)) = next_message(&mut self.setup.link) => self.handle_message(&from, &body),
+                Some((request, reply)) = requests.recv() =>
+                    self.handle_request(request, Requester::Local(reply), None),
+                outcome = proposal_outcome(&mut self.pending_proposal) => self.finish_proposal(outcome),
                 // Reacts to an expired lease immediately instead of at the next tick.
-                () = sleep_until(runs_out.unwrap_or_else(tokio::time::Instant::now)), if runs_out.is_some() => {
-                    self.act();
+                () = sleep_until(lease_end.unwrap_or_else(tokio::time::Instant::now)),
+                    if lease_end.is_some() =>
+                {
+                    self.update_routing();
                 }
             }
         }
-        if let Some((epoch, _)) = self.noted {
-            self.board.writer.note(What::Ceases { epoch });
+        if let Some((epoch, _)) = self.recorded_routing {
+            self.board.writer.record(What::Ceases { epoch });
         }
     }
 
     /// Applies the first configuration or a changed one.
-    fn configured(&mut self) {
+    fn apply_config(&mut self) {
         let now = self.now();
         let Some(config) = self.config() else {
-            (self.acting, self.leading) = (None, None);
-            self.acted.send_replace(None);
+            (self.routing, self.leader_state) = (None, None);
+            self.active_routing.send_replace(None);
             return;
         };
-        self.prober.forget();
-        self.aims = None;
-        match &mut self.acting {
-            Some(acting) => {
-                acting.reconfigure(config.topology.clone(), config.rules.clone(), config.own_zone)
+        self.prober.clear();
+        self.probed_endpoints = None;
+        match &mut self.routing {
+            Some(routing) => {
+                routing.reconfigure(config.topology.clone(), config.rules.clone(), config.own_zone)
             }
             None => {
                 let (topology, rules) = (config.topology.clone(), config.rules.clone());
-                let mut acting = BalancerRouting::new(topology, rules, config.own_zone, now);
-                acting.set_balancer_count(self.setup.balancer_count);
+                let mut routing = BalancerRouting::new(topology, rules, config.own_zone, now);
+                routing.set_balancer_count(self.setup.balancer_count);
                 if let Some(agreed) = &self.agreed {
-                    acting.set_rtt_table(&agreed.rtts);
-                    acting.set_document(&agreed.places);
+                    routing.set_rtt_table(&agreed.rtts);
+                    routing.set_document(&agreed.places);
                 }
-                self.acting = Some(acting);
+                self.routing = Some(routing);
             }
         }
-        if let Some(leading) = &mut self.leading {
-            leading.reconfigure((*config).clone(), now);
+        if let Some(leader_state) = &mut self.leader_state {
+            leader_state.reconfigure((*config).clone(), now);
         }
-        self.act();
+        self.update_routing();
     }
 
     /// Handles a change of the agreed state, the leader or the lease.
-    fn stood(&mut self) {
-        let standing = self.standing();
-        if let Some(common) = standing.received.as_ref().filter(|common| common.number != self.number) {
-            match AgreedState::decode(&common.body) {
+    fn apply_document_status(&mut self) {
+        let document_status = self.document_status();
+        if let Some(shared_document) =
+            document_status.received.as_ref().filter(|shared_document| shared_document.number != self.number)
+        {
+            match AgreedState::decode(&shared_document.body) {
                 Some(agreed) => {
-                    self.note_agreed(&agreed);
-                    if let Some(acting) = &mut self.acting {
-                        acting.set_rtt_table(&agreed.rtts);
-                        acting.set_document(&agreed.places);
+                    self.record_agreed_epoch(&agreed);
+                    if let Some(routing) = &mut self.routing {
+                        routing.set_rtt_table(&agreed.rtts);
+                        routing.set_document(&agreed.places);
                     }
-                    (self.agreed, self.number) = (Some(Arc::new(agreed)), common.number);
-                    self.stands.send_modify(|stands| {
-                        stands.agreed = self.agreed.clone().map(|agreed| (agreed, self.stood_at));
-                        stands.number = self.number;
+                    (self.agreed, self.number) = (Some(Arc::new(agreed)), shared_document.number);
+                    self.local_state.send_modify(|local_state| {
+                        local_state.agreed =
+                            self.agreed.clone().map(|agreed| (agreed, self.status_received_at));
+                        local_state.number = self.number;
                     });
                 }
                 None => {
-                    tracing::error!(number = common.number, "what is agreed on of places can't be read here");
+                    tracing::error!(
+                        number = shared_document.number,
+                        "cannot decode the agreed failover state in the shared document"
+                    );
                 }
             }
         }
-        self.lead(&standing);
-        self.act();
+        self.update_leadership(&document_status);
+        self.update_routing();
         if let Some(link) = &self.setup.link {
             let number = self.number;
-            link.applied_number.send_if_modified(|acts| std::mem::replace(acts, number) != number);
+            link.applied_number.send_if_modified(|applied| std::mem::replace(applied, number) != number);
         }
     }
 
     /// Starts or stops acting as leader.
-    fn lead(&mut self, standing: &SharedDocumentStatus) {
-        let Some(config) = self.config().filter(|_| standing.is_leader) else {
-            if self.leading.take().is_some() {
-                tracing::info!("leads places no more");
-                self.give_up("the leader has lost its place");
+    fn update_leadership(&mut self, document_status: &SharedDocumentStatus) {
+        let Some(config) = self.config().filter(|_| document_status.is_leader) else {
+            if self.leader_state.take().is_some() {
+                tracing::info!("no longer leads failover decisions");
+                self.abandon_proposal("the leader has lost its place");
             }
             return;
         };
-        let number = standing.committed.as_ref().map_or(0, |agreed| agreed.number);
-        if self.on_its_way.is_none() && number > self.rests_on {
+        let number = document_status.committed.as_ref().map_or(0, |document| document.number);
+        if self.pending_proposal.is_none() && number > self.base_number {
             // The log contains an abandoned proposal or another leader's proposal, so the state is rebuilt.
-            self.leading = None;
+            self.leader_state = None;
         }
-        if self.leading.is_none() {
-            self.rests_on = number;
-            let stands = standing.committed.as_ref().map(|agreed| AgreedState::decode(&agreed.body));
-            let stands = match stands {
+        if self.leader_state.is_none() {
+            self.base_number = number;
+            let committed =
+                document_status.committed.as_ref().map(|document| AgreedState::decode(&document.body));
+            let committed = match committed {
                 Some(None) => {
                     tracing::error!(
-                        "what stands in the log of places can't be read here: it is written anew"
+                        "cannot decode the committed failover state: starting from an empty state"
                     );
                     AgreedState::default()
                 }
                 Some(Some(agreed)) => {
-                    self.note_agreed(&agreed);
+                    self.record_agreed_epoch(&agreed);
                     agreed
                 }
                 None => AgreedState::default(),
             };
-            tracing::info!("leads places");
-            let mut leading = LeaderState::new((*config).clone(), stands, self.now());
-            leading.set_max_lease(standing.max_lease);
-            self.leading = Some(leading);
+            tracing::info!("leads failover decisions");
+            let mut leader_state = LeaderState::new((*config).clone(), committed, self.now());
+            leader_state.set_max_lease(document_status.max_lease);
+            self.leader_state = Some(leader_state);
         }
     }
 
-    fn note_agreed(&self, agreed: &AgreedState) {
+    fn record_agreed_epoch(&self, agreed: &AgreedState) {
         let plan = &agreed.places.plan;
-        if plan.epoch > 0 && self.board.writer.is_on() {
+        if plan.epoch > 0 && self.board.writer.is_enabled() {
             let digest = maplehook_versions::digest(&format!("{:?}", plan.rows));
-            self.board.writer.note(What::Agreed { epoch: plan.epoch, digest: digest[..16].to_owned() });
+            self.board.writer.record(What::Agreed { epoch: plan.epoch, digest: digest[..16].to_owned() });
         }
     }
 
     fn tick(&mut self) {
         self.ticks += 1;
-        if self.ticks.is_multiple_of(REPORT_EACH) {
+        if self.ticks.is_multiple_of(TICKS_PER_REPORT) {
             self.report();
         }
-        if self.ticks.is_multiple_of(TRIPS_EACH) {
-            self.tell_trips();
+        if self.ticks.is_multiple_of(TICKS_PER_RTT_REPORT) {
+            self.report_rtts();
         }
-        self.served();
-        self.act();
+        self.update_served_share();
+        self.update_routing();
         let now = Instant::now();
-        let over: Vec<u64> =
-            self.passed_on.iter().filter(|(_, (_, until))| now > *until).map(|(ticket, _)| *ticket).collect();
-        for ticket in over {
-            if let Some((reply, _)) = self.passed_on.remove(&ticket) {
+        let expired: Vec<u64> = self
+            .forwarded_requests
+            .iter()
+            .filter(|(_, (_, deadline))| now > *deadline)
+            .map(|(ticket, _)| *ticket)
+            .collect();
+        for ticket in expired {
+            if let Some((reply, _)) = self.forwarded_requests.remove(&ticket) {
                 let _ = reply.send(Reply::Unavailable("the leader does not answer".into()));
             }
         }
-        if self.on_its_way.as_ref().is_some_and(|on| now > on.until) {
-            self.ended(Err("no answer".into()));
+        if self.pending_proposal.as_ref().is_some_and(|pending| now > pending.deadline) {
+            self.finish_proposal(Err("no answer".into()));
         }
         self.decide();
     }
 
     fn decide(&mut self) {
-        let (now, standing) = (self.now(), self.standing());
-        let Some(leading) = &mut self.leading else { return };
+        let (now, document_status) = (self.now(), self.document_status());
+        let Some(leader_state) = &mut self.leader_state else { return };
         // The lagging members refer to the committed number and say nothing about an earlier one.
-        let number = standing.committed.as_ref().map_or(0, |agreed| agreed.number);
-        if self.on_its_way.is_some() || number != self.rests_on {
+        let number = document_status.committed.as_ref().map_or(0, |document| document.number);
+        if self.pending_proposal.is_some() || number != self.base_number {
             return;
         }
-        let aged = self.stood_at.elapsed();
-        let behind: Vec<(String, Duration)> = standing
+        let status_age = self.status_received_at.elapsed();
+        let behind: Vec<(String, Duration)> = document_status
             .lagging_members
             .iter()
-            .map(|behind| (behind.name.to_string(), behind.max_remaining.saturating_sub(aged)))
-            .filter(|(_, left)| !left.is_zero())
+            .map(|member| (member.name.to_string(), member.max_remaining.saturating_sub(status_age)))
+            .filter(|(_, remaining)| !remaining.is_zero())
+            .collect();
+        let in_touch: Vec<(String, bool)> = document_status
+            .members
+            .iter()
+            .map(|(name, applied)| (name.to_string(), applied.is_some()))
             .collect();
-        let in_touch: Vec<(String, bool)> =
-            standing.members.iter().map(|(name, acts)| (name.to_string(), acts.is_some())).collect();
-        if let Some(body) = leading.tick(now, &behind, &in_touch) {
-            self.put(body, None);
+        if let Some(body) = leader_state.tick(now, &behind, &in_touch) {
+            self.submit_proposal(body, None);
         }
     }
 
-    pub(crate) fn put(&mut self, body: Vec<u8>, wisher: Option<Wisher>) {
-        let expect = self.rests_on;
-        let (done, ended) = oneshot::channel();
-        let sent = match &self.setup.link {
+    pub(crate) fn submit_proposal(&mut self, body: Vec<u8>, requester: Option<Requester>) {
+        let expected = self.base_number;
+        let (outcome_sender, outcome) = oneshot::channel();
+        let is_queued = match &self.setup.link {
             Some(link) => link
                 .channels
                 .proposals
-                .try_send(PartProposal { expected: expect, body, outcome: done })
+                .try_send(PartProposal { expected, body, outcome: outcome_sender })
                 .is_ok(),
             None => false,
         };
-        self.on_its_way = Some(OnItsWay { done: ended, until: Instant::now() + WISH, wisher });
-        if !sent {
-            self.ended(Err("the agreement's thread is busy".into()));
+        self.pending_proposal = Some(PendingProposal {
+            outcome_receiver: outcome,
+            deadline: Instant::now() + LEADER_REPLY_TIMEOUT,
+            requester,
+        });
+        if !is_queued {
+            self.finish_proposal(Err("the agreement's thread is busy".into()));
         }
     }
 
-    fn ended(&mut self, ended: Result<u64, String>) {
-        let wisher = self.on_its_way.take().and_then(|on| on.wisher);
-        let reply = match &ended {
+    fn finish_proposal(&mut self, outcome: Result<u64, String>) {
+        let requester = self.pending_proposal.take().and_then(|pending| pending.requester);
+        let reply = match &outcome {
             Ok(number) => Reply::Done(*number),
             Err(why) => Reply::Unavailable(why.clone()),
         };
-        if let Err(why) = &ended {
-            tracing::info!("a change of places is not agreed on: {why}");
+        if let Err(why) = &outcome {
+            tracing::info!("failover proposal was not agreed on: {why}");
         }
-        match &mut self.leading {
-            Some(leading) if ended.is_ok() => {
-                self.rests_on = ended.unwrap_or(self.rests_on);
-                let agreed = leading.finish_proposal(true).cloned();
+        match &mut self.leader_state {
+            Some(leader_state) if outcome.is_ok() => {
+                self.base_number = outcome.unwrap_or(self.base_number);
+                let agreed = leader_state.finish_proposal(true).cloned();
                 if let Some(agreed) = agreed {
-                    self.note_agreed(&agreed);
+                    self.record_agreed_epoch(&agreed);
                 }
             }
             // The outcome is unknown, so the state is read from the log again.
             _ => {
-                self.leading = None;
-                let standing = self.standing();
-                self.lead(&standing);
+                self.leader_state = None;
+                let document_status = self.document_status();
+                self.update_leadership(&document_status);
             }
         }
-        if let Some(wisher) = wisher {
-            self.end(wisher, reply);
+        if let Some(requester) = requester {
+            self.reply_to(requester, reply);
         }
     }
 
-    fn give_up(&mut self, why: &str) {
-        if let Some(wisher) = self.on_its_way.take().and_then(|on| on.wisher) {
-            self.end(wisher, Reply::Unavailable(why.into()));
+    fn abandon_proposal(&mut self, why: &str) {
+        if let Some(requester) = self.pending_proposal.take().and_then(|pending| pending.requester) {
+            self.reply_to(requester, Reply::Unavailable(why.into()));
         }
     }
 }
 
-async fn changed(
-    standing: &mut Option<watch::Receiver<SharedDocumentStatus>>,
+async fn status_changed(
+    document_status: &mut Option<watch::Receiver<SharedDocumentStatus>>,
 ) -> Result<(), watch::error::RecvError> {
-    match standing {
-        Some(standing) => {
-            standing.changed().await?;
-            standing.borrow_and_update();
+    match document_status {
+        Some(document_status) => {
+            document_status.changed().await?;
+            document_status.borrow_and_update();
             Ok(())
         }
         None => std::future::pending().await,
     }
 }
 
-async fn heard(link: &mut Option<Link>) -> Option<(Name, Bytes)> {
+async fn next_message(link: &mut Option<Link>) -> Option<(Name, Bytes)> {
     match link {
         Some(link) => link.channels.incoming.recv().await,
         None => std::future::pending().await,
     }
 }
 
-async fn done(on_its_way: &mut Option<OnItsWay>) -> Result<u64, String> {
-    match on_its_way {
-        Some(on) => match (&mut on.done).await {
+async fn proposal_outcome(pending_proposal: &mut Option<PendingProposal>) -> Result<u64, String> {
+    match pending_proposal {
+        Some(pending) => match (&mut pending.outcome_receiver).await {
             Ok(outcome) => outcome.map_err(|error| error.to_string()),
             Err(_) => Err("this voter leads no more".into()),
         },
--- a/crates/failover-agent/src/status.rs
+++ b/crates/failover-agent/src/status.rs
@@ -116,11 +116,11 @@
 }
 
 /// Returns the known round-trip times; configured values take precedence over measured ones.
-pub(crate) fn trips(topology: &Topology, measured: Option<&RttTable>) -> Vec<RttStatus> {
+pub(crate) fn rtt_statuses(topology: &Topology, measured: Option<&RttTable>) -> Vec<RttStatus> {
     let mut known = topology.clone();
     known.set_measured(measured.into_iter().flat_map(|measured| measured.resolve(topology)));
     let pairs = topology.zones().flat_map(|a| topology.zones().filter(move |b| a < *b).map(move |b| (a, b)));
-    let trip = |(a, b)| {
+    let rtt_status = |(a, b)| {
         Some(RttStatus {
             a: topology.zone_name(a).to_owned(),
             b: topology.zone_name(b).to_owned(),
@@ -128,7 +128,7 @@
             stated: known.stated(a, b).is_some(),
         })
     };
-    pairs.filter_map(trip).collect()
+    pairs.filter_map(rtt_status).collect()
 }
 
 impl FailoverStatus {
@@ -138,18 +138,18 @@
         let document = &agreed.places;
         let topology = &config.topology;
         let zone = |n: usize| document.zones.get(n).cloned().unwrap_or_default();
-        let places = document.zone_statuses.iter().enumerate().map(|(n, place)| {
+        let zones = document.zone_statuses.iter().enumerate().map(|(n, zone_status)| {
             let name = zone(n);
             let region = topology.zone(&name).map(|zone| topology.region_name(topology.region_of(zone)));
             ZoneStatus {
                 region: region.unwrap_or_default().to_owned(),
                 zone: name,
-                state: place.state.as_str().into(),
-                why: place.reason.clone(),
-                usable: place.usable,
-                load: place.load,
-                since_ms: place.since_ms.saturating_add(age),
-                observers: place.observers,
+                state: zone_status.state.as_str().into(),
+                why: zone_status.reason.clone(),
+                usable: zone_status.usable,
+                load: zone_status.load,
+                since_ms: zone_status.since_ms.saturating_add(age),
+                observers: zone_status.observers,
             }
         });
         let rows = document.plan.rows.iter().map(|row| RowStatus {
@@ -165,15 +165,19 @@
                 .collect(),
         });
         let evacuated = document.evacuations.iter().map(|evacuation| {
-            let zones = evacuation.zones.iter().map(|of| zone(usize::from(of.0))).collect();
-            (zones, evacuation.by.clone(), evacuation.remaining_ms.map(|left| left.saturating_sub(age)))
+            let zones = evacuation.zones.iter().map(|id| zone(usize::from(id.0))).collect();
+            (
+                zones,
+                evacuation.by.clone(),
+                evacuation.remaining_ms.map(|remaining| remaining.saturating_sub(age)),
+            )
         });
         Self {
             epoch: document.plan.epoch,
-            zones: places.collect(),
+            zones: zones.collect(),
             plan: rows.collect(),
             evacuated: evacuated.collect(),
-            held_by: document.hold.as_ref().map(|held| held.by.clone()),
+            held_by: document.hold.as_ref().map(|hold| hold.by.clone()),
             shared_cause: document.shared_cause.clone(),
             ..Self::default()
         }
--- a/crates/failover-agent/src/status_board.rs
+++ b/crates/failover-agent/src/status_board.rs
@@ -1,9 +1,9 @@
 //! Answers operators and routers from the state at the time of the request.
 
 use crate::config::Config;
-use crate::history::{Writer, unix_us};
+use crate::history::{HistoryWriter, unix_us};
 use crate::messages::{AgreedState, OperatorRequest, Reply};
-use crate::status::{FailoverStatus, RowStatus, trips};
+use crate::status::{FailoverStatus, RowStatus, rtt_statuses};
 use maplehook_address_announcement::{Announce, Answer, LocalBalancer};
 use maplehook_consensus::SharedDocumentStatus;
 use maplehook_history_checker::What;
@@ -16,9 +16,9 @@
 use tokio::time::timeout;
 
 /// Timeout for an operator's request to this balancer.
-const WISH: Duration = Duration::from_millis(3500);
+const OPERATOR_REQUEST_TIMEOUT: Duration = Duration::from_millis(3500);
 /// Number of past plans that are stored for operators.
-const REMEMBERED: usize = 64;
+const MAX_PAST_PLANS: usize = 64;
 
 /// A plan that was in force, as operators see it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -101,16 +101,16 @@
     pub good_for_ms: u64,
 }
 
-pub(crate) type Wished = (OperatorRequest, oneshot::Sender<Reply>);
+pub(crate) type QueuedRequest = (OperatorRequest, oneshot::Sender<Reply>);
 
 /// Answers operators and routers; callable from any thread.
 #[derive(Clone)]
 pub struct StatusBoard {
-    pub(crate) stands: watch::Receiver<LocalState>,
-    pub(crate) standing: Option<watch::Receiver<SharedDocumentStatus>>,
-    pub(crate) wishes: mpsc::Sender<Wished>,
-    pub(crate) past: Arc<Mutex<VecDeque<PastPlan>>>,
-    pub(crate) writer: Writer,
+    pub(crate) local_state: watch::Receiver<LocalState>,
+    pub(crate) document_status: Option<watch::Receiver<SharedDocumentStatus>>,
+    pub(crate) requests: mpsc::Sender<QueuedRequest>,
+    pub(crate) past_plans: Arc<Mutex<VecDeque<PastPlan>>>,
+    pub(crate) writer: HistoryWriter,
     pub(crate) epoch: Instant,
     /// True while this balancer accepts clients.
     pub ready: Arc<AtomicBool>,
@@ -119,44 +119,44 @@
 impl StatusBoard {
     /// Returns the status for `GET /control/places`.
     pub fn status(&self) -> FailoverStatus {
-        let stands = self.stands.borrow().clone();
-        let standing = self.standing.as_ref().map(|standing| standing.borrow().clone());
-        shown(&stands, standing.as_ref())
+        let local_state = self.local_state.borrow().clone();
+        let document_status = self.document_status.as_ref().map(|status| status.borrow().clone());
+        build_status(&local_state, document_status.as_ref())
     }
 
     /// Returns the plans that this balancer acted on, the newest last.
     pub fn history(&self) -> Vec<PastPlan> {
-        self.past.lock().unwrap_or_else(PoisonError::into_inner).iter().cloned().collect()
+        self.past_plans.lock().unwrap_or_else(PoisonError::into_inner).iter().cloned().collect()
     }
 
     /// Returns the stored plan of an epoch.
     pub fn explain(&self, epoch: u64) -> Option<PastPlan> {
-        self.history().into_iter().rev().find(|past| past.shown.epoch == epoch)
+        self.history().into_iter().rev().find(|past_plan| past_plan.shown.epoch == epoch)
     }
 
-    pub(crate) fn remember(&self, shown: FailoverStatus) {
-        let mut past = self.past.lock().unwrap_or_else(PoisonError::into_inner);
-        past.push_back(PastPlan { at_ms: unix_us() / 1000, shown });
-        while past.len() > REMEMBERED {
-            past.pop_front();
+    pub(crate) fn record_plan(&self, status: FailoverStatus) {
+        let mut past_plans = self.past_plans.lock().unwrap_or_else(PoisonError::into_inner);
+        past_plans.push_back(PastPlan { at_ms: unix_us() / 1000, shown: status });
+        while past_plans.len() > MAX_PAST_PLANS {
+            past_plans.pop_front();
         }
     }
 
     /// Returns the service addresses for `GET /control/addresses`.
     pub fn addresses(&self) -> Vec<AddressStatus> {
-        let stands = self.stands.borrow().clone();
-        let Some(config) = &stands.config else { return Vec::new() };
-        let agreed = stands.agreed.as_ref().map(|(agreed, _)| &agreed.addresses);
-        let shown = |address: &maplehook_address_announcement::Address| {
-            let standing = agreed.and_then(|state| state.addresses.get(&address.name));
-            let site = |region: &maplehook_locality::Region| {
+        let local_state = self.local_state.borrow().clone();
+        let Some(config) = &local_state.config else { return Vec::new() };
+        let agreed = local_state.agreed.as_ref().map(|(agreed, _)| &agreed.addresses);
+        let address_status = |address: &maplehook_address_announcement::Address| {
+            let agreed_address = agreed.and_then(|state| state.addresses.get(&address.name));
+            let site_status = |region: &maplehook_locality::Region| {
                 let site = config.topology.region_name(*region).to_owned();
-                let record = standing.and_then(|standing| standing.sites.get(&site));
+                let record = agreed_address.and_then(|agreed| agreed.sites.get(&site));
                 SiteStatus {
-                    preference: standing.and_then(|standing| standing.announcing.get(&site).copied()),
+                    preference: agreed_address.and_then(|agreed| agreed.announcing.get(&site).copied()),
                     phase: record
                         .map_or("unknown".into(), |record| format!("{:?}", record.phase).to_lowercase()),
-                    withdrawn_by: standing.and_then(|standing| standing.withdrawn.get(&site).cloned()),
+                    withdrawn_by: agreed_address.and_then(|agreed| agreed.withdrawn.get(&site).cloned()),
                     site,
                 }
             };
@@ -164,36 +164,36 @@
                 name: address.name.clone(),
                 address: address.address.clone(),
                 announce: address.announce,
-                epoch: standing.map_or(0, |standing| standing.epoch),
-                sites: address.sites.iter().map(site).collect(),
-                holder: standing.and_then(|standing| standing.holder.clone()),
-                next: standing.and_then(|standing| standing.next.clone()),
-                all_stay: standing.and_then(|standing| standing.all_stay.clone()),
+                epoch: agreed_address.map_or(0, |agreed| agreed.epoch),
+                sites: address.sites.iter().map(site_status).collect(),
+                holder: agreed_address.and_then(|agreed| agreed.holder.clone()),
+                next: agreed_address.and_then(|agreed| agreed.next.clone()),
+                all_stay: agreed_address.and_then(|agreed| agreed.all_stay.clone()),
             }
         };
-        config.addresses.iter().map(shown).collect()
+        config.addresses.iter().map(address_status).collect()
     }
 
     /// Returns the announcement for a router, or the reason for a withdrawal; `None` if the address does not
     /// exist. The clock is read after the request arrives and no answer is cached, so a process that was
     /// suspended withdraws when it resumes.
     pub fn announce(&self, name: &str) -> Option<Result<Announcement, String>> {
-        let stands = self.stands.borrow().clone();
-        let config = stands.config.as_ref()?;
+        let local_state = self.local_state.borrow().clone();
+        let config = local_state.config.as_ref()?;
         let address = config.addresses.iter().find(|address| address.name == name)?;
-        let lease = self.standing.as_ref().and_then(|standing| standing.borrow().lease_end);
+        let lease = self.document_status.as_ref().and_then(|status| status.borrow().lease_end);
         let now = Instant::now();
         let since = |at: Instant| at.saturating_duration_since(self.epoch);
         let site = config.topology.region_name(config.topology.region_of(config.own_zone)).to_owned();
-        let own = LocalBalancer {
+        let local_balancer = LocalBalancer {
             site: site.clone(),
             ready: self.ready.load(Ordering::Acquire),
-            served: stands.served,
+            served: local_state.served,
             lease_until: lease.map(since),
-            state: stands.agreed.as_ref().map(|(agreed, _)| agreed.addresses.clone()),
+            state: local_state.agreed.as_ref().map(|(agreed, _)| agreed.addresses.clone()),
         };
         let at_us = unix_us();
-        let answer = match own.answer(name, since(now)) {
+        let answer = match local_balancer.answer(name, since(now)) {
             Answer::Announces { preference, epoch, good_for } => {
                 let good_for_ms = good_for.as_millis() as u64;
                 Ok(Announcement {
@@ -205,29 +205,29 @@
                     good_for_ms,
                 })
             }
-            Answer::Withdrawn { why } => Err(why),
+            Answer::Withdrawn { why: reason } => Err(reason),
         };
-        if self.writer.is_on() {
+        if self.writer.is_enabled() {
             let address = name.to_owned();
             let what = match &answer {
-                Ok(said) => {
-                    let until_us = at_us + said.good_for_ms * 1000;
-                    What::Announces { address, site, preference: said.preference, until_us }
+                Ok(announced) => {
+                    let until_us = at_us + announced.good_for_ms * 1000;
+                    What::Announces { address, site, preference: announced.preference, until_us }
                 }
-                Err(why) => What::Withdraws { address, site, why: why.clone() },
+                Err(reason) => What::Withdraws { address, site, why: reason.clone() },
             };
-            self.writer.note_at(at_us, what);
+            self.writer.record_at(at_us, what);
         }
         Some(answer)
     }
 
     /// Passes an operator's request to the agent thread and waits for the reply.
-    pub async fn request(&self, wish: OperatorRequest) -> Reply {
-        let (reply, ended) = oneshot::channel();
-        if self.wishes.try_send((wish, reply)).is_err() {
+    pub async fn request(&self, request: OperatorRequest) -> Reply {
+        let (reply_sender, reply) = oneshot::channel();
+        if self.requests.try_send((request, reply_sender)).is_err() {
             return Reply::Unavailable("too many wishes are under way".into());
         }
-        match timeout(WISH, ended).await {
+        match timeout(OPERATOR_REQUEST_TIMEOUT, reply).await {
             Ok(Ok(reply)) => reply,
             _ => Reply::Unavailable(
                 "no answer in time: it may be done, or not; look before you ask again".into(),
@@ -236,30 +236,33 @@
     }
 }
 
-pub(crate) fn shown(stands: &LocalState, standing: Option<&SharedDocumentStatus>) -> FailoverStatus {
-    let Some(config) = &stands.config else { return FailoverStatus::default() };
+pub(crate) fn build_status(
+    local_state: &LocalState,
+    document_status: Option<&SharedDocumentStatus>,
+) -> FailoverStatus {
+    let Some(config) = &local_state.config else { return FailoverStatus::default() };
     let topology = &config.topology;
-    let mut shown = match &stands.agreed {
+    let mut status = match &local_state.agreed {
         Some((agreed, since)) => FailoverStatus::from_agreed(config, agreed, since.elapsed()),
         None => FailoverStatus::default(),
     };
-    shown.number = stands.number;
-    shown.uses_shared_plan = stands.uses_shared_plan;
-    shown.routing_reason = stands.routing_reason.clone();
-    shown.active_rows = stands.active_rows.clone();
-    shown.rtts = trips(topology, stands.agreed.as_ref().map(|(agreed, _)| &agreed.rtts));
-    shown.own_zone = topology.zone_name(config.own_zone).to_owned();
-    shown.own_region = topology.region_name(topology.region_of(config.own_zone)).to_owned();
-    if let Some(standing) = standing {
-        shown.leader = standing.leader.as_ref().map(ToString::to_string);
-        let newest = standing.received.as_ref().map_or(0, |common| common.number);
-        for (name, acts) in &standing.members {
-            match acts {
-                None => shown.members_without_failover.push(name.to_string()),
-                Some(acts) if *acts >= newest => shown.members_on_plan.push(name.to_string()),
+    status.number = local_state.number;
+    status.uses_shared_plan = local_state.uses_shared_plan;
+    status.routing_reason = local_state.routing_reason.clone();
+    status.active_rows = local_state.active_rows.clone();
+    status.rtts = rtt_statuses(topology, local_state.agreed.as_ref().map(|(agreed, _)| &agreed.rtts));
+    status.own_zone = topology.zone_name(config.own_zone).to_owned();
+    status.own_region = topology.region_name(topology.region_of(config.own_zone)).to_owned();
+    if let Some(document_status) = document_status {
+        status.leader = document_status.leader.as_ref().map(ToString::to_string);
+        let newest = document_status.received.as_ref().map_or(0, |shared_document| shared_document.number);
+        for (name, applied) in &document_status.members {
+            match applied {
+                None => status.members_without_failover.push(name.to_string()),
+                Some(applied) if *applied >= newest => status.members_on_plan.push(name.to_string()),
                 Some(_) => {}
             }
         }
     }
-    shown
+    status
 }
--- a/crates/rollout-agent/src/agent.rs
+++ b/crates/rollout-agent/src/agent.rs
@@ -11,9 +11,9 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 /// Maximum number of pending operator requests.
-pub(crate) const WISHES_MOST: usize = 16;
+pub(crate) const MAX_PENDING_REQUESTS: usize = 16;
 /// Capacity of the queue of interval reports from the serving thread.
-const REPORTS: usize = 4;
+const REPORT_QUEUE_CAPACITY: usize = 4;
 
 /// Channels between the agent and the consensus service.
 pub struct Link {
@@ -96,24 +96,23 @@
 impl Agent {
     /// Starts the agent thread.
     pub fn start(setup: Setup) -> Result<Self, String> {
-        let (stands, shows) = watch::channel(LocalState::default());
-        let (staged_to, staged) = watch::channel(None);
-        let (acked, acks) = watch::channel(None);
-        let (counts_to, counts) = watch::channel(None);
-        let (counted, reports) = mpsc::channel(REPORTS);
-        let (wishes, wished) = mpsc::channel(WISHES_MOST);
-        let (stop, stopped) = oneshot::channel();
-        let board = StatusBoard { stands: shows, wishes };
+        let (local_state, local_state_receiver) = watch::channel(LocalState::default());
+        let (staged_sender, staged) = watch::channel(None);
+        let (applied, applied_receiver) = watch::channel(None);
+        let (interval_sender, report_interval) = watch::channel(None);
+        let (report_sender, report_receiver) = mpsc::channel(REPORT_QUEUE_CAPACITY);
+        let (requests, request_receiver) = mpsc::channel(MAX_PENDING_REQUESTS);
+        let (stop, stop_receiver) = oneshot::channel();
+        let board = StatusBoard { local_state: local_state_receiver, requests };
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
-        let runner = Runner::new(setup, stands, staged_to, acks, counts_to);
+        let runner = Runner::new(setup, local_state, staged_sender, applied_receiver, interval_sender);
         let thread = std::thread::Builder::new()
             .name("staging".into())
             .stack_size(1024 * 1024)
-            .spawn(move || runtime.block_on(runner.run(reports, wished, stopped)))
+            .spawn(move || runtime.block_on(runner.run(report_receiver, request_receiver, stop_receiver)))
             .map_err(|e| e.to_string())?;
-        let serving =
-            Some(ServingChannels { staged, applied: acked, report_interval: counts, reports: counted });
+        let serving = Some(ServingChannels { staged, applied, report_interval, reports: report_sender });
         Ok(Self { status_board: board, serving, stop: Some(stop), thread: Some(thread) })
     }
 }
--- a/crates/rollout-agent/src/document.rs
+++ b/crates/rollout-agent/src/document.rs
@@ -9,9 +9,9 @@
 /// Maximum size of a settings text in bytes; with all other fields it fits into the document part.
 pub const MAX_SETTINGS_BYTES: usize = 128 << 10;
 /// Maximum number of past changes in the document.
-const PAST_MOST: usize = 16;
+const MAX_PAST_CHANGES: usize = 16;
 /// Maximum number of evidence lines that the document stores per stage.
-pub(crate) const EVIDENCE_MOST: usize = 8;
+pub(crate) const MAX_EVIDENCE_LINES: usize = 8;
 
 /// Content of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -75,9 +75,10 @@
 impl Change {
     /// Returns true while no other change may begin.
     pub fn is_active(&self) -> bool {
-        let settings = matches!(self.content, Content::Settings { .. });
-        let unsaid = settings && self.rollout.state == RolloutState::Completed && self.version.is_none();
-        unsaid || !self.rollout.state.is_over()
+        let is_settings = matches!(self.content, Content::Settings { .. });
+        let awaits_version =
+            is_settings && self.rollout.state == RolloutState::Completed && self.version.is_none();
+        awaits_version || !self.rollout.state.is_over()
     }
 
     /// Returns true if a stage contains all balancers, so that none are left for comparison.
@@ -136,51 +137,51 @@
     /// Starts a change and moves the previous change to the past changes.
     pub fn begin(&mut self, change: Change) {
         self.number = change.rollout.number;
-        if let Some(last) = self.change.replace(change) {
-            self.past.push(past(&last));
+        if let Some(previous) = self.change.replace(change) {
+            self.past.push(to_past(&previous));
         }
-        let spare = self.past.len().saturating_sub(PAST_MOST);
-        self.past.drain(..spare);
+        let excess = self.past.len().saturating_sub(MAX_PAST_CHANGES);
+        self.past.drain(..excess);
     }
 
     /// Returns all changes including the running one, the newest last.
     pub fn history(&self) -> Vec<PastChange> {
-        self.past.iter().cloned().chain(self.change.as_ref().map(past)).collect()
+        self.past.iter().cloned().chain(self.change.as_ref().map(to_past)).collect()
     }
 }
 
 impl Content {
     /// Returns a readable description of the content.
-    pub fn words(&self) -> String {
+    pub fn describe(&self) -> String {
         match self {
-            Self::Settings { base_version: rests_on, .. } => format!("settings on version {rests_on}"),
+            Self::Settings { base_version, .. } => format!("settings on version {base_version}"),
             Self::Program { path, digest } => format!("program {path} ({})", &digest[..digest.len().min(12)]),
         }
     }
 }
 
 /// Returns a readable description of a rollout state.
-pub fn words(state: &RolloutState) -> String {
+pub fn describe_state(state: &RolloutState) -> String {
     match state {
         RolloutState::Running(stage) => format!("running stage {}", stage + 1),
         RolloutState::Paused { stage, why, .. } => format!("held at stage {}: {why}", stage + 1),
         RolloutState::RollingBack { why } => format!("undoing: {why}"),
         RolloutState::RolledBack { why } => format!("undone: {why}"),
-        RolloutState::RollbackFailed { why, members: who } => {
-            format!("undone ({why}), but not known to be as before: {}", who.join(", "))
+        RolloutState::RollbackFailed { why, members } => {
+            format!("undone ({why}), but not known to be as before: {}", members.join(", "))
         }
         RolloutState::Planned | RolloutState::Completed => state.name().into(),
     }
 }
 
-fn past(change: &Change) -> PastChange {
+fn to_past(change: &Change) -> PastChange {
     let version = change.version.map_or(String::new(), |version| format!(", version {version}"));
     PastChange {
         number: change.rollout.number,
         started_at_ms: change.started_at_ms,
         by: change.by.clone(),
-        content: change.content.words(),
-        outcome: words(&change.rollout.state) + &version,
+        content: change.content.describe(),
+        outcome: describe_state(&change.rollout.state) + &version,
     }
 }
 
@@ -192,7 +193,7 @@
     proptest! {
         /// Malformed log entries must not cause a panic.
         #[test]
-        fn garbage_is_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+        fn malformed_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
             if let Some(document) = Document::decode(&bytes) {
                 let _ = document.history();
             }
--- a/crates/rollout-agent/src/evaluation.rs
+++ b/crates/rollout-agent/src/evaluation.rs
@@ -10,13 +10,13 @@
 use std::time::Duration;
 
 /// Minimum time without reports after which a balancer counts as silent; three intervals if that is longer.
-const FRESH: Duration = Duration::from_millis(2500);
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Maximum length of a class, tenant or zone name in bytes.
-const WORD_MOST: usize = 512;
+const MAX_NAME_BYTES: usize = 512;
 /// Maximum number of queued reports per balancer.
-const WAITING: usize = 8;
+const MAX_QUEUED_REPORTS: usize = 8;
 /// Number of old-side intervals that form the baseline of the last stage.
-const BEFORE: usize = 30;
+const BASELINE_INTERVALS: usize = 30;
 
 /// Latest state and queued reports of a balancer, as the leader received them.
 #[derive(Clone, Debug, Default)]
@@ -26,7 +26,7 @@
     /// Time of the last report.
     pub at: Duration,
     /// Number of the change, side, and step that the balancer last reported.
-    pub stands: Option<(u64, Side, u64)>,
+    pub reported: Option<(u64, Side, u64)>,
     /// Queued interval reports with their times of arrival.
     reports: VecDeque<(Duration, IntervalReport)>,
     /// Crashes from reports that carried no interval report.
@@ -35,28 +35,29 @@
 
 impl MemberState {
     /// Records a balancer's report and drops oversized fields, which this program never sends.
-    pub fn hear(&mut self, now: Duration, mut stands: MemberReport) {
-        let long = |word: &str| word.len() > WORD_MOST;
-        let large = |report: &IntervalReport| {
+    pub fn record(&mut self, now: Duration, mut member_report: MemberReport) {
+        let is_too_long = |name: &str| name.len() > MAX_NAME_BYTES;
+        let is_oversized = |report: &IntervalReport| {
             report.groups.len() > 2 * MAX_GROUPS
-                || long(&report.zone)
-                || report.groups.keys().any(|key| long(&key.class) || long(&key.tenant))
+                || is_too_long(&report.zone)
+                || report.groups.keys().any(|key| is_too_long(&key.class) || is_too_long(&key.tenant))
         };
-        stands.report = stands.report.filter(|report| !large(report));
-        if long(&stands.zone) {
-            stands.zone.clear();
+        member_report.report = member_report.report.filter(|report| !is_oversized(report));
+        if is_too_long(&member_report.zone) {
+            member_report.zone.clear();
         }
-        let side = |stands: &Option<(u64, Side, u64)>| stands.map(|(number, side, _)| (number, side));
-        let turned = side(&self.stands) != side(&stands.side);
-        (self.zone, self.at, self.stands) = (stands.zone, now, stands.side);
-        if turned {
+        let change_and_side =
+            |reported: &Option<(u64, Side, u64)>| reported.map(|(number, side, _)| (number, side));
+        let side_changed = change_and_side(&self.reported) != change_and_side(&member_report.side);
+        (self.zone, self.at, self.reported) = (member_report.zone, now, member_report.side);
+        if side_changed {
             // After a side change, the request counts belong to neither side and are dropped. Crashes still
             // count.
             self.reports.clear();
-            self.crashes = stands.report.map_or(0, |report| report.crashes);
-        } else if let Some(mut report) = stands.report {
+            self.crashes = member_report.report.map_or(0, |report| report.crashes);
+        } else if let Some(mut report) = member_report.report {
             report.crashes = report.crashes.saturating_add(std::mem::take(&mut self.crashes));
-            if self.reports.len() >= WAITING {
+            if self.reports.len() >= MAX_QUEUED_REPORTS {
                 self.reports.pop_front();
             }
             self.reports.push_back((now, report));
@@ -65,10 +66,11 @@
 
     /// Merges the reports that are at least one interval old; by then the reports of all balancers have
     /// arrived.
-    fn due(&mut self, now: Duration, interval: Duration) -> Option<IntervalReport> {
-        let due = self.reports.iter().take_while(|(at, _)| now.saturating_sub(*at) >= interval).count();
-        let due: Vec<IntervalReport> = self.reports.drain(..due).map(|(_, report)| report).collect();
-        IntervalReport::merged(&due)
+    fn take_due(&mut self, now: Duration, interval: Duration) -> Option<IntervalReport> {
+        let due_count = self.reports.iter().take_while(|(at, _)| now.saturating_sub(*at) >= interval).count();
+        let due_reports: Vec<IntervalReport> =
+            self.reports.drain(..due_count).map(|(_, report)| report).collect();
+        IntervalReport::merged(&due_reports)
     }
 }
 
@@ -76,116 +78,125 @@
 #[derive(Clone, Debug)]
 pub struct StageEvaluation {
     /// Number of the change and index of the stage.
-    of: (u64, usize),
+    change_and_stage: (u64, usize),
     judge: Judge,
-    begun: Duration,
+    started_at: Duration,
     /// True once all members of the stage have applied the change.
-    placed: bool,
+    is_stage_changed: bool,
     verdict: Option<Verdict>,
-    before: VecDeque<IntervalReport>,
+    baseline: VecDeque<IntervalReport>,
 }
 
 impl StageEvaluation {
     /// Starts the evaluation of a stage; `usual` holds the fractions of bad requests in earlier intervals.
-    pub fn new(change: &Change, stage: usize, usual: &[f64], now: Duration) -> Self {
-        let of = (change.rollout.number, stage);
-        let judge = judge(change, stage, usual);
-        Self { of, judge, begun: now, placed: false, verdict: None, before: VecDeque::new() }
+    pub fn new(change: &Change, stage: usize, usual_bad_fractions: &[f64], now: Duration) -> Self {
+        let change_and_stage = (change.rollout.number, stage);
+        let judge = new_judge(change, stage, usual_bad_fractions);
+        Self {
+            change_and_stage,
+            judge,
+            started_at: now,
+            is_stage_changed: false,
+            verdict: None,
+            baseline: VecDeque::new(),
+        }
     }
 
     /// Returns true if this evaluation belongs to the given change and stage.
     pub fn is_of(&self, number: u64, stage: usize) -> bool {
-        self.of == (number, stage)
+        self.change_and_stage == (number, stage)
     }
 
     /// Returns the fractions of bad requests on the old side.
-    pub fn usual(&self) -> Vec<f64> {
+    pub fn usual_bad_fractions(&self) -> Vec<f64> {
         self.judge.baseline()
     }
 
     /// Returns the merged recent reports of the old side.
-    pub fn before(&self) -> Option<IntervalReport> {
-        IntervalReport::merged(&self.before)
+    pub fn baseline(&self) -> Option<IntervalReport> {
+        IntervalReport::merged(&self.baseline)
     }
 
     /// Returns the verdict and the evidence, one line each.
-    pub fn lines(&self) -> Vec<String> {
+    pub fn evidence(&self) -> Vec<String> {
         let verdict = self.verdict.as_ref().map(ToString::to_string);
         verdict.into_iter().chain(self.judge.evidence()).collect()
     }
 
     /// Evaluates a finished interval; returns a verdict if the evidence suffices.
-    pub fn interval(
+    pub fn evaluate_interval(
         &mut self,
         now: Duration,
         change: &Change,
-        heard: &mut BTreeMap<String, MemberState>,
+        member_states: &mut BTreeMap<String, MemberState>,
     ) -> Option<StageVerdict> {
         let rollout = &change.rollout;
-        let (plan, stage) = (&rollout.plan, self.of.1);
-        if !self.placed && rollout.is_stage_changed() {
+        let (plan, stage) = (&rollout.plan, self.change_and_stage.1);
+        if !self.is_stage_changed && rollout.is_stage_changed() {
             // The stage begins once all members have changed. Earlier intervals count for the baseline only.
-            (self.judge, self.placed) = (judge(change, stage, &self.judge.baseline()), true);
+            (self.judge, self.is_stage_changed) = (new_judge(change, stage, &self.judge.baseline()), true);
         }
-        let (sides, reports) = self.take(now, change, heard);
+        let (sides, reports) = self.collect_reports(now, change, member_states);
         let old = reports.iter().filter(|(name, _)| sides.get(*name) == Some(&Side::Old));
-        self.before.extend(IntervalReport::merged(old.map(|(_, report)| report)));
-        if self.before.len() > BEFORE {
-            self.before.pop_front();
+        self.baseline.extend(IntervalReport::merged(old.map(|(_, report)| report)));
+        if self.baseline.len() > BASELINE_INTERVALS {
+            self.baseline.pop_front();
         }
         self.judge.record_interval(&sides, &reports);
-        let least = &plan.stages[stage.min(plan.stages.len() - 1)];
+        let stage_plan = &plan.stages[stage.min(plan.stages.len() - 1)];
         let intervals =
-            least.min_duration.as_millis().div_ceil(plan.report_interval.as_millis().max(1)) as u64;
-        let verdict = self.judge.verdict(intervals, least.min_requests);
-        let long = now.saturating_sub(self.begun) >= plan.inconclusive_after;
-        let held = matches!(rollout.state, RolloutState::Paused { by_operator: false, .. });
-        let judged = match &verdict {
+            stage_plan.min_duration.as_millis().div_ceil(plan.report_interval.as_millis().max(1)) as u64;
+        let verdict = self.judge.verdict(intervals, stage_plan.min_requests);
+        let is_timed_out = now.saturating_sub(self.started_at) >= plan.inconclusive_after;
+        let is_held = matches!(rollout.state, RolloutState::Paused { by_operator: false, .. });
+        let stage_verdict = match &verdict {
             Verdict::Regression(why) => Some(StageVerdict::Regression(why.clone())),
             Verdict::SharedFault(why) => Some(StageVerdict::SharedFault(why.clone())),
-            Verdict::Pass | Verdict::Inconclusive(_) if held => Some(StageVerdict::Recovered),
-            Verdict::Pass if self.placed && rollout.is_stage_changed() => Some(StageVerdict::Pass),
-            Verdict::Inconclusive(why) if long => {
+            Verdict::Pass | Verdict::Inconclusive(_) if is_held => Some(StageVerdict::Recovered),
+            Verdict::Pass if self.is_stage_changed && rollout.is_stage_changed() => Some(StageVerdict::Pass),
+            Verdict::Inconclusive(why) if is_timed_out => {
                 Some(StageVerdict::Inconclusive(format!("too little to say: {why}")))
             }
-            Verdict::Pass if long => Some(StageVerdict::Inconclusive(format!(
+            Verdict::Pass if is_timed_out => Some(StageVerdict::Inconclusive(format!(
                 "not changed yet: {}",
                 rollout.pending_members().join(", ")
             ))),
             Verdict::Pass | Verdict::Inconclusive(_) => None,
         };
         self.verdict = Some(verdict);
-        judged
+        stage_verdict
     }
 
     /// Collects sides and due reports by balancer. A balancer that has reported recently but has no due
     /// report is left out. A silent balancer counts on its last known side.
-    fn take(
+    fn collect_reports(
         &self,
         now: Duration,
         change: &Change,
-        heard: &mut BTreeMap<String, MemberState>,
+        member_states: &mut BTreeMap<String, MemberState>,
     ) -> (BTreeMap<Name, Side>, Reports) {
         let (rollout, interval) = (&change.rollout, change.rollout.plan.report_interval);
-        let fresh = FRESH.max(interval * 3);
+        let silence_timeout = MIN_SILENCE_TIMEOUT.max(interval * 3);
         let (mut sides, mut reports) = (BTreeMap::new(), Reports::new());
         for member in rollout.order.members() {
             let Some(name) = Name::new(&member.name) else { continue };
-            let heard = heard.get_mut(&member.name);
-            let lately = heard.as_ref().is_some_and(|heard| now.saturating_sub(heard.at) < fresh);
-            let stands = heard.as_ref().and_then(|heard| heard.stands);
-            let said = stands.filter(|(number, ..)| *number == rollout.number).map(|(_, side, _)| side);
-            if let (true, Some(heard)) = (lately, heard) {
-                if let (Some(side), Some(report)) = (said, heard.due(now, interval)) {
+            let state = member_states.get_mut(&member.name);
+            let is_recent =
+                state.as_ref().is_some_and(|state| now.saturating_sub(state.at) < silence_timeout);
+            let reported = state.as_ref().and_then(|state| state.reported);
+            let reported_side =
+                reported.filter(|(number, ..)| *number == rollout.number).map(|(_, side, _)| side);
+            if let (true, Some(state)) = (is_recent, state) {
+                if let (Some(side), Some(report)) = (reported_side, state.take_due(now, interval)) {
                     reports.insert(name.clone(), report);
                     sides.insert(name, side);
                 }
             } else {
-                let known = rollout.sides.get(&member.name).map(|(side, _)| *side);
+                let known_side = rollout.sides.get(&member.name).map(|(side, _)| *side);
                 // A balancer that was unreachable from the start and still on the old side provides no
                 // evidence.
-                let side = said.or(known.filter(|side| *side == Side::New));
-                if let (Some(side), true) = (side, now.saturating_sub(self.begun) >= fresh) {
+                let side = reported_side.or(known_side.filter(|side| *side == Side::New));
+                if let (Some(side), true) = (side, now.saturating_sub(self.started_at) >= silence_timeout) {
                     sides.insert(name, side);
                 }
             }
@@ -194,12 +205,12 @@
     }
 }
 
-fn judge(change: &Change, stage: usize, usual: &[f64]) -> Judge {
-    let bounds = change.rollout.plan.thresholds.clone();
+fn new_judge(change: &Change, stage: usize, usual_bad_fractions: &[f64]) -> Judge {
+    let thresholds = change.rollout.plan.thresholds.clone();
     match &change.baseline {
-        Some(before) if change.stage_includes_all_members(stage) => {
-            Judge::with_reference(bounds, before.clone())
+        Some(reference) if change.stage_includes_all_members(stage) => {
+            Judge::with_reference(thresholds, reference.clone())
         }
-        _ => Judge::new(bounds, usual),
+        _ => Judge::new(thresholds, usual_bad_fractions),
     }
 }
--- a/crates/rollout-agent/src/member.rs
+++ b/crates/rollout-agent/src/member.rs
@@ -1,6 +1,6 @@
 //! Target side of a balancer.
 
-use crate::document::{Content, Document, words};
+use crate::document::{Content, Document, describe_state};
 use maplehook_canary::Side;
 use maplehook_rollout::side_without_leader;
 use maplehook_rollout::{Rollout, RolloutState};
@@ -23,26 +23,26 @@
 
 /// Returns the target of a balancer that has held no lease for the given time; `None` before the first
 /// change.
-pub fn member_target(document: &Document, own: &str, silent: Duration) -> Option<MemberTarget> {
+pub fn member_target(document: &Document, name: &str, silence: Duration) -> Option<MemberTarget> {
     let change = document.change.as_ref()?;
     let Rollout { number, step, state, plan, .. } = &change.rollout;
-    let mut side = change.rollout.target_side(own);
+    let mut side = change.rollout.target_side(name);
     let program = match &change.content {
         Content::Settings { .. } => None,
         Content::Program { path, digest } => {
             // Balancers restart in turn, limited by the number per zone that may be away at the same time.
-            if !change.released.contains(own) && *state != RolloutState::Completed {
+            if !change.released.contains(name) && *state != RolloutState::Completed {
                 side = Side::Old;
             }
             Some((path.clone(), digest.clone()))
         }
     };
-    let mut word = words(state);
-    if side_without_leader(plan, side, *state == RolloutState::Completed, silent) != side {
+    let mut state_description = describe_state(state);
+    if side_without_leader(plan, side, *state == RolloutState::Completed, silence) != side {
         side = Side::Old;
-        word = format!("cut off for {} s: as before ({word})", silent.as_secs());
+        state_description = format!("cut off for {} s: as before ({state_description})", silence.as_secs());
     }
-    Some(MemberTarget { number: *number, step: *step, side, program, state_description: word })
+    Some(MemberTarget { number: *number, step: *step, side, program, state_description })
 }
 
 #[cfg(test)]
@@ -72,16 +72,16 @@
     }
 
     #[test]
-    fn whoever_is_of_the_stage_is_new_until_it_is_cut_off() {
+    fn a_stage_member_uses_the_new_side_until_it_loses_contact() {
         let document = document(Content::Settings { text: String::new(), base_version: 1 });
-        let side = |own: &str, s: u64| member_target(&document, own, Duration::from_secs(s)).unwrap().side;
+        let side = |name: &str, s: u64| member_target(&document, name, Duration::from_secs(s)).unwrap().side;
         assert_eq!((side("b1", 0), side("b2", 0)), (Side::New, Side::Old));
         assert_eq!((side("b1", 4), side("b1", 5)), (Side::New, Side::Old));
         assert_eq!(member_target(&Document::default(), "b1", Duration::ZERO), None);
     }
 
     #[test]
-    fn a_program_waits_until_it_may_be_away() {
+    fn a_program_change_waits_until_the_member_is_released() {
         let mut document = document(Content::Program { path: "p".into(), digest: "d".into() });
         let target = |document: &Document| member_target(document, "b1", Duration::ZERO).unwrap();
         assert_eq!(target(&document).side, Side::Old);
--- a/crates/rollout-agent/src/staged_settings.rs
+++ b/crates/rollout-agent/src/staged_settings.rs
@@ -10,24 +10,26 @@
 
 /// Returns the rules of one side while the other side acts on `other`: deadlines, weights and guarantees of
 /// the local side, and the strictest reading of both for all other settings.
-pub fn staged(own: &Proxy, other: &Proxy) -> Proxy {
-    let mut staged = strictest(other, own);
+pub fn staged_rules(local: &Proxy, other: &Proxy) -> Proxy {
+    let mut staged = strictest(other, local);
     // The strictest reading takes the smaller values of these settings. They affect quality only and never
     // conflict.
-    for (class, own) in staged.settings.classes.iter_mut().zip(&own.settings.classes) {
-        (class.deadline, class.latency_objective) = (own.deadline, own.latency_objective);
+    for (class, local) in staged.settings.classes.iter_mut().zip(&local.settings.classes) {
+        (class.deadline, class.latency_objective) = (local.deadline, local.latency_objective);
     }
     for route in &mut staged.routes {
         if let Some(class) = staged.settings.classes.get(usize::from(route.class.0)) {
             route.deadline = class.deadline;
         }
     }
-    staged.settings.tenants.clone_from(&own.settings.tenants);
+    staged.settings.tenants.clone_from(&local.settings.tenants);
     // The set of retryable answers must match the effect that both sides use.
-    for (k, name) in own.classes.iter().enumerate() {
-        let Some(n) = other.classes.iter().position(|of| of == name) else { continue };
-        let strict = staged.settings.classes[k].effect;
-        if own.settings.classes[k].effect != strict && other.settings.classes[n].effect == strict {
+    for (k, name) in local.classes.iter().enumerate() {
+        let Some(n) = other.classes.iter().position(|other_name| other_name == name) else { continue };
+        let strictest_effect = staged.settings.classes[k].effect;
+        if local.settings.classes[k].effect != strictest_effect
+            && other.settings.classes[n].effect == strictest_effect
+        {
             staged.passages[k].meaning.error.clone_from(&other.passages[n].meaning.error);
         }
     }
@@ -45,50 +47,50 @@
 
 /// Splits a change into staged and conflicting settings; fails if nothing can be staged or if even the
 /// strictest readings conflict.
-pub fn parts(old: &Proxy, new: &Proxy) -> Result<StageableParts, String> {
-    const ORDINARY: &str = "propose it the ordinary way: maplehook settings propose FILE";
+pub fn stageable_parts(old: &Proxy, new: &Proxy) -> Result<StageableParts, String> {
+    const ADVICE: &str = "propose it the ordinary way: maplehook settings propose FILE";
     let kept_back = conflicts(old, new);
-    let (before, after) = (staged(old, new), staged(new, old));
-    let left = conflicts(&before, &after);
-    if !left.is_empty() {
-        return Err(format!("even read strictly this contradicts: {}; {ORDINARY}", left.join("; ")));
+    let (old_side, new_side) = (staged_rules(old, new), staged_rules(new, old));
+    let remaining = conflicts(&old_side, &new_side);
+    if !remaining.is_empty() {
+        return Err(format!("even read strictly this contradicts: {}; {ADVICE}", remaining.join("; ")));
     }
-    let staged = differences(&before, &after);
+    let staged = differences(&old_side, &new_side);
     if staged.is_empty() {
         let why = match &kept_back[..] {
             [] => "nothing changes".into(),
             parts => format!("none of it may differ between balancers ({})", parts.join("; ")),
         };
-        return Err(format!("{why}; {ORDINARY}"));
+        return Err(format!("{why}; {ADVICE}"));
     }
     Ok(StageableParts { staged, kept_back })
 }
 
-fn named<'a, T>(names: &'a [String], of: &'a [T]) -> BTreeMap<&'a str, &'a T> {
-    names.iter().map(String::as_str).zip(of).collect()
+fn by_name<'a, T>(names: &'a [String], values: &'a [T]) -> BTreeMap<&'a str, &'a T> {
+    names.iter().map(String::as_str).zip(values).collect()
 }
 
 /// Returns readable differences between two sets of rules.
 fn differences(old: &Proxy, new: &Proxy) -> Vec<String> {
     let mut found = Vec::new();
     let ms = |time: std::time::Duration| time.as_millis();
-    let (ours, theirs) =
-        (named(&old.classes, &old.settings.classes), named(&new.classes, &new.settings.classes));
-    for (name, class) in &theirs {
-        match ours.get(name) {
+    let (old_by_name, new_by_name) =
+        (by_name(&old.classes, &old.settings.classes), by_name(&new.classes, &new.settings.classes));
+    for (name, class) in &new_by_name {
+        match old_by_name.get(name) {
             None => found.push(format!("class {name}: new")),
-            Some(before) => {
-                if before.deadline != class.deadline {
+            Some(old_value) => {
+                if old_value.deadline != class.deadline {
                     found.push(format!(
                         "class {name}: deadline {} to {} ms",
-                        ms(before.deadline),
+                        ms(old_value.deadline),
                         ms(class.deadline)
                     ));
                 }
-                if before.latency_objective != class.latency_objective {
+                if old_value.latency_objective != class.latency_objective {
                     found.push(format!(
                         "class {name}: aim {} to {} ms",
-                        ms(before.latency_objective),
+                        ms(old_value.latency_objective),
                         ms(class.latency_objective)
                     ));
                 }
@@ -96,37 +98,43 @@
         }
     }
     found.extend(
-        ours.keys().filter(|name| !theirs.contains_key(*name)).map(|name| format!("class {name}: gone")),
+        old_by_name
+            .keys()
+            .filter(|name| !new_by_name.contains_key(*name))
+            .map(|name| format!("class {name}: gone")),
     );
-    let (ours, theirs) =
-        (named(&old.tenants, &old.settings.tenants), named(&new.tenants, &new.settings.tenants));
-    for (name, tenant) in &theirs {
-        match ours.get(name) {
+    let (old_by_name, new_by_name) =
+        (by_name(&old.tenants, &old.settings.tenants), by_name(&new.tenants, &new.settings.tenants));
+    for (name, tenant) in &new_by_name {
+        match old_by_name.get(name) {
             None => found.push(format!("tenant {name}: new")),
-            Some(before) if before.allowance_per_s != tenant.allowance_per_s => found.push(format!(
+            Some(old_value) if old_value.allowance_per_s != tenant.allowance_per_s => found.push(format!(
                 "tenant {name}: guarantee {} to {} a second",
-                before.allowance_per_s, tenant.allowance_per_s
+                old_value.allowance_per_s, tenant.allowance_per_s
             )),
             Some(_) => {}
         }
     }
     found.extend(
-        ours.keys().filter(|name| !theirs.contains_key(*name)).map(|name| format!("tenant {name}: gone")),
+        old_by_name
+            .keys()
+            .filter(|name| !new_by_name.contains_key(*name))
+            .map(|name| format!("tenant {name}: gone")),
     );
     for upstream in &new.upstreams {
-        let before = old.upstreams.iter().find(|before| before.name == upstream.name);
-        if before.is_some_and(|before| before.weight != upstream.weight) {
+        let old_value = old.upstreams.iter().find(|old_value| old_value.name == upstream.name);
+        if old_value.is_some_and(|old_value| old_value.weight != upstream.weight) {
             found.push(format!("upstream {}: weight", upstream.name));
         }
     }
-    if found.is_empty() && !alike(old, new) {
+    if found.is_empty() && !equal_apart_from_order(old, new) {
         found.push("limits, headers or other settings".into());
     }
     found
 }
 
 /// Returns true if two sets of rules are equal apart from the order of upstreams.
-fn alike(old: &Proxy, new: &Proxy) -> bool {
+fn equal_apart_from_order(old: &Proxy, new: &Proxy) -> bool {
     let sorted = |proxy: &Proxy| {
         let mut proxy = proxy.clone();
         proxy.upstreams.sort_by(|a, b| a.name.cmp(&b.name));
@@ -159,12 +167,13 @@
         maplehook_config::parse(&text).unwrap_or_else(|e| panic!("{e}\n{text}")).proxy.unwrap()
     }
 
-    const TWO: &[(&str, bool)] = &[("u", false), ("v", false)];
+    const TWO_UPSTREAMS: &[(&str, bool)] = &[("u", false), ("v", false)];
 
     #[test]
-    fn times_and_guarantees_are_staged_and_effects_are_kept_back() {
-        let (old, new) = (proxy("idempotent", 2000, 50, TWO), proxy("at_most_once", 300, 5, TWO));
-        let parts = parts(&old, &new).unwrap();
+    fn deadlines_and_guarantees_are_staged_but_effects_are_not() {
+        let (old, new) =
+            (proxy("idempotent", 2000, 50, TWO_UPSTREAMS), proxy("at_most_once", 300, 5, TWO_UPSTREAMS));
+        let parts = stageable_parts(&old, &new).unwrap();
         assert_eq!(
             parts.staged,
             [
@@ -175,23 +184,24 @@
         );
         assert!(parts.kept_back.len() == 1 && parts.kept_back[0].contains("effect"), "{parts:?}");
         // Each side uses its own deadline, even a longer one; both use the stricter effect.
-        let (before, after) = (staged(&old, &new), staged(&new, &old));
-        assert_eq!(before.settings.classes[0].deadline, old.settings.classes[0].deadline);
-        assert_eq!(after.settings.classes[0].deadline, new.settings.classes[0].deadline);
-        assert_eq!(before.settings.classes[0].effect, after.settings.classes[0].effect);
-        assert_eq!(after.settings.classes[0].effect, new.settings.classes[0].effect);
-        assert_eq!(before.routes[0].deadline, old.settings.classes[0].deadline);
+        let (old_side, new_side) = (staged_rules(&old, &new), staged_rules(&new, &old));
+        assert_eq!(old_side.settings.classes[0].deadline, old.settings.classes[0].deadline);
+        assert_eq!(new_side.settings.classes[0].deadline, new.settings.classes[0].deadline);
+        assert_eq!(old_side.settings.classes[0].effect, new_side.settings.classes[0].effect);
+        assert_eq!(new_side.settings.classes[0].effect, new.settings.classes[0].effect);
+        assert_eq!(old_side.routes[0].deadline, old.settings.classes[0].deadline);
     }
 
     #[test]
-    fn what_contradicts_altogether_goes_the_ordinary_way() {
-        let (old, new) = (proxy("idempotent", 2000, 50, TWO), proxy("at_most_once", 2000, 50, TWO));
-        let why = parts(&old, &new).unwrap_err();
+    fn a_change_without_stageable_settings_is_rejected() {
+        let (old, new) =
+            (proxy("idempotent", 2000, 50, TWO_UPSTREAMS), proxy("at_most_once", 2000, 50, TWO_UPSTREAMS));
+        let why = stageable_parts(&old, &new).unwrap_err();
         assert!(why.contains("none of it may differ") && why.contains("settings propose"), "{why}");
-        assert!(parts(&old, &old).unwrap_err().contains("nothing changes"));
+        assert!(stageable_parts(&old, &old).unwrap_err().contains("nothing changes"));
         // A changed endpoint list alone cannot be staged.
-        let longer = proxy("idempotent", 2000, 50, &[("u", false), ("v", false), ("w", false)]);
-        assert!(parts(&old, &longer).is_err());
+        let longer_list = proxy("idempotent", 2000, 50, &[("u", false), ("v", false), ("w", false)]);
+        assert!(stageable_parts(&old, &longer_list).is_err());
     }
 
     fn any_proxy() -> impl Strategy<Value = Proxy> {
@@ -209,9 +219,9 @@
         #![proptest_config(ProptestConfig::with_cases(64))]
         /// The two sides must not conflict for any accepted change.
         #[test]
-        fn the_sides_never_contradict(old in any_proxy(), new in any_proxy()) {
-            if parts(&old, &new).is_ok() {
-                let found = conflicts(&staged(&old, &new), &staged(&new, &old));
+        fn accepted_changes_never_conflict_between_sides(old in any_proxy(), new in any_proxy()) {
+            if stageable_parts(&old, &new).is_ok() {
+                let found = conflicts(&staged_rules(&old, &new), &staged_rules(&new, &old));
                 prop_assert!(found.is_empty(), "{found:?}");
             }
         }
--- a/crates/rollout-agent/src/status.rs
+++ b/crates/rollout-agent/src/status.rs
@@ -1,6 +1,6 @@
 //! Rollout status as operators see it.
 
-use crate::document::{Change, Document, words};
+use crate::document::{Change, Document, describe_state};
 use crate::messages::Preview;
 use maplehook_canary::Side;
 use maplehook_rollout::RolloutState;
@@ -72,7 +72,7 @@
 }
 
 /// Returns the outer name of a side.
-pub fn side(side: Side) -> &'static str {
+pub fn side_name(side: Side) -> &'static str {
     match side {
         Side::Old => "old",
         Side::New => "new",
@@ -81,7 +81,7 @@
 
 impl RolloutStatus {
     /// Builds the status from the agreed document and the leader's evidence for the running stage.
-    pub fn from_document(document: &Document, known: &[String]) -> Self {
+    pub fn from_document(document: &Document, evidence: &[String]) -> Self {
         let Some(change) = &document.change else {
             return Self {
                 state: "none".into(),
@@ -93,14 +93,14 @@
         Self {
             number: rollout.number,
             state: rollout.state.name().into(),
-            state_description: words(&rollout.state),
+            state_description: describe_state(&rollout.state),
             step: rollout.step,
-            content: change.content.words(),
+            content: change.content.describe(),
             by: change.by.clone(),
             at_ms: change.started_at_ms,
             version: change.version,
-            stages: stages(change, known),
-            waiting_for: waits(change, known),
+            stages: stage_statuses(change, evidence),
+            waiting_for: waiting_conditions(change, evidence),
             events: rollout.events.iter().map(|event| format!("{}: {}", event.step, event.text)).collect(),
             is_active: change.is_active(),
             ..Self::default()
@@ -108,52 +108,56 @@
     }
 }
 
-fn stages(change: &Change, known: &[String]) -> Vec<StageStatus> {
+fn stage_statuses(change: &Change, evidence: &[String]) -> Vec<StageStatus> {
     let rollout = &change.rollout;
-    let mut told = 0;
-    let mut shown = Vec::new();
+    let mut listed_count = 0;
+    let mut statuses = Vec::new();
     for stage in 0..rollout.order.stages() {
         let members = rollout.order.stage(stage);
-        let who = members[told..].iter().map(|member| MemberStatus {
+        let added = members[listed_count..].iter().map(|member| MemberStatus {
             name: member.name.clone(),
             zone: member.zone.clone(),
-            side: rollout.sides.get(&member.name).map_or("unknown", |(of, _)| side(*of)).into(),
+            side: rollout
+                .sides
+                .get(&member.name)
+                .map_or("unknown", |(applied, _)| side_name(*applied))
+                .into(),
         });
-        let watched = change.stage_records.iter().find(|watched| watched.stage == stage);
-        let runs = rollout.stage() == Some(stage);
-        shown.push(StageStatus {
-            members: who.collect(),
-            since_ms: watched.map(|watched| watched.since_ms),
-            until_ms: watched.and_then(|watched| watched.until_ms),
-            evidence: if runs {
-                known.to_vec()
+        let record = change.stage_records.iter().find(|record| record.stage == stage);
+        let is_running = rollout.stage() == Some(stage);
+        statuses.push(StageStatus {
+            members: added.collect(),
+            since_ms: record.map(|record| record.since_ms),
+            until_ms: record.and_then(|record| record.until_ms),
+            evidence: if is_running {
+                evidence.to_vec()
             } else {
-                watched.map(|watched| watched.evidence.clone()).unwrap_or_default()
+                record.map(|record| record.evidence.clone()).unwrap_or_default()
             },
-            verdict: watched.map(|watched| watched.verdict.clone()).unwrap_or_default(),
+            verdict: record.map(|record| record.verdict.clone()).unwrap_or_default(),
         });
-        told = members.len();
+        listed_count = members.len();
     }
-    shown
+    statuses
 }
 
-fn waits(change: &Change, known: &[String]) -> Vec<String> {
+fn waiting_conditions(change: &Change, evidence: &[String]) -> Vec<String> {
     let rollout = &change.rollout;
     match &rollout.state {
         RolloutState::Running(_) | RolloutState::Paused { .. } => {
-            let mut waits = Vec::new();
-            let unplaced = rollout.pending_members();
-            if !unplaced.is_empty() {
-                waits.push(format!("to be changed: {}", unplaced.join(", ")));
+            let mut conditions = Vec::new();
+            let pending = rollout.pending_members();
+            if !pending.is_empty() {
+                conditions.push(format!("to be changed: {}", pending.join(", ")));
             }
             match &rollout.state {
                 RolloutState::Paused { by_operator: true, .. } => {
-                    waits.push("an operator: maplehook rollout go, or undo".into())
+                    conditions.push("an operator: maplehook rollout go, or undo".into())
                 }
-                RolloutState::Paused { why, .. } => waits.push(format!("the end of this: {why}")),
-                _ => waits.extend(known.first().cloned()),
+                RolloutState::Paused { why, .. } => conditions.push(format!("the end of this: {why}")),
+                _ => conditions.extend(evidence.first().cloned()),
             }
-            waits
+            conditions
         }
         RolloutState::RollingBack { .. } | RolloutState::RollbackFailed { .. } => {
             vec![format!("to be as before: {}", rollout.unconfirmed_members().join(", "))]
@@ -169,15 +173,15 @@
     /// Returns the preview as text, one line per stage or setting.
     pub fn table(&self) -> String {
         let mut text = String::new();
-        for (n, who) in self.stages.iter().enumerate() {
-            let who = if who.is_empty() { "nobody more".into() } else { who.join(", ") };
-            text += &format!("stage {}: {who}\n", n + 1);
+        for (n, names) in self.stages.iter().enumerate() {
+            let names = if names.is_empty() { "nobody more".into() } else { names.join(", ") };
+            text += &format!("stage {}: {names}\n", n + 1);
         }
-        for part in &self.staged {
-            text += &format!("staged: {part}\n");
+        for setting in &self.staged {
+            text += &format!("staged: {setting}\n");
         }
-        for part in &self.kept_back {
-            text += &format!("at the end, read strictly until then on both sides: {part}\n");
+        for setting in &self.kept_back {
+            text += &format!("at the end, read strictly until then on both sides: {setting}\n");
         }
         text
     }
--- a/crates/rollout-agent/src/status_board.rs
+++ b/crates/rollout-agent/src/status_board.rs
@@ -3,7 +3,7 @@
 use crate::document::{Change, Content, Document, PastChange};
 use crate::member::MemberTarget;
 use crate::messages::{OperatorRequest, Reply};
-use crate::status::{RolloutStatus, side};
+use crate::status::{RolloutStatus, side_name};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 
 /// Timeout for an operator's request to this balancer.
-const WISH: Duration = Duration::from_millis(3500);
+const OPERATOR_REQUEST_TIMEOUT: Duration = Duration::from_millis(3500);
 
 /// State of this balancer, published by the agent thread.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -19,9 +19,9 @@
     /// Newest agreed document.
     pub document: Arc<Document>,
     /// Side and step that this balancer must apply.
-    pub wanted: Option<MemberTarget>,
+    pub target: Option<MemberTarget>,
     /// Evidence lines of the running stage, received from the leader.
-    pub known: Vec<String>,
+    pub evidence: Vec<String>,
     /// Name of the leader, if known.
     pub leader: Option<String>,
 }
@@ -54,53 +54,53 @@
     pub digest: String,
 }
 
-pub(crate) type Wished = (OperatorRequest, oneshot::Sender<Reply>);
+pub(crate) type QueuedRequest = (OperatorRequest, oneshot::Sender<Reply>);
 
 /// Answers operators and the supervisor; callable from any thread.
 #[derive(Clone)]
 pub struct StatusBoard {
-    pub(crate) stands: watch::Receiver<LocalState>,
-    pub(crate) wishes: mpsc::Sender<Wished>,
+    pub(crate) local_state: watch::Receiver<LocalState>,
+    pub(crate) requests: mpsc::Sender<QueuedRequest>,
 }
 
 impl StatusBoard {
     /// Returns the status of the running or most recent change.
     pub fn status(&self) -> RolloutStatus {
-        let stands = self.stands.borrow().clone();
-        let own = stands.wanted.as_ref().map_or("", |wanted| side(wanted.side)).to_owned();
+        let local_state = self.local_state.borrow().clone();
+        let target_side = local_state.target.as_ref().map_or("", |target| side_name(target.side)).to_owned();
         RolloutStatus {
-            target_side: own,
-            leader: stands.leader,
-            ..RolloutStatus::from_document(&stands.document, &stands.known)
+            target_side,
+            leader: local_state.leader,
+            ..RolloutStatus::from_document(&local_state.document, &local_state.evidence)
         }
     }
 
     /// Returns all changes, the newest last.
     pub fn history(&self) -> Vec<PastChange> {
-        self.stands.borrow().document.history()
+        self.local_state.borrow().document.history()
     }
 
     /// Returns the target of this balancer; `None` before the first change.
     pub fn target(&self) -> Option<TargetStatus> {
-        let stands = self.stands.borrow();
-        let MemberTarget { number, step, side: of, program, state_description: word } =
-            stands.wanted.clone()?;
-        let runs = stands.document.change.as_ref().is_some_and(Change::is_active);
+        let local_state = self.local_state.borrow();
+        let MemberTarget { number, step, side: target_side, program, state_description } =
+            local_state.target.clone()?;
+        let is_active = local_state.document.change.as_ref().is_some_and(Change::is_active);
         let program = program.map(|(path, digest)| TargetProgram { path, digest });
         Some(TargetStatus {
             number,
             step,
-            side: side(of).into(),
-            is_active: runs,
+            side: side_name(target_side).into(),
+            is_active,
             program,
-            state_description: word,
+            state_description,
         })
     }
 
     /// Returns the reason why settings cannot be proposed now; `None` unless a rollout of settings is active.
     pub fn settings_lock_reason(&self) -> Option<String> {
-        let stands = self.stands.borrow();
-        let change = stands.document.change.as_ref().filter(|change| change.is_active())?;
+        let local_state = self.local_state.borrow();
+        let change = local_state.document.change.as_ref().filter(|change| change.is_active())?;
         matches!(change.content, Content::Settings { .. }).then(|| {
             let number = change.rollout.number;
             format!("settings are changed in stages (change {number}): maplehook rollout status, or undo")
@@ -108,12 +108,12 @@
     }
 
     /// Passes an operator's request to the agent thread and waits for the reply.
-    pub async fn request(&self, wish: OperatorRequest) -> Reply {
-        let (reply, ended) = oneshot::channel();
-        if self.wishes.try_send((wish, reply)).is_err() {
+    pub async fn request(&self, request: OperatorRequest) -> Reply {
+        let (reply_sender, reply) = oneshot::channel();
+        if self.requests.try_send((request, reply_sender)).is_err() {
             return Reply::Unavailable("too many wishes are under way".into());
         }
-        match timeout(WISH, ended).await {
+        match timeout(OPERATOR_REQUEST_TIMEOUT, reply).await {
             Ok(Ok(reply)) => reply,
             _ => Reply::Unavailable("no answer in time: it may be done, or not; ask for its status".into()),
         }
