--- a/crates/failover-agent/src/agent.rs
+++ b/crates/failover-agent/src/agent.rs
@@ -29,7 +29,7 @@
     pub channels: PartChannels,
 }
 
-/// Inputs of the agent.
+/// Identity, settings and channels of a failover agent.
 pub struct Setup {
     /// Balancer name in reports and histories.
     pub name: String,
--- a/crates/failover-agent/src/config.rs
+++ b/crates/failover-agent/src/config.rs
@@ -9,7 +9,7 @@
 /// numbering.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Zones and regions.
+    /// Zones, regions and configured round-trip times.
     pub topology: Topology,
     /// Locality rules, with this process's numbers of classes and tenants.
     pub rules: Rules,
--- a/crates/failover-agent/src/leader.rs
+++ b/crates/failover-agent/src/leader.rs
@@ -21,8 +21,8 @@
     committed: AgreedState,
     /// Proposal that is in flight.
     proposed: Option<AgreedState>,
-    /// Zone, readiness and time of the last report, by balancer.
-    zones: BTreeMap<String, (Zone, bool, Duration)>,
+    /// Zone, readiness and time of the last report, by balancer name.
+    balancers: BTreeMap<String, (Zone, bool, Duration)>,
 }
 
 /// Age up to which a balancer's report counts for the health of its site.
@@ -33,7 +33,7 @@
 const MAX_TRACKED_BALANCERS: usize = 4096;
 
 impl LeaderState {
-    /// Creates the state of a newly elected leader.
+    /// Starts leading from the committed state, without reports.
     pub fn new(config: Config, committed: AgreedState, now: Duration) -> Self {
         let mut places = failover::Decider::new(
             config.topology.clone(),
@@ -50,7 +50,15 @@
         );
         places.set_rtt_table(&committed.rtts);
         let rtt_estimator = RttEstimator::new(&committed.rtts, &config.topology);
-        Self { config, places, addresses, rtt_estimator, committed, proposed: None, zones: BTreeMap::new() }
+        Self {
+            config,
+            places,
+            addresses,
+            rtt_estimator,
+            committed,
+            proposed: None,
+            balancers: BTreeMap::new(),
+        }
     }
 
     /// Applies changed rules or zones.
@@ -62,26 +70,26 @@
             RttEstimator::new(&self.rtt_estimator.table(&self.config.topology), &config.topology);
         self.config = config;
         // Zone numbers may differ in the new configuration.
-        self.zones.clear();
+        self.balancers.clear();
     }
 
     /// Sets the maximum duration of a lease, measured on this leader's clock.
-    pub fn set_max_lease(&mut self, longest: Duration) {
-        self.addresses.set_max_lease(longest);
+    pub fn set_max_lease(&mut self, max_lease: Duration) {
+        self.addresses.set_max_lease(max_lease);
     }
 
-    /// Records a balancer's report.
+    /// Updates the decider and the table of balancers from a report.
     pub fn record_report(&mut self, now: Duration, from: &str, report: Report) {
-        let is_known = self.zones.len() < MAX_TRACKED_BALANCERS || self.zones.contains_key(from);
+        let is_known = self.balancers.len() < MAX_TRACKED_BALANCERS || self.balancers.contains_key(from);
         if is_known && report.digest == self.config.digest {
-            self.zones.insert(from.to_owned(), (report.zone, report.ready, now));
+            self.balancers.insert(from.to_owned(), (report.zone, report.ready, now));
         }
         self.places.record_report(now, from, report);
     }
 
     /// Records the round-trip times that a balancer measured to its peers.
     pub fn record_rtts(&mut self, now: Duration, from: &str, rtts: &[PeerRtt]) {
-        if self.zones.contains_key(from) {
+        if self.balancers.contains_key(from) {
             self.rtt_estimator.record(now, from, rtts);
         }
     }
@@ -100,9 +108,10 @@
         }
         let without = in_touch.iter().filter(|(_, knows)| !knows).count();
         // A silent balancer stays a member of its zone for a while: silence of a complete zone is evidence.
-        self.zones.retain(|_, (.., reported_at)| now.saturating_sub(*reported_at) < SILENT_MEMBER_RETENTION);
+        self.balancers
+            .retain(|_, (.., reported_at)| now.saturating_sub(*reported_at) < SILENT_MEMBER_RETENTION);
         let members: Vec<(String, Zone)> =
-            self.zones.iter().map(|(name, (zone, ..))| (name.clone(), *zone)).collect();
+            self.balancers.iter().map(|(name, (zone, ..))| (name.clone(), *zone)).collect();
         self.places.set_members(&members, without);
         let places = self.places.tick(now);
         let sites = self.sites(now);
@@ -122,8 +131,9 @@
 
     /// Returns the table of round-trip times if it differs from the table in the log.
     fn rtt_table_change(&mut self, now: Duration) -> Option<RttTable> {
-        let by_digest = self.zones.iter().map(|(name, (zone, ..))| (fnv1a(name.as_bytes()), *zone)).collect();
-        self.rtt_estimator.tick(now, |name| self.zones.get(name).map(|(zone, ..)| *zone), &by_digest);
+        let by_digest =
+            self.balancers.iter().map(|(name, (zone, ..))| (fnv1a(name.as_bytes()), *zone)).collect();
+        self.rtt_estimator.tick(now, |name| self.balancers.get(name).map(|(zone, ..)| *zone), &by_digest);
         Some(self.rtt_estimator.table(&self.config.topology)).filter(|table| *table != self.committed.rtts)
     }
 
@@ -162,17 +172,17 @@
             OperatorRequest::Move { name, site, anyway } => {
                 let (name, site) = (name.clone(), site.clone());
                 let order = addresses::Order::Move { name, site, by, anyway: *anyway };
-                agreed.addresses = self.addresses.order(&order).map_err(rejection)?;
+                agreed.addresses = self.addresses.order(&order).map_err(rejection_reply)?;
             }
             OperatorRequest::Withdraw { name, site, anyway } => {
                 let (name, site) = (name.clone(), site.clone());
                 let order = addresses::Order::Withdraw { name, site, by, anyway: *anyway };
-                agreed.addresses = self.addresses.order(&order).map_err(rejection)?;
+                agreed.addresses = self.addresses.order(&order).map_err(rejection_reply)?;
             }
             OperatorRequest::Restore { name, site } => {
                 let (name, site) = (name.clone(), site.clone());
                 let order = addresses::Order::Restore { name, site, by };
-                agreed.addresses = self.addresses.order(&order).map_err(rejection)?;
+                agreed.addresses = self.addresses.order(&order).map_err(rejection_reply)?;
             }
         }
         Ok(self.propose(agreed))
@@ -187,7 +197,7 @@
         }
     }
 
-    /// Handles the outcome of the proposal: true if it is in the log.
+    /// Handles the outcome of the proposal; `committed` is true if the proposal is in the log.
     pub fn finish_proposal(&mut self, committed: bool) -> Option<&AgreedState> {
         let proposed = self.proposed.take()?;
         if !committed {
@@ -207,7 +217,7 @@
         let is_recent = |reported_at: Duration| now.saturating_sub(reported_at) < MAX_REPORT_AGE;
         let health = |region: Region| {
             let members: Vec<_> =
-                self.zones.values().filter(|(zone, ..)| topology.region_of(*zone) == region).collect();
+                self.balancers.values().filter(|(zone, ..)| topology.region_of(*zone) == region).collect();
             let in_touch = members.iter().filter(|(.., reported_at)| is_recent(*reported_at)).count();
             let ready =
                 members.iter().filter(|(_, ready, reported_at)| *ready && is_recent(*reported_at)).count();
@@ -223,7 +233,7 @@
         let topology = &self.config.topology;
         let mut regions: BTreeMap<Region, Duration> = BTreeMap::new();
         for (name, remaining) in behind {
-            let region = self.zones.get(name).map(|(zone, ..)| topology.region_of(*zone));
+            let region = self.balancers.get(name).map(|(zone, ..)| topology.region_of(*zone));
             let affected: Vec<Region> =
                 region.map_or_else(|| topology.regions().collect(), |region| vec![region]);
             for region in affected {
@@ -239,10 +249,10 @@
 fn order_error_reply(reason: failover::OrderError) -> Reply {
     match reason {
         failover::OrderError::NoReportsYet => Reply::Unavailable(reason.to_string()),
-        _ => rejection(reason),
+        _ => rejection_reply(reason),
     }
 }
 
-fn rejection(reason: impl std::fmt::Display) -> Reply {
+fn rejection_reply(reason: impl std::fmt::Display) -> Reply {
     Reply::Refused(reason.to_string())
 }
--- a/crates/failover-agent/src/messages.rs
+++ b/crates/failover-agent/src/messages.rs
@@ -10,7 +10,7 @@
 pub struct AgreedState {
     /// Zone states and the failover plan.
     pub places: Document,
-    /// State of the service addresses.
+    /// Sites, holders and withdrawals of the service addresses.
     pub addresses: State,
     /// Round-trip times between zones. Programs without support for them omit this field and read only the
     /// fields before it.
@@ -57,7 +57,7 @@
     },
     /// Moves an address to a site.
     Move {
-        /// Name of the address.
+        /// Configured name of the address to move.
         name: String,
         /// Name of the destination site.
         site: String,
@@ -66,18 +66,18 @@
     },
     /// Withdraws an address from a site.
     Withdraw {
-        /// Name of the address.
+        /// Configured name of the address to withdraw.
         name: String,
-        /// Name of the site.
+        /// Region name of the site.
         site: String,
         /// Withdraws the address even from its last site.
         anyway: bool,
     },
     /// Allows a withdrawn site to announce an address again.
     Restore {
-        /// Name of the address.
+        /// Configured name of the withdrawn address.
         name: String,
-        /// Name of the site.
+        /// Region name of the site.
         site: String,
     },
 }
@@ -106,7 +106,7 @@
         ticket: u64,
         /// Name of the forwarding balancer.
         by: String,
-        /// Content of the operator's request.
+        /// Request to apply on the leader.
         #[serde(rename = "wish")]
         request: OperatorRequest,
     },
@@ -115,7 +115,7 @@
     RequestOutcome {
         /// Identifier of the forwarded request.
         ticket: u64,
-        /// Reply for the operator.
+        /// Reply to pass on to the operator.
         reply: Reply,
     },
     /// Round-trip times to the peers. A separate message, because older programs could not decode an extended
--- a/crates/failover-agent/src/probe.rs
+++ b/crates/failover-agent/src/probe.rs
@@ -24,7 +24,7 @@
 /// Timeout of a probe's connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Result of a probe.
+/// Outcome of one connection attempt to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ProbeResult {
     zone: Zone,
@@ -38,7 +38,7 @@
     next_zone: usize,
     /// Index of the next target within each zone.
     next_target: usize,
-    recent: BTreeMap<Zone, VecDeque<(Instant, ProbeResult)>>,
+    recent_results: BTreeMap<Zone, VecDeque<(Instant, ProbeResult)>>,
     result_sender: mpsc::Sender<ProbeResult>,
     pub(crate) results: mpsc::Receiver<ProbeResult>,
 }
@@ -51,7 +51,7 @@
             targets: BTreeMap::new(),
             next_zone: 0,
             next_target: 0,
-            recent: BTreeMap::new(),
+            recent_results: BTreeMap::new(),
             result_sender,
             results,
         }
@@ -60,7 +60,7 @@
     /// Clears all results, because zone numbers may have changed.
     pub(crate) fn clear(&mut self) {
         self.targets.clear();
-        self.recent.clear();
+        self.recent_results.clear();
     }
 
     /// Sets the probe targets from the current endpoint list. The local zone is excluded, because requests
@@ -73,7 +73,7 @@
                 zone_targets.push(*address);
             }
         }
-        self.recent.retain(|zone, _| self.targets.contains_key(zone));
+        self.recent_results.retain(|zone, _| self.targets.contains_key(zone));
     }
 
     /// Starts the next probe round.
@@ -99,7 +99,7 @@
 
     /// Records a probe result.
     pub(crate) fn record_result(&mut self, result: ProbeResult) {
-        let zone_results = self.recent.entry(result.zone).or_default();
+        let zone_results = self.recent_results.entry(result.zone).or_default();
         zone_results.push_back((Instant::now(), result));
         while zone_results.len() > MAX_RESULTS_PER_ZONE {
             zone_results.pop_front();
@@ -109,7 +109,7 @@
     /// Merges the probe results into the observations from requests.
     pub(crate) fn merge_into(&self, observations: &mut [ZoneObservation]) {
         for observation in observations {
-            let Some(zone_results) = self.recent.get(&observation.zone) else { continue };
+            let Some(zone_results) = self.recent_results.get(&observation.zone) else { continue };
             let fresh = zone_results.iter().filter(|(at, _)| at.elapsed() < MAX_RESULT_AGE);
             let (mut probes, mut failed, mut connect_time_sum) = (0.0f32, 0.0f32, Duration::ZERO);
             for (_, result) in fresh {
--- a/crates/failover-agent/src/status.rs
+++ b/crates/failover-agent/src/status.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Status of a zone.
+/// State, capacity and load of a zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneStatus {
     /// Name of the zone.
--- a/crates/rollout-agent/src/agent.rs
+++ b/crates/rollout-agent/src/agent.rs
@@ -21,19 +21,19 @@
     pub document_status: watch::Receiver<SharedDocumentStatus>,
     /// Channels for messages and proposals.
     pub channels: PartChannels,
-    /// Version in force.
+    /// Version in force on this balancer, with its rules.
     pub active_version: watch::Receiver<ActiveVersion>,
     /// Client that proposes settings versions.
     pub admin: AdminClient,
 }
 
-/// Inputs of the agent.
+/// Identity, local settings and channels of a rollout agent.
 pub struct Setup {
-    /// Name of this balancer.
+    /// Name of this balancer in the tier.
     pub name: String,
     /// Names of all possible balancers, including this one.
     pub names: Vec<String>,
-    /// Zone of this balancer.
+    /// Zone that this balancer runs in.
     pub zone: String,
     /// Operator's settings file, whose shared sections a change replaces.
     pub file: String,
@@ -56,7 +56,7 @@
     pub side: Side,
     /// Label of the version that these settings replace; the settings apply while that version is in force.
     pub base_version: String,
-    /// Rules to apply.
+    /// Rules that replace those of the version in force.
     pub rules: Arc<Proxy>,
 }
 
@@ -67,7 +67,7 @@
     pub number: u64,
     /// Rollout step of the applied settings.
     pub step: u64,
-    /// Applied side.
+    /// Side whose rules the serving thread uses.
     pub side: Side,
 }
 
--- a/crates/rollout-agent/src/evaluation.rs
+++ b/crates/rollout-agent/src/evaluation.rs
@@ -21,15 +21,15 @@
 /// Latest state and queued reports of a balancer, as the leader received them.
 #[derive(Clone, Debug, Default)]
 pub struct MemberState {
-    /// Zone of the balancer.
+    /// Zone that the balancer last reported.
     pub zone: String,
     /// Time of the last report.
-    pub at: Duration,
+    pub last_report_at: Duration,
     /// Number of the change, side, and step that the balancer last reported.
     pub reported: Option<(u64, Side, u64)>,
     /// Queued interval reports with their times of arrival.
     reports: VecDeque<(Duration, IntervalReport)>,
-    /// Crashes from reports that carried no interval report.
+    /// Crashes from dropped reports; added to the next queued report.
     crashes: u32,
 }
 
@@ -49,7 +49,7 @@
         let change_and_side =
             |reported: &Option<(u64, Side, u64)>| reported.map(|(number, side, _)| (number, side));
         let side_changed = change_and_side(&self.reported) != change_and_side(&member_report.side);
-        (self.zone, self.at, self.reported) = (member_report.zone, now, member_report.side);
+        (self.zone, self.last_report_at, self.reported) = (member_report.zone, now, member_report.side);
         if side_changed {
             // After a side change, the request counts belong to neither side and are dropped. Crashes still
             // count.
@@ -74,7 +74,7 @@
     }
 }
 
-/// Evaluation of a stage.
+/// Statistical comparison of both sides during one stage.
 #[derive(Clone, Debug)]
 pub struct StageEvaluation {
     /// Number of the change and index of the stage.
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Returns true if this evaluation belongs to the given change and stage.
-    pub fn is_of(&self, number: u64, stage: usize) -> bool {
+    /// Returns true if this evaluation belongs to the change `number` and to `stage`.
+    pub fn is_for_stage(&self, number: u64, stage: usize) -> bool {
         self.change_and_stage == (number, stage)
     }
 
@@ -181,8 +181,9 @@
         for member in rollout.order.members() {
             let Some(name) = Name::new(&member.name) else { continue };
             let state = member_states.get_mut(&member.name);
-            let is_recent =
-                state.as_ref().is_some_and(|state| now.saturating_sub(state.at) < silence_timeout);
+            let is_recent = state
+                .as_ref()
+                .is_some_and(|state| now.saturating_sub(state.last_report_at) < silence_timeout);
             let reported = state.as_ref().and_then(|state| state.reported);
             let reported_side =
                 reported.filter(|(number, ..)| *number == rollout.number).map(|(_, side, _)| side);
--- a/crates/rollout-agent/src/leader.rs
+++ b/crates/rollout-agent/src/leader.rs
@@ -45,7 +45,7 @@
 }
 
 impl LeaderState {
-    /// Creates the state of a newly elected leader.
+    /// Starts leading from the committed document, without reports or an evaluation.
     pub fn new(names: Vec<String>, committed: Document, now: Duration) -> Self {
         let (member_states, evaluation) = (BTreeMap::new(), None);
         Self {
@@ -64,7 +64,7 @@
         &self.committed
     }
 
-    /// Records a balancer's report.
+    /// Stores the report of a balancer; ignores unknown balancers.
     pub fn record_report(&mut self, now: Duration, from: &str, member_report: MemberReport) {
         if self.names.iter().any(|name| name == from) {
             self.member_states.entry(from.to_owned()).or_default().record(now, member_report);
@@ -135,7 +135,7 @@
             self.evaluation = None;
             return;
         };
-        if !self.evaluation.as_ref().is_some_and(|evaluation| evaluation.is_of(number, stage)) {
+        if !self.evaluation.as_ref().is_some_and(|evaluation| evaluation.is_for_stage(number, stage)) {
             let usual_bad_fractions =
                 self.evaluation.as_ref().map(StageEvaluation::usual_bad_fractions).unwrap_or_default();
             self.evaluation = Some(StageEvaluation::new(change, stage, &usual_bad_fractions, now));
@@ -189,7 +189,7 @@
         let is_silent = |name: &String| {
             self.member_states
                 .get(name)
-                .is_some_and(|state| now.saturating_sub(state.at) > Duration::from_secs(5))
+                .is_some_and(|state| now.saturating_sub(state.last_report_at) > Duration::from_secs(5))
         };
         let names = change.rollout.order.members().iter().map(|member| member.name.clone());
         let unavailable = names
@@ -206,7 +206,7 @@
         Ok(bytes)
     }
 
-    /// Handles the outcome of the proposal: true if it is in the log.
+    /// Handles the outcome of the proposal; `committed` is true if the proposal is in the log.
     pub fn finish_proposal(&mut self, committed: bool) {
         if let Some(proposed) = self.proposed.take().filter(|_| committed) {
             self.committed = proposed;
--- a/crates/rollout-agent/src/messages.rs
+++ b/crates/rollout-agent/src/messages.rs
@@ -33,7 +33,7 @@
         #[serde(rename = "what")]
         content: RequestedContent,
     },
-    /// Starts the change.
+    /// Starts the change with its first stage.
     Start {
         /// Text of the plan file.
         plan: String,
@@ -106,7 +106,7 @@
         ticket: u64,
         /// Name of the forwarding balancer.
         by: String,
-        /// Content of the operator's request.
+        /// Request to apply on the leader.
         #[serde(rename = "wish")]
         request: OperatorRequest,
     },
@@ -115,7 +115,7 @@
     RequestOutcome {
         /// Identifier of the forwarded request.
         ticket: u64,
-        /// Reply for the operator.
+        /// Reply to pass on to the operator.
         reply: Reply,
     },
 }
--- a/crates/rollout-agent/src/status.rs
+++ b/crates/rollout-agent/src/status.rs
@@ -17,7 +17,7 @@
     pub side: String,
 }
 
-/// Status of a stage.
+/// Members, times and evidence of a stage.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StageStatus {
     /// Balancers that this stage adds to the previous stage.
--- a/crates/rollout-agent/tests/leading.rs
+++ b/crates/rollout-agent/tests/leading.rs
@@ -82,7 +82,7 @@
         self.log.change.as_ref().unwrap().rollout.state.clone()
     }
 
-    /// Advances the given number of seconds; `modify_report` modifies each member's report according to its side.
+    /// Advances the given number of seconds; `modify_report` changes each report by its side.
     fn advance(&mut self, seconds: f64, modify_report: &dyn Fn(Side, &mut IntervalReport)) {
         let until = self.now + Duration::from_secs_f64(seconds);
         while self.now < until {
