--- a/crates/failover-agent/src/probe.rs
+++ b/crates/failover-agent/src/probe.rs
@@ -1,7 +1,8 @@
-//! Connections made for no other end than to see whether a zone is there.
+//! Connection probes that test whether a zone is reachable.
 //!
-//! A zone that serves its own alone has no other observers; without them nobody could tell a lost zone from a balancer with a
-//! bad network. A probe is a connection that is closed at once: it costs an upstream no request.
+//! A zone that serves only its local clients has no other observers. Without probes, an unreachable zone
+//! could not be told from a balancer with a faulty network. A probe is a connection that is closed at once,
+//! so it costs an upstream no request.
 
 use maplehook_failover::ZoneObservation;
 use maplehook_locality::Zone;
@@ -12,108 +13,115 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Zones that are probed in one round, and how often there is one.
-const ZONES_AT_ONCE: usize = 8;
-pub(crate) const ROUND: Duration = Duration::from_millis(500);
-/// The last probes of a zone that are counted, and how old they may be.
-const COUNTED: usize = 3;
-const FRESH: Duration = Duration::from_secs(8);
-/// Upstreams of one zone that are probed in turn: more of them say no more of whether it is there.
-pub const TARGETS_MOST: usize = 64;
-/// The longest wait for a connection.
-const WAIT_MOST: Duration = Duration::from_secs(1);
+/// Maximum number of zones in one probe round.
+const MAX_ZONES_PER_ROUND: usize = 8;
+pub(crate) const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+/// Number of recent probes per zone that count as evidence.
+const MAX_RESULTS_PER_ZONE: usize = 3;
+const MAX_RESULT_AGE: Duration = Duration::from_secs(8);
+/// Maximum number of probed upstreams per zone; more targets add no evidence about reachability.
+pub const MAX_PROBE_TARGETS: usize = 64;
+/// Timeout of a probe's connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How a probe ended.
+/// Outcome of one connection attempt to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Probed {
+pub(crate) struct ProbeResult {
     zone: Zone,
-    /// How long the connection took; `None`: there was none.
-    took: Option<Duration>,
+    /// Connection time; `None` if the connection failed.
+    connect_time: Option<Duration>,
 }
 
-/// What is known by probes.
+/// Probe targets and recent results, by zone.
 pub(crate) struct Prober {
     targets: BTreeMap<Zone, Vec<SocketAddr>>,
-    turn: usize,
-    /// The next upstream of each zone.
-    next: usize,
-    last: BTreeMap<Zone, VecDeque<(Instant, Probed)>>,
-    tell: mpsc::Sender<Probed>,
-    pub(crate) told: mpsc::Receiver<Probed>,
+    next_zone: usize,
+    /// Index of the next target within each zone.
+    next_target: usize,
+    recent_results: BTreeMap<Zone, VecDeque<(Instant, ProbeResult)>>,
+    result_sender: mpsc::Sender<ProbeResult>,
+    pub(crate) results: mpsc::Receiver<ProbeResult>,
 }
 
 impl Prober {
     pub(crate) fn new() -> Self {
-        // No more can be under way than are begun while the longest of them lasts.
-        let (tell, told) = mpsc::channel(4 * ZONES_AT_ONCE);
-        Self { targets: BTreeMap::new(), turn: 0, next: 0, last: BTreeMap::new(), tell, told }
+        // Four rounds of results fit: more probes cannot run within one connect timeout.
+        let (result_sender, results) = mpsc::channel(4 * MAX_ZONES_PER_ROUND);
+        Self {
+            targets: BTreeMap::new(),
+            next_zone: 0,
+            next_target: 0,
+            recent_results: BTreeMap::new(),
+            result_sender,
+            results,
+        }
     }
 
-    /// Zones are counted anew: nothing is known of them.
-    pub(crate) fn forget(&mut self) {
+    /// Clears all results, because zone numbers may have changed.
+    pub(crate) fn clear(&mut self) {
         self.targets.clear();
-        self.last.clear();
+        self.recent_results.clear();
     }
 
-    /// Whom to probe from now on, by the list in force: all zones but the own one, which its requests tell of. What is known of a
-    /// zone stays as long as any of it is listed.
-    pub(crate) fn aim(&mut self, own: Zone, listed: &[(Zone, SocketAddr)]) {
+    /// Sets the probe targets from the current endpoint list. The local zone is excluded, because requests
+    /// already provide its evidence. Results of a zone stay as long as the list contains an endpoint of it.
+    pub(crate) fn set_targets(&mut self, own: Zone, listed: &[(Zone, SocketAddr)]) {
         self.targets.clear();
         for (zone, address) in listed.iter().filter(|(zone, _)| *zone != own) {
-            let of_it = self.targets.entry(*zone).or_default();
-            if of_it.len() < TARGETS_MOST {
-                of_it.push(*address);
+            let zone_targets = self.targets.entry(*zone).or_default();
+            if zone_targets.len() < MAX_PROBE_TARGETS {
+                zone_targets.push(*address);
             }
         }
-        self.last.retain(|zone, _| self.targets.contains_key(zone));
+        self.recent_results.retain(|zone, _| self.targets.contains_key(zone));
     }
 
-    /// Begins the next round.
-    pub(crate) fn round(&mut self) {
+    /// Starts the next probe round.
+    pub(crate) fn start_round(&mut self) {
         let zones: Vec<Zone> = self.targets.keys().copied().collect();
-        let many = zones.len().min(ZONES_AT_ONCE);
-        for n in 0..many {
-            let zone = zones[(self.turn + n) % zones.len()];
-            let of_it = &self.targets[&zone];
-            let address = of_it[self.next % of_it.len()];
-            let tell = self.tell.clone();
+        let count = zones.len().min(MAX_ZONES_PER_ROUND);
+        for n in 0..count {
+            let zone = zones[(self.next_zone + n) % zones.len()];
+            let zone_targets = &self.targets[&zone];
+            let address = zone_targets[self.next_target % zone_targets.len()];
+            let result_sender = self.result_sender.clone();
             tokio::spawn(async move {
-                let begun = Instant::now();
-                let made = timeout(WAIT_MOST, TcpStream::connect(address)).await;
-                let took = matches!(made, Ok(Ok(_))).then(|| begun.elapsed());
-                // What does not fit is one look less.
-                let _ = tell.try_send(Probed { zone, took });
+                let started_at = Instant::now();
+                let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+                let connect_time = matches!(connected, Ok(Ok(_))).then(|| started_at.elapsed());
+                // A full queue drops this result.
+                let _ = result_sender.try_send(ProbeResult { zone, connect_time });
             });
         }
-        self.turn = (self.turn + many) % zones.len().max(1);
-        self.next = self.next.wrapping_add(1);
+        self.next_zone = (self.next_zone + count) % zones.len().max(1);
+        self.next_target = self.next_target.wrapping_add(1);
     }
 
-    /// A probe has ended.
-    pub(crate) fn heard(&mut self, probed: Probed) {
-        let of_it = self.last.entry(probed.zone).or_default();
-        of_it.push_back((Instant::now(), probed));
-        while of_it.len() > COUNTED {
-            of_it.pop_front();
+    /// Records a probe result.
+    pub(crate) fn record_result(&mut self, result: ProbeResult) {
+        let zone_results = self.recent_results.entry(result.zone).or_default();
+        zone_results.push_back((Instant::now(), result));
+        while zone_results.len() > MAX_RESULTS_PER_ZONE {
+            zone_results.pop_front();
         }
     }
 
-    /// Adds what is known to what requests have shown.
-    pub(crate) fn add(&self, sights: &mut [ZoneObservation]) {
-        for sight in sights {
-            let Some(of_it) = self.last.get(&sight.zone) else { continue };
-            let fresh = of_it.iter().filter(|(at, _)| at.elapsed() < FRESH);
-            let (mut probed, mut failed, mut time) = (0.0f32, 0.0f32, Duration::ZERO);
-            for (_, one) in fresh {
-                probed += 1.0;
-                match one.took {
-                    Some(took) => time += took,
+    /// Merges the probe results into the observations from requests.
+    pub(crate) fn merge_into(&self, observations: &mut [ZoneObservation]) {
+        for observation in observations {
+            let Some(zone_results) = self.recent_results.get(&observation.zone) else { continue };
+            let fresh = zone_results.iter().filter(|(at, _)| at.elapsed() < MAX_RESULT_AGE);
+            let (mut probes, mut failed, mut connect_time_sum) = (0.0f32, 0.0f32, Duration::ZERO);
+            for (_, result) in fresh {
+                probes += 1.0;
+                match result.connect_time {
+                    Some(connect_time) => connect_time_sum += connect_time,
                     None => failed += 1.0,
                 }
             }
-            (sight.probes, sight.failed_probes) = (probed, failed);
-            if sight.connect_ms == 0.0 && probed > failed {
-                sight.connect_ms = time.as_secs_f32() * 1e3 / (probed - failed);
+            (observation.probes, observation.failed_probes) = (probes, failed);
+            if observation.connect_ms == 0.0 && probes > failed {
+                observation.connect_ms = connect_time_sum.as_secs_f32() * 1e3 / (probes - failed);
             }
         }
     }
@@ -123,30 +131,35 @@
 mod tests {
     use super::*;
 
-    fn at(zone: u16, n: u16) -> (Zone, SocketAddr) {
+    fn target(zone: u16, n: u16) -> (Zone, SocketAddr) {
         (Zone(zone), SocketAddr::from(([192, 0, 2, zone as u8], 1000 + n)))
     }
 
-    /// What is known of a zone outlives a change of its list, and not its end; however long a list is, no more of it is kept.
+    /// Results of a zone must survive a list change but not the removal of the zone, and a long list must not
+    /// exceed the target limit.
     #[test]
-    fn it_aims_at_the_list_in_force() {
+    fn probes_follow_the_current_endpoint_list() {
         let mut prober = Prober::new();
-        let listed: Vec<_> = (0..3).flat_map(|zone| (0..100).map(move |n| at(zone, n))).collect();
-        prober.aim(Zone(0), &listed);
-        assert_eq!(prober.targets.keys().copied().collect::<Vec<_>>(), [Zone(1), Zone(2)], "not the own one");
-        assert!(prober.targets.values().all(|of_it| of_it.len() == TARGETS_MOST));
+        let listed: Vec<_> = (0..3).flat_map(|zone| (0..100).map(move |n| target(zone, n))).collect();
+        prober.set_targets(Zone(0), &listed);
+        assert_eq!(
+            prober.targets.keys().copied().collect::<Vec<_>>(),
+            [Zone(1), Zone(2)],
+            "the local zone is not probed"
+        );
+        assert!(prober.targets.values().all(|zone_targets| zone_targets.len() == MAX_PROBE_TARGETS));
         for zone in [1, 2] {
-            prober.heard(Probed { zone: Zone(zone), took: None });
+            prober.record_result(ProbeResult { zone: Zone(zone), connect_time: None });
         }
-        prober.aim(Zone(0), &[at(0, 1), at(1, 7)]);
-        assert_eq!(prober.targets[&Zone(1)], [at(1, 7).1]);
-        let unprobed = |prober: &Prober, zone: u16| {
-            let mut sights = [ZoneObservation { zone: Zone(zone), ..ZoneObservation::default() }];
-            prober.add(&mut sights);
-            sights[0].failed_probes
+        prober.set_targets(Zone(0), &[target(0, 1), target(1, 7)]);
+        assert_eq!(prober.targets[&Zone(1)], [target(1, 7).1]);
+        let failed_probes = |prober: &Prober, zone: u16| {
+            let mut observations = [ZoneObservation { zone: Zone(zone), ..ZoneObservation::default() }];
+            prober.merge_into(&mut observations);
+            observations[0].failed_probes
         };
-        assert_eq!((unprobed(&prober, 1), unprobed(&prober, 2)), (1.0, 0.0));
-        prober.forget();
-        assert!(prober.targets.is_empty() && unprobed(&prober, 1) == 0.0);
+        assert_eq!((failed_probes(&prober, 1), failed_probes(&prober, 2)), (1.0, 0.0));
+        prober.clear();
+        assert!(prober.targets.is_empty() && failed_probes(&prober, 1) == 0.0);
     }
 }
--- a/crates/failover-agent/src/rates.rs
+++ b/crates/failover-agent/src/rates.rs
@@ -1,4 +1,4 @@
-//! From counters that only rise to rates over the last second: what a report is made of. Pure.
+//! Converts monotonic counters into rates over the last second, which reports contain. No I/O and no clock.
 
 use maplehook_failover::report::RATE_WINDOW;
 use maplehook_failover::{Demand, ZoneObservation};
@@ -8,127 +8,132 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Snapshots that are kept: more of them do not make a rate better.
-const KEPT: usize = 16;
+/// Maximum number of stored snapshots; more snapshots do not improve a rate.
+const MAX_SNAPSHOTS: usize = 16;
 
-/// A zone's counters and figures at one moment, as the serving thread has them.
+/// Counters and gauges of a zone at one moment, supplied by the serving thread.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ZoneSeen {
-    /// Which.
+pub struct ZoneCounters {
+    /// Zone number in the topology.
     pub zone: Zone,
-    /// Whether rooms are requests a second; else they are weights.
+    /// True if capacities are in requests per second; otherwise they are weights.
     pub stated: bool,
-    /// What the listed upstreams could take if all were well and warm.
+    /// Capacity of the listed upstreams if all were healthy and out of slow start.
     pub listed: f64,
-    /// What those can take now that can be used.
+    /// Capacity of the usable upstreams now.
     pub usable: f64,
-    /// Part of `listed` that is missing since upstreams are cold.
-    pub cold: f64,
-    /// What is held there against what could be held in good time.
+    /// Part of `listed` that is missing because of slow start.
+    pub slow_start: f64,
+    /// Ratio of requests in flight to the number that can be served within the latency objective.
     pub load: f64,
-    /// Mean time of a new connection, in milliseconds.
+    /// Mean connection time in milliseconds.
     pub connect_ms: f64,
-    /// Attempts that were sent, ever.
+    /// Total number of forwarded attempts.
     pub sent: u64,
-    /// Answered in time.
+    /// Total number of attempts answered in time.
     pub ok: u64,
-    /// Late, or given up while the upstream was reached.
+    /// Total number of attempts that were late, or cancelled after reaching the upstream.
     pub slow: u64,
-    /// Answered with an error.
+    /// Total number of attempts answered with an error.
     pub failed: u64,
-    /// Not reached.
+    /// Total number of attempts that did not reach the upstream.
     pub unreached: u64,
 }
 
-/// A rule's counters.
+/// Counters of a locality rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RuleSeen {
-    /// Requests that came, ever.
-    pub asked: u64,
-    /// Refused here.
-    pub refused: u64,
+pub struct RuleCounters {
+    /// Total number of received requests.
+    pub requests: u64,
+    /// Total number of requests that this balancer rejected.
+    pub rejected: u64,
 }
 
-/// Everything at one moment.
+/// All counters of a balancer at one moment.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
-    /// When, on the process's clock.
+pub struct CounterSnapshot {
+    /// Time of the snapshot on the process clock.
     pub at: Duration,
-    /// The digest of the topology and rules that zones and rules are counted by.
+    /// Digest of the topology and rules that number the zones and rules.
     pub digest: u64,
-    /// Whether clients are taken.
+    /// True if the balancer accepts clients.
     pub ready: bool,
-    /// Zones, sorted.
-    pub zones: Vec<ZoneSeen>,
-    /// Rules, in their order.
-    pub rules: Vec<RuleSeen>,
-    /// Where listed upstreams of each zone listen, some of them if there are many.
+    /// Zone counters, sorted by zone.
+    pub zones: Vec<ZoneCounters>,
+    /// Rule counters, in the order of the rules.
+    pub rules: Vec<RuleCounters>,
+    /// Endpoints of the listed upstreams with their zones; a long list is truncated.
     pub upstreams: Arc<Vec<(Zone, SocketAddr)>>,
 }
 
-/// The snapshots of the last second.
+/// Snapshots of the last second.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Window {
-    kept: VecDeque<Seen>,
+pub struct SnapshotWindow {
+    snapshots: VecDeque<CounterSnapshot>,
 }
 
-impl Window {
-    /// Takes one in. Counters by other zones and rules than before begin anew.
-    pub fn push(&mut self, seen: Seen) {
-        if self.kept.back().is_some_and(|last| last.digest != seen.digest || last.at >= seen.at) {
-            self.kept.clear();
+impl SnapshotWindow {
+    /// Adds a snapshot. Clears older snapshots if the topology, the rules or the clock have changed.
+    pub fn push(&mut self, snapshot: CounterSnapshot) {
+        if self.snapshots.back().is_some_and(|last| last.digest != snapshot.digest || last.at >= snapshot.at)
+        {
+            self.snapshots.clear();
         }
-        self.kept.push_back(seen);
-        let newest = self.kept.back().map_or(Duration::ZERO, |last| last.at);
-        // One that is just older than the span stays: rates are over the whole of it.
-        while self.kept.len() > KEPT
-            || self.kept.get(1).is_some_and(|second| second.at + RATE_WINDOW <= newest)
+        self.snapshots.push_back(snapshot);
+        let newest_at = self.snapshots.back().map_or(Duration::ZERO, |last| last.at);
+        // Retains one snapshot older than the window, so that rates cover the complete window.
+        while self.snapshots.len() > MAX_SNAPSHOTS
+            || self.snapshots.get(1).is_some_and(|second| second.at + RATE_WINDOW <= newest_at)
         {
-            self.kept.pop_front();
+            self.snapshots.pop_front();
         }
     }
 
-    /// The newest.
-    pub fn last(&self) -> Option<&Seen> {
-        self.kept.back()
+    /// Returns the newest snapshot.
+    pub fn last(&self) -> Option<&CounterSnapshot> {
+        self.snapshots.back()
     }
 
-    /// What a report says of zones and rules; nothing before there are two snapshots.
+    /// Returns the observations and demand for a report; both are empty until there are two snapshots.
     pub fn rates(&self) -> (Vec<ZoneObservation>, Vec<Demand>) {
-        let (Some(first), Some(last)) = (self.kept.front(), self.kept.back()) else {
+        let (Some(first), Some(last)) = (self.snapshots.front(), self.snapshots.back()) else {
             return Default::default();
         };
         let span = last.at.saturating_sub(first.at).as_secs_f64();
         if span <= 0.0 {
             return Default::default();
         }
-        // Counters that fell are of another start of what counts.
+        // A decreased counter means that the counting side restarted; the rate is then 0.
         let rate = |now: u64, before: u64| (now.saturating_sub(before) as f64 / span) as f32;
-        let sight = |z: &ZoneSeen| {
-            let before = first.zones.iter().find(|other| other.zone == z.zone).copied().unwrap_or_default();
+        let observation = |counters: &ZoneCounters| {
+            let before =
+                first.zones.iter().find(|other| other.zone == counters.zone).copied().unwrap_or_default();
             ZoneObservation {
-                zone: z.zone,
-                stated: z.stated,
-                listed: z.listed as f32,
-                usable: z.usable as f32,
-                warming: z.cold as f32,
-                sent: rate(z.sent, before.sent),
-                ok: rate(z.ok, before.ok),
-                slow: rate(z.slow, before.slow),
-                failed: rate(z.failed, before.failed),
-                unreached: rate(z.unreached, before.unreached),
-                connect_ms: z.connect_ms as f32,
-                load: z.load as f32,
+                zone: counters.zone,
+                stated: counters.stated,
+                listed: counters.listed as f32,
+                usable: counters.usable as f32,
+                warming: counters.slow_start as f32,
+                sent: rate(counters.sent, before.sent),
+                ok: rate(counters.ok, before.ok),
+                slow: rate(counters.slow, before.slow),
+                failed: rate(counters.failed, before.failed),
+                unreached: rate(counters.unreached, before.unreached),
+                connect_ms: counters.connect_ms as f32,
+                load: counters.load as f32,
                 ..ZoneObservation::default()
             }
         };
-        let demand = |(rule, seen): (usize, &RuleSeen)| {
+        let demand = |(rule, counters): (usize, &RuleCounters)| {
             let before = first.rules.get(rule).copied().unwrap_or_default();
-            let asked = rate(seen.asked, before.asked);
-            let rejected = rate(seen.refused, before.refused);
-            (asked > 0.0).then_some(Demand { rule: rule as u16, asked, rejected })
+            let request_rate = rate(counters.requests, before.requests);
+            let rejected = rate(counters.rejected, before.rejected);
+            (request_rate > 0.0).then_some(Demand { rule: rule as u16, asked: request_rate, rejected })
         };
-        (last.zones.iter().map(sight).collect(), last.rules.iter().enumerate().filter_map(demand).collect())
+        (
+            last.zones.iter().map(observation).collect(),
+            last.rules.iter().enumerate().filter_map(demand).collect(),
+        )
     }
 }
 
@@ -136,41 +141,41 @@
 mod tests {
     use super::*;
 
-    fn seen(ms: u64, sent: u64, asked: u64) -> Seen {
-        Seen {
+    fn snapshot(ms: u64, sent: u64, requests: u64) -> CounterSnapshot {
+        CounterSnapshot {
             at: Duration::from_millis(ms),
-            zones: vec![ZoneSeen { zone: Zone(1), sent, ok: sent / 2, ..ZoneSeen::default() }],
-            rules: vec![RuleSeen::default(), RuleSeen { asked, refused: 0 }],
-            ..Seen::default()
+            zones: vec![ZoneCounters { zone: Zone(1), sent, ok: sent / 2, ..ZoneCounters::default() }],
+            rules: vec![RuleCounters::default(), RuleCounters { requests, rejected: 0 }],
+            ..CounterSnapshot::default()
         }
     }
 
     #[test]
-    fn rates_are_over_the_last_second() {
-        let mut window = Window::default();
-        window.push(seen(0, 0, 0));
+    fn rates_cover_the_last_second() {
+        let mut window = SnapshotWindow::default();
+        window.push(snapshot(0, 0, 0));
         assert_eq!(window.rates(), Default::default());
         for n in 1..=20u64 {
-            // 100 a second for the first two seconds, 50 after that.
+            // The rate is 100 per second for two seconds and 50 per second afterwards.
             let sent = if n <= 10 { 20 * n } else { 200 + 10 * (n - 10) };
-            window.push(seen(200 * n, sent, 2 * sent));
+            window.push(snapshot(200 * n, sent, 2 * sent));
         }
-        let (sights, demand) = window.rates();
-        assert_eq!((sights[0].zone, sights[0].sent, sights[0].ok), (Zone(1), 50.0, 25.0));
+        let (observations, demand) = window.rates();
+        assert_eq!((observations[0].zone, observations[0].sent, observations[0].ok), (Zone(1), 50.0, 25.0));
         assert_eq!(demand, [Demand { rule: 1, asked: 100.0, rejected: 0.0 }]);
-        assert!(window.kept.len() <= 7, "what is older is forgotten");
+        assert!(window.snapshots.len() <= 7, "snapshots older than the window are dropped");
     }
 
     #[test]
-    fn other_rules_begin_anew_and_counters_that_fall_do_no_harm() {
-        let mut window = Window::default();
-        window.push(seen(0, 500, 500));
-        window.push(seen(500, 100, 100));
+    fn a_changed_digest_or_decreased_counter_yields_no_rate() {
+        let mut window = SnapshotWindow::default();
+        window.push(snapshot(0, 500, 500));
+        window.push(snapshot(500, 100, 100));
         assert_eq!(window.rates().0[0].sent, 0.0);
-        window.push(Seen { digest: 7, ..seen(600, 100, 100) });
+        window.push(CounterSnapshot { digest: 7, ..snapshot(600, 100, 100) });
         assert_eq!(window.rates(), Default::default());
-        // A clock that stands still, or goes back, has no rates.
-        window.push(Seen { digest: 7, ..seen(600, 300, 100) });
+        // Rates are empty when the clock stands still or goes back.
+        window.push(CounterSnapshot { digest: 7, ..snapshot(600, 300, 100) });
         assert_eq!(window.rates(), Default::default());
     }
 }
--- a/crates/proxy/src/counts.rs
+++ b/crates/proxy/src/counts.rs
@@ -5,7 +5,7 @@
 use maplehook::metrics::{RequestMetrics, RequestObserver, RequestResult};
 use maplehook_canary::IntervalReport;
 use maplehook_core::{ClassId, TenantId};
-use maplehook_rollout_agent::taking::Serving;
+use maplehook_rollout_agent::agent::ServingChannels;
 use std::cell::RefCell;
 use std::mem;
 use std::rc::Rc;
@@ -95,7 +95,7 @@
 /// The serving thread's side of a staged rollout.
 pub struct RolloutLink {
     /// Channels to and from the rollout agent's thread.
-    pub channels: Serving,
+    pub channels: ServingChannels,
     /// Counts that are reported to the rollout agent.
     pub counts: Rc<IntervalCounts>,
 }
--- a/crates/proxy/src/failover.rs
+++ b/crates/proxy/src/failover.rs
@@ -7,8 +7,8 @@
 use maplehook_config::Proxy;
 use maplehook_consensus::ConsensusService;
 use maplehook_core::{GroupSplit, TrafficSplit, ZoneId};
-use maplehook_failover_agent::rates::{RuleSeen, Seen, ZoneSeen};
-use maplehook_failover_agent::{Acted, Config, Link, Setup, TARGETS_MOST, Taking};
+use maplehook_failover_agent::rates::{CounterSnapshot, RuleCounters, ZoneCounters};
+use maplehook_failover_agent::{ActiveRouting, Agent, Config, Link, MAX_PROBE_TARGETS, Setup};
 use maplehook_locality::Zone;
 use maplehook_transport::MeasuredRtts;
 use maplehook_versions::{ResolvedRules, StableIds};
@@ -60,7 +60,7 @@
 /// The failover agent, started before clients are accepted.
 pub struct FailoverAgent {
     /// The agent's thread, which stops when this is dropped.
-    pub agent: Taking,
+    pub agent: Agent,
     /// Notifies the agent of the active configuration and its names.
     pub notifier: PlacesOf,
     /// The part that runs on the serving thread.
@@ -69,9 +69,9 @@
 
 /// The serving thread's ends of the channels to the agent.
 pub struct ServingSide {
-    plans: watch::Receiver<Option<Arc<Acted>>>,
+    plans: watch::Receiver<Option<Arc<ActiveRouting>>>,
     names: watch::Receiver<NamesById>,
-    observations: watch::Sender<Seen>,
+    observations: watch::Sender<CounterSnapshot>,
     ready: Arc<AtomicBool>,
 }
 
@@ -100,36 +100,37 @@
         let FailoverOptions { name, proxy, ready, trips, balancers, history } = options;
         let (config, configs) = watch::channel(None);
         let (names_sender, names) = watch::channel(NamesById::default());
-        let (observations, observation_updates) = watch::channel(Seen::default());
+        let (observations, observation_updates) = watch::channel(CounterSnapshot::default());
         let notifier = PlacesOf { config, names: names_sender };
         // Assigns ids from the start, because later versions extend them.
         notifier.tell(proxy, &StableIds::default().assign(proxy));
         let link = consensus.and_then(|consensus| {
             let places = consensus.failover.take()?;
-            let (standing, acts) = (consensus.failover_status.clone(), consensus.applied_document.clone());
-            Some(Link { standing, acts, places })
+            let (document_status, applied_number) =
+                (consensus.failover_status.clone(), consensus.applied_document.clone());
+            Some(Link { document_status, applied_number, channels: places })
         });
-        let start = maplehook_transport::unix_ms();
+        let generation = maplehook_transport::unix_ms();
         let setup = Setup {
             name,
-            start,
+            generation,
             config: configs,
-            seen: observation_updates,
+            counters: observation_updates,
             link,
-            trips,
-            balancers,
+            rtts: trips,
+            balancer_count: balancers,
             ready: Arc::clone(&ready),
             history,
         };
-        let agent = Taking::start(setup)?;
-        let serving = ServingSide { plans: agent.acted.clone(), names, observations, ready };
+        let agent = Agent::start(setup)?;
+        let serving = ServingSide { plans: agent.active_routing.clone(), names, observations, ready };
         Ok(Self { agent, notifier, serving })
     }
 }
 
 /// Converts a plan into the traffic split that the balancer applies.
-pub fn traffic_split(plan: &Acted, names: &NamesById) -> TrafficSplit {
-    let Config { topology, rules, own, classes, tenants, .. } = &*plan.config;
+pub fn traffic_split(plan: &ActiveRouting, names: &NamesById) -> TrafficSplit {
+    let Config { topology, rules, own_zone, classes, tenants, .. } = &*plan.config;
     let zone = |zone: Zone| names.zone_id(topology.zone_name(zone));
     let position = |names: &[String], name: &String| names.iter().position(|other| other == name);
     let mut groups = Vec::with_capacity(names.classes.len() * names.tenants.len());
@@ -141,10 +142,10 @@
         }
     }
     let region: Vec<ZoneId> =
-        topology.zones_of(topology.region_of(*own)).iter().filter_map(|id| zone(*id)).collect();
+        topology.zones_of(topology.region_of(*own_zone)).iter().filter_map(|id| zone(*id)).collect();
     let group_split = |(index, rule): (usize, &maplehook_locality::Rule)| {
         let excluded: Vec<ZoneId> = rule.never.iter().filter_map(|id| zone(*id)).collect();
-        let zone_shares = plan.acts.rules.get(index).map_or(&[][..], |shares| &shares.to);
+        let zone_shares = plan.routing.rules.get(index).map_or(&[][..], |shares| &shares.to);
         let shares = zone_shares.iter().filter_map(|(to, share)| Some((zone(*to)?, *share)));
         GroupSplit {
             zone_shares: shares.filter(|(zone, _)| !excluded.contains(zone)).collect(),
@@ -161,16 +162,22 @@
 }
 
 /// Returns the observed zone health and request counters, by the zones and rules of `config`.
-pub fn observe(driver: &Driver, config: &Config, names: &NamesById, at: Duration, ready: bool) -> Seen {
+pub fn observe(
+    driver: &Driver,
+    config: &Config,
+    names: &NamesById,
+    at: Duration,
+    ready: bool,
+) -> CounterSnapshot {
     let health = driver.observations();
     let zone = |zone: Zone| {
         let id = names.zone_id(config.topology.zone_name(zone));
         let zone_health = health.zones.iter().find(|zone_health| Some(zone_health.zone) == id);
-        let capacity = config.rooms.get(usize::from(zone.0)).copied().flatten();
+        let capacity = config.capacity_per_weight.get(usize::from(zone.0)).copied().flatten();
         let to_capacity = |weight: f64| weight * capacity.unwrap_or(1.0);
-        let mut observed = ZoneSeen { zone, stated: capacity.is_some(), ..ZoneSeen::default() };
+        let mut observed = ZoneCounters { zone, stated: capacity.is_some(), ..ZoneCounters::default() };
         if let Some(zone_health) = zone_health {
-            (observed.listed, observed.usable, observed.cold) = (
+            (observed.listed, observed.usable, observed.slow_start) = (
                 to_capacity(zone_health.listed_weight),
                 to_capacity(zone_health.usable_weight),
                 to_capacity(zone_health.warming_weight),
@@ -182,20 +189,24 @@
         }
         observed
     };
-    Seen {
+    CounterSnapshot {
         at,
         digest: config.digest,
         ready,
         zones: config.topology.zones().map(zone).collect(),
         upstreams: Arc::default(),
-        rules: health.groups.iter().map(|g| RuleSeen { asked: g.requests, refused: g.rejected }).collect(),
+        rules: health
+            .groups
+            .iter()
+            .map(|g| RuleCounters { requests: g.requests, rejected: g.rejected })
+            .collect(),
     }
 }
 
 /// Returns the addresses of usable upstreams in the zones of `config`, whichever source listed them.
 fn listed_endpoints(driver: &Driver, config: &Config, names: &NamesById) -> Vec<(Zone, SocketAddr)> {
     let zone = |id: ZoneId| config.topology.zone(names.zones.get(usize::from(id.0))?);
-    let endpoints = driver.endpoints(TARGETS_MOST).into_iter();
+    let endpoints = driver.endpoints(MAX_PROBE_TARGETS).into_iter();
     endpoints.filter_map(|(id, address)| Some((zone(id)?, address))).collect()
 }
 
@@ -224,7 +235,7 @@
                         observation_count += 1;
                         let observation = observe(&driver, config, &names, started_at.elapsed(), ready);
                         self.observations
-                            .send_replace(Seen { upstreams: Arc::clone(&upstreams), ..observation });
+                            .send_replace(CounterSnapshot { upstreams: Arc::clone(&upstreams), ..observation });
                     }
                     continue;
                 }
@@ -255,8 +266,8 @@
             [[upstream]]\nname = 'u'\naddress = '127.0.0.1:9'\nzone = 'b'\nroom_per_s = 30.0\nweight = 2.0\n[locality]\nrules = '''\n\
             rule x { for class \"book\"; prefer own zone > anywhere; never zone \"c\"; beyond region at most 20%; }\n'''\n";
         let proxy = maplehook_config::parse(text).unwrap().proxy.unwrap();
-        let config = Arc::new(Config::of(&proxy).unwrap());
-        assert_eq!(config.rooms, [None, Some(15.0), None]);
+        let config = Arc::new(Config::from_proxy(&proxy).unwrap());
+        assert_eq!(config.capacity_per_weight, [None, Some(15.0), None]);
         let names = NamesById {
             classes: ["gone", "book", "look"].map(String::from).into(),
             tenants: vec![String::new()],
@@ -267,7 +278,8 @@
             rejected: 0.0,
         };
         let rules = vec![zone_shares(&[(0, 0.25), (1, 0.75)]), zone_shares(&[(1, 0.5), (2, 0.5)])];
-        let plan = Acted { config, acts: EffectiveRouting { rules, ..EffectiveRouting::default() } };
+        let plan =
+            ActiveRouting { config, routing: EffectiveRouting { rules, ..EffectiveRouting::default() } };
         let split = traffic_split(&plan, &names);
         assert_eq!(split.check(), Ok(()));
         assert_eq!(split.groups, [u16::MAX, 0, 1], "a class that is not configured uses the last row");
--- a/crates/proxy/src/serve/file.rs
+++ b/crates/proxy/src/serve/file.rs
@@ -118,7 +118,7 @@
             .map(|(channels, names)| counts::RolloutLink { channels, counts: IntervalCounts::new(names) });
         let counts = stages.as_ref().map(|part| {
             let channels = &part.channels;
-            (Rc::clone(&part.counts), channels.counts.clone(), channels.counted.clone())
+            (Rc::clone(&part.counts), channels.report_interval.clone(), channels.reports.clone())
         });
         let versions =
             agreeing.as_ref().zip(notifier.take_if(|_| agreeing.is_some())).map(|(agreeing, notifier)| {
--- a/crates/rollout-agent/src/lib.rs
+++ b/crates/rollout-agent/src/lib.rs
@@ -1,27 +1,29 @@
-//! A balancer's part in changes in stages: settings or a program that go to some first, and to the others once those do not do worse.
+//! Rollout agent: applies new settings or a new program to some balancers first, and to the others once the
+//! first are not worse.
 //!
-//! [`Taking`] is a thread of its own: it reports what became of requests while a change runs, says by what to act here, and, at the
-//! leader, plays [`maplehook_rollout::Command`]s on the agreed [`Document`] and puts what comes of it by compare-and-set. Pure are
-//! [`document`], [`parts`] (what of settings may differ between stages), [`judging`], [`lead`] and [`member`];
-//! `docs/design/rollout.md` has the options that were weighed.
+//! [`Agent`] runs its own thread. It reports request outcomes while a change runs and publishes the target
+//! side of this balancer. On the leader, it applies [`maplehook_rollout::Command`]s to the agreed
+//! [`Document`] and proposes the result by compare-and-set. The modules [`document`], [`staged_settings`],
+//! [`evaluation`], [`leader`] and [`member`] perform no I/O. Design alternatives are described in
+//! `docs/design/rollout.md`.
 
-pub mod board;
+pub mod agent;
 pub mod document;
+pub mod evaluation;
 #[cfg(test)]
 mod golden_tests;
-pub mod judging;
-pub mod lead;
-mod machine;
+pub mod leader;
 pub mod member;
-pub mod parts;
-mod put;
-mod run;
-pub mod shown;
-pub mod taking;
-pub mod talk;
-mod tell;
+pub mod messages;
+mod messaging;
+mod process_usage;
+mod proposals;
+mod runner;
+pub mod staged_settings;
+pub mod status;
+pub mod status_board;
 
-pub use board::Board;
+pub use agent::{Agent, AppliedSide, Link, Setup, StagedSettings};
 pub use document::{Change, Content, Document};
-pub use member::Wanted;
-pub use taking::{Acked, Link, Setup, Staged, Taking};
+pub use member::MemberTarget;
+pub use status_board::StatusBoard;
--- a/crates/rollout-agent/src/member.rs
+++ b/crates/rollout-agent/src/member.rs
@@ -1,47 +1,48 @@
-//! On which side a balancer is to be.
+//! Target side of a balancer.
 
-use crate::document::{Content, Document, words};
+use crate::document::{Content, Document, describe_state};
 use maplehook_canary::Side;
 use maplehook_rollout::side_without_leader;
 use maplehook_rollout::{Rollout, RolloutState};
 use std::time::Duration;
 
-/// Where a balancer is to be.
+/// Side and program that a balancer must apply.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wanted {
-    /// The change.
+pub struct MemberTarget {
+    /// Number of the change.
     pub number: u64,
-    /// The step that this is by.
+    /// Rollout step that set this target.
     pub step: u64,
-    /// The side.
+    /// Target side of the balancer.
     pub side: Side,
-    /// Of a program: its path and digest.
+    /// Path and SHA-256 digest of the new program, for a program change.
     pub program: Option<(String, String)>,
-    /// The state, in words.
-    pub word: String,
+    /// Readable state of the rollout.
+    pub state_description: String,
 }
 
-/// Where a balancer is to be by what is agreed on, when it has held no lease for so long; `None` where there never was a change.
-pub fn wanted(document: &Document, own: &str, silent: Duration) -> Option<Wanted> {
+/// Returns the target of a balancer that has held no lease for the given time; `None` before the first
+/// change.
+pub fn member_target(document: &Document, name: &str, silence: Duration) -> Option<MemberTarget> {
     let change = document.change.as_ref()?;
     let Rollout { number, step, state, plan, .. } = &change.rollout;
-    let mut side = change.rollout.target_side(own);
+    let mut side = change.rollout.target_side(name);
     let program = match &change.content {
         Content::Settings { .. } => None,
         Content::Program { path, digest } => {
-            // One after the other, as many of a zone as may be away.
-            if !change.released.contains(own) && *state != RolloutState::Completed {
+            // Balancers restart in turn, limited by the number per zone that may be away at the same time.
+            if !change.released.contains(name) && *state != RolloutState::Completed {
                 side = Side::Old;
             }
             Some((path.clone(), digest.clone()))
         }
     };
-    let mut word = words(state);
-    if side_without_leader(plan, side, *state == RolloutState::Completed, silent) != side {
+    let mut state_description = describe_state(state);
+    if side_without_leader(plan, side, *state == RolloutState::Completed, silence) != side {
         side = Side::Old;
-        word = format!("cut off for {} s: as before ({word})", silent.as_secs());
+        state_description = format!("cut off for {} s: as before ({state_description})", silence.as_secs());
     }
-    Some(Wanted { number: *number, step: *step, side, program, word })
+    Some(MemberTarget { number: *number, step: *step, side, program, state_description })
 }
 
 #[cfg(test)]
@@ -61,9 +62,9 @@
             rollout,
             content,
             by: "b1".into(),
-            at_ms: 0,
-            watched: Vec::new(),
-            before: None,
+            started_at_ms: 0,
+            stage_records: Vec::new(),
+            baseline: None,
             released: Default::default(),
             version: None,
         };
@@ -71,21 +72,21 @@
     }
 
     #[test]
-    fn whoever_is_of_the_stage_is_new_until_it_is_cut_off() {
-        let document = document(Content::Settings { text: String::new(), rests_on: 1 });
-        let side = |own: &str, s: u64| wanted(&document, own, Duration::from_secs(s)).unwrap().side;
+    fn a_stage_member_uses_the_new_side_until_it_loses_contact() {
+        let document = document(Content::Settings { text: String::new(), base_version: 1 });
+        let side = |name: &str, s: u64| member_target(&document, name, Duration::from_secs(s)).unwrap().side;
         assert_eq!((side("b1", 0), side("b2", 0)), (Side::New, Side::Old));
         assert_eq!((side("b1", 4), side("b1", 5)), (Side::New, Side::Old));
-        assert_eq!(wanted(&Document::default(), "b1", Duration::ZERO), None);
+        assert_eq!(member_target(&Document::default(), "b1", Duration::ZERO), None);
     }
 
     #[test]
-    fn a_program_waits_until_it_may_be_away() {
+    fn a_program_change_waits_until_the_member_is_released() {
         let mut document = document(Content::Program { path: "p".into(), digest: "d".into() });
-        let wanted = |document: &Document| wanted(document, "b1", Duration::ZERO).unwrap();
-        assert_eq!(wanted(&document).side, Side::Old);
+        let target = |document: &Document| member_target(document, "b1", Duration::ZERO).unwrap();
+        assert_eq!(target(&document).side, Side::Old);
         document.change.as_mut().unwrap().released.insert("b1".into());
-        let wanted = wanted(&document);
-        assert_eq!((wanted.side, wanted.program), (Side::New, Some(("p".into(), "d".into()))));
+        let target = target(&document);
+        assert_eq!((target.side, target.program), (Side::New, Some(("p".into(), "d".into()))));
     }
 }
