--- a/crates/address-announcement/src/state.rs
+++ b/crates/address-announcement/src/state.rs
@@ -5,7 +5,7 @@
 
 use crate::order::MAX_OPERATOR_NAME_CHARS;
 use crate::{Announce, MAX_ADDRESSES};
-use maplehook_locality::topology::REGIONS_MOST;
+use maplehook_locality::topology::MAX_REGIONS;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -113,7 +113,7 @@
             None => self.announce == Announce::Many || self.announcing.is_empty(),
         };
         is_consistent
-            && sizes.into_iter().all(|len| len <= REGIONS_MOST)
+            && sizes.into_iter().all(|len| len <= MAX_REGIONS)
             && self.withdrawn.values().chain(&self.pinned).all(is_short)
             && self.sites.values().all(|site| site.penalty.is_finite() && site.penalty >= 0.0)
     }
--- a/crates/config/src/places.rs
+++ b/crates/config/src/places.rs
@@ -92,7 +92,7 @@
         let ends = way.split_once(' ').map(|(a, b)| (topology.zone(a), topology.zone(b)));
         match ends {
             Some((Some(a), Some(b))) if a != b && (0.0..=60_000.0).contains(&ms) => {
-                topology.set_trip(a, b, Duration::from_secs_f64(ms / 1e3));
+                topology.set_rtt(a, b, Duration::from_secs_f64(ms / 1e3));
             }
             Some((Some(_), Some(_))) => {
                 let what = format!("{way:?}: it has to be 0 to 60,000 ms between two zones");
@@ -280,7 +280,7 @@
         let proxy = crate::parse(&format!("{FILE}{text}")).unwrap().proxy.unwrap();
         let places = proxy.places.unwrap();
         assert_eq!(places.topology.zone_name(places.own), "a");
-        assert_eq!(places.topology.trip(Zone(0), Zone(1)), Some(Duration::from_micros(1500)));
+        assert_eq!(places.topology.rtt(Zone(0), Zone(1)), Some(Duration::from_micros(1500)));
         assert_eq!(places.bounds.max_capacity_removed, 0.3);
         assert_eq!(places.addresses[0].sites, [Region(1), Region(0)]);
         // Without regions all zones lie in one, in the order of their names, whichever the own one is.
--- a/crates/endpoints/src/fleet.rs
+++ b/crates/endpoints/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The fleet as it is believed to be.
 
-use crate::instance::{Instance, Word};
+use crate::instance::{Instance, InstanceStatus};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,31 +10,31 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// Share of a source's instances that may be missing at once without being held. 0 to 1.
-    pub loss: f64,
+    pub max_missing_share: f64,
     /// Lists in a row that have to agree before one that is missing is forgotten. 1 or more.
-    pub confirm: u32,
+    pub confirming_lists: u32,
     /// The longest time for which a loss is held without further evidence.
-    pub hold: Duration,
+    pub max_hold: Duration,
     /// The longest time for which one that answers on its sockets is held, though it is missing.
-    pub hold_answering: Duration,
+    pub max_hold_answering: Duration,
     /// How long a source's word is fresh after the source was last heard.
-    pub fresh: Duration,
+    pub freshness: Duration,
     /// How long a new replica may lag.
-    pub lag: Duration,
+    pub max_replica_lag: Duration,
     /// Instances that are remembered, of all sources together; more are not taken in.
-    pub most: usize,
+    pub max_instances: usize,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
         Self {
-            loss: 0.3,
-            confirm: 3,
-            hold: Duration::from_secs(60),
-            hold_answering: Duration::from_secs(300),
-            fresh: Duration::from_secs(30),
-            lag: Duration::from_secs(90),
-            most: 100_000,
+            max_missing_share: 0.3,
+            confirming_lists: 3,
+            max_hold: Duration::from_secs(60),
+            max_hold_answering: Duration::from_secs(300),
+            freshness: Duration::from_secs(30),
+            max_replica_lag: Duration::from_secs(90),
+            max_instances: 100_000,
         }
     }
 }
@@ -50,18 +50,18 @@
 
 /// How an instance stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Standing {
+pub enum MemberState {
     /// Requests may go there.
-    Offered,
+    Available,
     /// Nothing new goes there; what is there is finished.
-    Drained,
+    Draining,
     /// Nobody knows it.
-    Gone,
+    Removed,
 }
 
 /// Why one is on offer that its source does not list any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct Hold {
     /// Since when it has been missing.
     pub since: Duration,
     /// When that ends at the latest.
@@ -74,13 +74,13 @@
     /// As its source listed it last.
     pub instance: Instance,
     /// How it stands.
-    pub standing: Standing,
+    pub state: MemberState,
     /// Whose word that is.
     pub source: usize,
     /// When that word was last heard.
-    pub heard: Duration,
+    pub last_update: Duration,
     /// Set if it is on offer though it is missing.
-    pub held: Option<Held>,
+    pub hold: Option<Hold>,
 }
 
 /// What one source says of one instance.
@@ -88,7 +88,7 @@
 struct Record {
     instance: Instance,
     replica: u32,
-    heard: Duration,
+    last_update: Duration,
     missing: Option<Missing>,
 }
 
@@ -110,7 +110,7 @@
     /// Versions of those that were deleted, so that a replica that lags does not bring them back.
     deleted: FxHashMap<String, (u64, Duration)>,
     deleted_in_order: VecDeque<(Duration, String)>,
-    heard: Option<Duration>,
+    last_update: Option<Duration>,
     /// The replica that spoke last, and since when.
     replica: Option<(u32, Duration)>,
 }
@@ -148,7 +148,7 @@
     }
 
     /// A source lists all that it knows.
-    pub fn listed(&mut self, now: Duration, origin: Origin, list: Vec<Instance>) {
+    pub fn apply_list(&mut self, now: Duration, origin: Origin, list: Vec<Instance>) {
         self.hear(now, origin);
         let named: FxHashSet<String> = list.iter().map(|instance| instance.key.clone()).collect();
         for instance in list {
@@ -156,16 +156,19 @@
         }
         let (now, bounds) = (self.now, self.bounds);
         let Some(source) = self.sources.get_mut(origin.source) else { return };
-        let offered = source.records.values().filter(|r| r.instance.word.is_up()).count();
+        let offered = source.records.values().filter(|r| r.instance.status.is_up()).count();
         let missing = source
             .records
             .values()
-            .filter(|r| r.instance.word.is_up() && (r.missing.is_some() || !named.contains(&r.instance.key)))
+            .filter(|r| {
+                r.instance.status.is_up() && (r.missing.is_some() || !named.contains(&r.instance.key))
+            })
             .count();
         // One of two is half of the fleet, and no wonder.
-        let too_many = named.is_empty() || (missing as f64 > bounds.loss * offered as f64 && missing > 1);
+        let too_many =
+            named.is_empty() || (missing as f64 > bounds.max_missing_share * offered as f64 && missing > 1);
         for record in source.records.values_mut().filter(|r| !named.contains(&r.instance.key)) {
-            let up = record.instance.word.is_up();
+            let up = record.instance.status.is_up();
             let missing = record.missing.get_or_insert(Missing {
                 since: now,
                 lists: 0,
@@ -175,13 +178,13 @@
             });
             missing.lists = missing.lists.saturating_add(1);
             // Those that went before the others did belong to the same loss.
-            missing.held |= too_many && up && missing.lists <= bounds.confirm;
+            missing.held |= too_many && up && missing.lists <= bounds.confirming_lists;
         }
         self.settle(origin.source);
     }
 
     /// A source tells what has changed.
-    pub fn changed(&mut self, now: Duration, origin: Origin, changes: Vec<Instance>) {
+    pub fn apply_changes(&mut self, now: Duration, origin: Origin, changes: Vec<Instance>) {
         self.hear(now, origin);
         for instance in changes {
             self.said(origin, instance);
@@ -190,7 +193,7 @@
     }
 
     /// A source agrees with what it said before: those that were missing are missing still.
-    pub fn agreed(&mut self, now: Duration, origin: Origin) {
+    pub fn confirm_unchanged(&mut self, now: Duration, origin: Origin) {
         self.hear(now, origin);
         let Some(source) = self.sources.get_mut(origin.source) else { return };
         for missing in source.records.values_mut().filter_map(|record| record.missing.as_mut()) {
@@ -202,17 +205,17 @@
     /// A source says in so many words that these are no more, each with its version. One, or a few, are gone at once;
     /// more than the share that may be missing are not believed at once either: leases that all end together are
     /// more often a fault between the registry and those that renew.
-    pub fn deleted(&mut self, now: Duration, origin: Origin, gone: &[(String, u64)]) {
+    pub fn apply_deletions(&mut self, now: Duration, origin: Origin, gone: &[(String, u64)]) {
         self.hear(now, origin);
         let (now, bounds) = (self.now, self.bounds);
         let Some(source) = self.sources.get_mut(origin.source) else { return };
-        let offered = source.records.values().filter(|r| r.instance.word.is_up()).count();
-        let up = |key: &String| source.records.get(key).is_some_and(|r| r.instance.word.is_up());
+        let offered = source.records.values().filter(|r| r.instance.status.is_up()).count();
+        let up = |key: &String| source.records.get(key).is_some_and(|r| r.instance.status.is_up());
         let lost = gone.iter().filter(|(key, _)| up(key)).count();
-        let too_many = lost > 1 && lost as f64 > bounds.loss * offered as f64;
+        let too_many = lost > 1 && lost as f64 > bounds.max_missing_share * offered as f64;
         for (key, version) in gone {
             let Some(record) = source.records.get_mut(key) else { continue };
-            if too_many && record.instance.word.is_up() {
+            if too_many && record.instance.status.is_up() {
                 let missing =
                     Missing { since: now, lists: 1, held: true, answered: None, unreachable: false };
                 record.missing.get_or_insert(missing).held = true;
@@ -220,7 +223,7 @@
             }
             let version = record.instance.version.max(*version);
             source.records.remove(key);
-            if source.deleted.len() < bounds.most {
+            if source.deleted.len() < bounds.max_instances {
                 source.deleted.insert(key.clone(), (version, now));
                 source.deleted_in_order.push_back((now, key.clone()));
             }
@@ -228,7 +231,7 @@
     }
 
     /// An instance has answered on its sockets.
-    pub fn answered(&mut self, now: Duration, key: &str) {
+    pub fn record_answer(&mut self, now: Duration, key: &str) {
         self.now = self.now.max(now);
         let now = self.now;
         for missing in self.missing_of(key) {
@@ -237,13 +240,13 @@
     }
 
     /// No connection to an instance could be made.
-    pub fn unreachable(&mut self, now: Duration, key: &str) {
+    pub fn record_unreachable(&mut self, now: Duration, key: &str) {
         self.now = self.now.max(now);
         for missing in self.missing_of(key) {
             (missing.answered, missing.unreachable) = (None, true);
         }
         // Without the answer its hold may have ended long ago.
-        self.pass(now);
+        self.advance(now);
     }
 
     fn missing_of<'a>(&'a mut self, key: &'a str) -> impl Iterator<Item = &'a mut Missing> {
@@ -252,7 +255,7 @@
     }
 
     /// Time goes on; a clock that goes back stands. A source that could not be asked says nothing: it is not told.
-    pub fn pass(&mut self, now: Duration) {
+    pub fn advance(&mut self, now: Duration) {
         self.now = self.now.max(now);
         for source in 0..self.sources.len() {
             self.settle(source);
@@ -263,7 +266,7 @@
         self.now = self.now.max(now);
         let now = self.now;
         let Some(source) = self.sources.get_mut(origin.source) else { return };
-        source.heard = Some(now);
+        source.last_update = Some(now);
         if source.replica.is_none_or(|(replica, _)| replica != origin.replica) {
             source.replica = Some((origin.replica, now));
         }
@@ -271,11 +274,12 @@
 
     /// A source says something of an instance that it lists.
     fn said(&mut self, origin: Origin, instance: Instance) {
-        let (now, lag, room) = (self.now, self.bounds.lag, self.len() < self.bounds.most);
+        let (now, max_replica_lag, room) =
+            (self.now, self.bounds.max_replica_lag, self.len() < self.bounds.max_instances);
         let Some(source) = self.sources.get_mut(origin.source) else { return };
         let since = source.replica.map_or(now, |(_, since)| since);
         // A replica that has just taken over may lag.
-        let may_lag = now < since + lag;
+        let may_lag = now < since + max_replica_lag;
         if let Some((version, _)) = source.deleted.get(&instance.key) {
             if may_lag && instance.version <= *version && instance.version > 0 {
                 return;
@@ -284,18 +288,18 @@
         }
         match source.records.get_mut(&instance.key) {
             Some(record) => {
-                record.heard = now;
+                record.last_update = now;
                 let older = instance.version < record.instance.version;
-                if record.replica != origin.replica && may_lag && older && instance.word.is_up() {
+                if record.replica != origin.replica && may_lag && older && instance.status.is_up() {
                     // It is listed, but what is said of it is old.
                     record.missing = None;
                     return;
                 }
-                *record = Record { instance, replica: origin.replica, heard: now, missing: None };
+                *record = Record { instance, replica: origin.replica, last_update: now, missing: None };
             }
             None if !room => self.overflow += 1,
             None => {
-                let record = Record { replica: origin.replica, heard: now, missing: None, instance };
+                let record = Record { replica: origin.replica, last_update: now, missing: None, instance };
                 source.records.insert(record.instance.key.clone(), record);
             }
         }
@@ -308,11 +312,11 @@
         source.records.retain(|_, record| {
             let Some(missing) = &mut record.missing else { return true };
             let bound = missing.until(&bounds);
-            missing.held &= now < bound && !(missing.unreachable && missing.lists >= bounds.confirm);
+            missing.held &= now < bound && !(missing.unreachable && missing.lists >= bounds.confirming_lists);
             // What was never on offer, or is believed lost, goes when the lists agree.
-            missing.held || missing.lists < bounds.confirm
+            missing.held || missing.lists < bounds.confirming_lists
         });
-        let forget = |(at, _): &(Duration, String)| now > *at + bounds.lag;
+        let forget = |(at, _): &(Duration, String)| now > *at + bounds.max_replica_lag;
         while let Some((at, key)) = source.deleted_in_order.front().filter(|entry| forget(entry)).cloned() {
             source.deleted_in_order.pop_front();
             if source.deleted.get(&key).is_some_and(|(_, when)| *when == at) {
@@ -322,20 +326,20 @@
     }
 
     /// When something changes by time alone, if anything does.
-    pub fn next_look(&self) -> Option<Duration> {
+    pub fn next_deadline(&self) -> Option<Duration> {
         let records = self.sources.iter().flat_map(|source| source.records.values());
         let held = records.filter_map(|record| record.missing.filter(|missing| missing.held));
         held.map(|missing| missing.until(&self.bounds)).min()
     }
 
     /// Whether anybody is missing, so that time or further lists may change how he stands.
-    pub fn is_unsettled(&self) -> bool {
+    pub fn has_missing(&self) -> bool {
         self.sources.iter().flat_map(|source| source.records.values()).any(|record| record.missing.is_some())
     }
 
     /// How one instance stands.
-    pub fn standing(&self, key: &str) -> Standing {
-        self.decided(key).map_or(Standing::Gone, |(_, record)| record.standing())
+    pub fn state(&self, key: &str) -> MemberState {
+        self.decided(key).map_or(MemberState::Removed, |(_, record)| record.state())
     }
 
     /// The record whose word counts.
@@ -343,7 +347,7 @@
         let mut first = None;
         for (n, source) in self.sources.iter().enumerate() {
             let Some(record) = source.records.get(key) else { continue };
-            if source.heard.is_some_and(|heard| self.now <= heard + self.bounds.fresh) {
+            if source.last_update.is_some_and(|last_update| self.now <= last_update + self.bounds.freshness) {
                 return Some((n, record));
             }
             first = first.or(Some((n, record)));
@@ -362,14 +366,14 @@
             .filter_map(|key| self.decided(key))
             .map(|(source, record)| Member {
                 instance: record.instance.clone(),
-                standing: record.standing(),
+                state: record.state(),
                 source,
-                heard: record.heard,
-                held: record.held(&self.bounds),
+                last_update: record.last_update,
+                hold: record.hold(&self.bounds),
             })
             .collect();
         let mut owners: FxHashMap<SocketAddr, (u64, u64, usize)> = FxHashMap::default();
-        for (n, member) in members.iter().enumerate().filter(|(_, m)| m.standing == Standing::Offered) {
+        for (n, member) in members.iter().enumerate().filter(|(_, m)| m.state == MemberState::Available) {
             let Some(address) = member.instance.address else { continue };
             let claim = (member.instance.boot_ms, member.instance.version, n);
             let owner = owners.entry(address).or_insert(claim);
@@ -377,8 +381,8 @@
         }
         for (n, member) in members.iter_mut().enumerate() {
             let owner = member.instance.address.and_then(|address| owners.get(&address));
-            if member.standing == Standing::Offered && owner.is_some_and(|(_, _, owner)| *owner != n) {
-                member.standing = Standing::Drained;
+            if member.state == MemberState::Available && owner.is_some_and(|(_, _, owner)| *owner != n) {
+                member.state = MemberState::Draining;
             }
         }
         members
@@ -388,25 +392,25 @@
 impl Missing {
     /// When a hold ends at the latest.
     fn until(&self, bounds: &Bounds) -> Duration {
-        let plain = self.since + bounds.hold;
+        let plain = self.since + bounds.max_hold;
         // Each answer is as good as a list for a while.
-        let answered = self.answered.map_or(Duration::ZERO, |at| at + bounds.hold);
-        plain.max(answered).min(self.since + bounds.hold_answering.max(bounds.hold))
+        let answered = self.answered.map_or(Duration::ZERO, |at| at + bounds.max_hold);
+        plain.max(answered).min(self.since + bounds.max_hold_answering.max(bounds.max_hold))
     }
 }
 
 impl Record {
-    fn standing(&self) -> Standing {
+    fn state(&self) -> MemberState {
         let missing = self.missing.is_some_and(|missing| !missing.held);
-        if self.instance.word == Word::Up && self.instance.address.is_some() && !missing {
-            Standing::Offered
+        if self.instance.status == InstanceStatus::Up && self.instance.address.is_some() && !missing {
+            MemberState::Available
         } else {
-            Standing::Drained
+            MemberState::Draining
         }
     }
 
-    fn held(&self, bounds: &Bounds) -> Option<Held> {
+    fn hold(&self, bounds: &Bounds) -> Option<Hold> {
         let missing = self.missing.filter(|missing| missing.held)?;
-        Some(Held { since: missing.since, until: missing.until(bounds) })
+        Some(Hold { since: missing.since, until: missing.until(bounds) })
     }
 }
--- a/crates/endpoints/src/instance.rs
+++ b/crates/endpoints/src/instance.rs
@@ -5,7 +5,7 @@
 
 /// How an instance stands, by a source's word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Word {
+pub enum InstanceStatus {
     /// It takes requests.
     Up,
     /// It has said, or was found, not to work.
@@ -18,7 +18,7 @@
     Unknown,
 }
 
-impl Word {
+impl InstanceStatus {
     /// Whether requests may go there.
     pub fn is_up(self) -> bool {
         self == Self::Up
@@ -33,7 +33,7 @@
     /// Where it listens; `None` if the source says so in no usable way. Such a one is not offered.
     pub address: Option<SocketAddr>,
     /// How it stands.
-    pub word: Word,
+    pub status: InstanceStatus,
     /// When it last changed, in the source's own numbers: later ones are larger.
     pub version: u64,
     /// When its process started, Unix time in milliseconds; 0 if not known.
@@ -46,11 +46,11 @@
 
 impl Instance {
     /// One of which no more is known.
-    pub fn new(key: impl Into<String>, word: Word) -> Self {
+    pub fn new(key: impl Into<String>, status: InstanceStatus) -> Self {
         Self {
             key: key.into(),
             address: None,
-            word,
+            status,
             version: 0,
             boot_ms: 0,
             weight: 1.0,
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -11,24 +11,24 @@
 //! An error says nothing of the fleet at all.
 //!
 //! ```
-//! use maplehook_endpoints::{Bounds, Instance, Membership, Origin, Standing, Word};
+//! use maplehook_endpoints::{Bounds, Instance, Membership, Origin, MemberState, InstanceStatus};
 //! use std::time::Duration;
 //!
 //! let at = Duration::from_secs;
-//! let desk = |key: &str, word| Instance {
+//! let desk = |key: &str, status| Instance {
 //!     address: Some("127.0.0.1:9001".parse().unwrap()),
-//!     ..Instance::new(key, word)
+//!     ..Instance::new(key, status)
 //! };
 //! let mut fleet = Membership::new(Bounds::default(), 1);
 //! let origin = Origin { source: 0, replica: 0 };
-//! fleet.listed(at(1), origin, vec![desk("a", Word::Up)]);
-//! assert_eq!(fleet.standing("a"), Standing::Offered);
+//! fleet.apply_list(at(1), origin, vec![desk("a", InstanceStatus::Up)]);
+//! assert_eq!(fleet.state("a"), MemberState::Available);
 //! // The registry has restarted, empty: that is not a fleet of nothing.
-//! fleet.listed(at(2), origin, Vec::new());
-//! assert_eq!(fleet.standing("a"), Standing::Offered);
+//! fleet.apply_list(at(2), origin, Vec::new());
+//! assert_eq!(fleet.state("a"), MemberState::Available);
 //! // A word is one.
-//! fleet.listed(at(3), origin, vec![desk("a", Word::OutOfService)]);
-//! assert_eq!(fleet.standing("a"), Standing::Drained);
+//! fleet.apply_list(at(3), origin, vec![desk("a", InstanceStatus::OutOfService)]);
+//! assert_eq!(fleet.state("a"), MemberState::Draining);
 //! ```
 //!
 //! # Precedence
@@ -47,5 +47,5 @@
 mod fleet;
 mod instance;
 
-pub use fleet::{Bounds, Held, Member, Membership, Origin, Standing};
-pub use instance::{Instance, Word};
+pub use fleet::{Bounds, Hold, Member, MemberState, Membership, Origin};
+pub use instance::{Instance, InstanceStatus};
--- a/crates/eureka/src/model.rs
+++ b/crates/eureka/src/model.rs
@@ -5,7 +5,7 @@
 //! instance that can't be read is skipped and counted, and says nothing against the others.
 
 use crate::tree::{Node, TreeError};
-use maplehook_endpoints::{Instance, Word};
+use maplehook_endpoints::{Instance, InstanceStatus};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
@@ -172,11 +172,11 @@
         _ => status.as_str(),
     };
     let word = match effective {
-        "UP" => Word::Up,
-        "DOWN" => Word::Down,
-        "OUT_OF_SERVICE" => Word::OutOfService,
-        "STARTING" => Word::Starting,
-        _ => Word::Unknown,
+        "UP" => InstanceStatus::Up,
+        "DOWN" => InstanceStatus::Down,
+        "OUT_OF_SERVICE" => InstanceStatus::OutOfService,
+        "STARTING" => InstanceStatus::Starting,
+        _ => InstanceStatus::Unknown,
     };
     let number = |name: &str| text(name).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
     let labels: BTreeMap<String, String> = node
--- a/crates/eureka/src/source.rs
+++ b/crates/eureka/src/source.rs
@@ -9,7 +9,7 @@
 use maplehook_admission::address::Network;
 use maplehook_config::Wanted;
 use maplehook_core::{Availability, CellId, KindId, UpdateScope, UpstreamId, ZoneId};
-use maplehook_endpoints::{Bounds, Instance, Member, Membership, Origin, Standing, Word};
+use maplehook_endpoints::{Bounds, Instance, InstanceStatus, Member, MemberState, Membership, Origin};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -81,10 +81,10 @@
             pace: file.poll,
             reach: file.reach.clone(),
             bounds: Bounds {
-                loss: file.loss,
-                confirm: file.confirm,
-                hold: file.hold,
-                hold_answering: file.hold_answering,
+                max_missing_share: file.loss,
+                confirming_lists: file.confirm,
+                max_hold: file.hold,
+                max_hold_answering: file.hold_answering,
                 ..Bounds::default()
             },
             zones: zones.to_vec(),
@@ -129,9 +129,9 @@
         let listed = known.iter().zip(names).map(|(entry, name)| Instance {
             address: entry.state.endpoint,
             weight: entry.weight,
-            ..Instance::new(name, Word::Up)
+            ..Instance::new(name, InstanceStatus::Up)
         });
-        membership.listed(Duration::ZERO, Origin { source: FILE, replica: 0 }, listed.collect());
+        membership.apply_list(Duration::ZERO, Origin { source: FILE, replica: 0 }, listed.collect());
         let state = State {
             membership,
             mirror: Mirror::default(),
@@ -191,7 +191,7 @@
                 self.settings.pace.mul_f64(f64::from(times) * (0.5 + 0.5 * fastrand::f64()))
             }
         };
-        self.state.borrow_mut().membership.pass(self.now());
+        self.state.borrow_mut().membership.advance(self.now());
         // A large fleet is not gone through at each poll that says nothing.
         if self.stirred.take()
             && let Some(news) = self.news()
@@ -201,7 +201,7 @@
         if read {
             self.confirmed.set(Some(begun));
         }
-        let unsettled = self.state.borrow().membership.is_unsettled();
+        let unsettled = self.state.borrow().membership.has_missing();
         self.stirred.set(self.stirred.get() || unsettled);
         wait
     }
@@ -223,7 +223,7 @@
         }
         self.stirred.set(true);
         let list = document.instances.into_iter().map(|listed| self.instance(listed));
-        state.membership.listed(self.now(), origin, list.collect());
+        state.membership.apply_list(self.now(), origin, list.collect());
         Ok(())
     }
 
@@ -244,11 +244,11 @@
                 let stirs = !deleted.is_empty() || !changed.is_empty();
                 self.stirred.set(self.stirred.get() || stirs);
                 if !deleted.is_empty() {
-                    state.membership.deleted(self.now(), origin, &deleted);
+                    state.membership.apply_deletions(self.now(), origin, &deleted);
                 }
                 let changed = changed.into_iter().map(|listed| self.instance(listed)).collect();
-                state.membership.changed(self.now(), origin, changed);
-                state.membership.agreed(self.now(), origin);
+                state.membership.apply_changes(self.now(), origin, changed);
+                state.membership.confirm_unchanged(self.now(), origin);
                 Ok(())
             }
         }
@@ -336,10 +336,10 @@
         weight: instance.weight,
         state: EndpointState {
             endpoint: instance.address,
-            availability: match member.standing {
-                Standing::Offered => Availability::Ready,
-                Standing::Drained => Availability::Draining,
-                Standing::Gone => Availability::Removed,
+            availability: match member.state {
+                MemberState::Available => Availability::Ready,
+                MemberState::Draining => Availability::Draining,
+                MemberState::Removed => Availability::Removed,
             },
             boot_ms: instance.boot_ms,
         },
@@ -376,8 +376,8 @@
         let State { membership, keys, .. } = &mut *self.state.borrow_mut();
         let Some(key) = keys.get(&id) else { return };
         match heard {
-            Reachability::Answered => membership.answered(now, key),
-            Reachability::Unreachable => membership.unreachable(now, key),
+            Reachability::Answered => membership.record_answer(now, key),
+            Reachability::Unreachable => membership.record_unreachable(now, key),
         }
     }
 }
--- a/crates/eureka/tests/documents.rs
+++ b/crates/eureka/tests/documents.rs
@@ -1,7 +1,7 @@
 //! Documents of registries: golden ones as the public pages show them, in both notations and with the quirks that
 //! real servers have; and any text at all.
 
-use maplehook_endpoints::Word;
+use maplehook_endpoints::InstanceStatus;
 use maplehook_eureka::model::{Action, Mapping, Notation, hash, read};
 use maplehook_eureka::{Mirror, Node, Step};
 use proptest::prelude::*;
@@ -46,8 +46,8 @@
     assert_eq!((listed.app.as_str(), listed.vips.len(), listed.action), ("DESKS", 2, Some(Action::Added)));
     let instance = &listed.instance;
     assert_eq!(
-        (instance.key.as_str(), instance.word, instance.version),
-        ("host-1:desks:9001", Word::Up, 1_700_000_000_500)
+        (instance.key.as_str(), instance.status, instance.version),
+        ("host-1:desks:9001", InstanceStatus::Up, 1_700_000_000_500)
     );
     assert_eq!(
         (instance.address, instance.boot_ms),
@@ -55,8 +55,8 @@
     );
     assert_eq!((instance.weight, instance.labels["zone"].as_str()), (2.5, "a"));
     let document = read(MANY_XML.as_bytes(), Notation::Xml, &Mapping::default()).unwrap();
-    let words: Vec<Word> = document.instances.iter().map(|l| l.instance.word).collect();
-    assert_eq!(words, [Word::Up, Word::Down, Word::OutOfService]);
+    let words: Vec<InstanceStatus> = document.instances.iter().map(|l| l.instance.status).collect();
+    assert_eq!(words, [InstanceStatus::Up, InstanceStatus::Down, InstanceStatus::OutOfService]);
     assert_eq!(document.instances[0].instance.labels["zone"], "a & b");
     assert_eq!(document.instances[1].instance.address, Some("[::1]:9002".parse().unwrap()));
     assert_eq!(document.instances[2].instance.address, None, "its port is disabled");
@@ -77,16 +77,16 @@
         {"instanceId":"s","status":"SLEEPING","ipAddr":"127.0.0.1","port":{"$":70000}}]}]}"#,
     );
     assert_eq!((document.instances.len(), document.skipped), (3, 2));
-    assert_eq!(document.instances[0].instance.word, Word::Down);
+    assert_eq!(document.instances[0].instance.status, InstanceStatus::Down);
     assert_eq!(document.instances[0].instance.key, "127.0.0.1:X:9001");
     assert_eq!(document.instances[1].instance.address.unwrap().port(), 9002);
     assert_eq!(
-        (document.instances[2].instance.word, document.instances[2].instance.address),
-        (Word::Unknown, None)
+        (document.instances[2].instance.status, document.instances[2].instance.address),
+        (InstanceStatus::Unknown, None)
     );
     let one =
         json(r#"{"instance":{"instanceId":"a","status":"STARTING","ipAddr":"127.0.0.1","port":{"$":1}}}"#);
-    assert_eq!(one.instances[0].instance.word, Word::Starting);
+    assert_eq!(one.instances[0].instance.status, InstanceStatus::Starting);
     assert!(json(r#"{"applications":{"application":[]}}"#).instances.is_empty());
     // What is no registry's document is an error, and not a list of nobody.
     for wrong in ["", "{}", "[]", "null", "{\"error\":1}", "<html/>", "{\"applications\""] {
@@ -117,7 +117,7 @@
     assert!(mirror.whole(&changes("UP_2_", &[("a", "UP", 1, "ADDED"), ("b", "UP", 1, "ADDED")])));
     let down = changes("DOWN_1_UP_1_", &[("a", "DOWN", 2, "MODIFIED")]);
     let Step::Agreed { changed, deleted } = mirror.change(down.clone()) else { panic!("it agrees") };
-    assert_eq!((changed.len(), changed[0].instance.word, deleted.len()), (1, Word::Down, 0));
+    assert_eq!((changed.len(), changed[0].instance.status, deleted.len()), (1, InstanceStatus::Down, 0));
     assert_eq!(mirror.change(down), Step::Agreed { changed: vec![], deleted: vec![] }, "repeated");
     let older = changes("DOWN_1_UP_1_", &[("a", "UP", 1, "ADDED")]);
     assert_eq!(mirror.change(older), Step::Agreed { changed: vec![], deleted: vec![] }, "older");
--- a/crates/failover-agent/src/shown.rs
+++ b/crates/failover-agent/src/shown.rs
@@ -108,14 +108,14 @@
 /// Ways that are known, by these zones and by what was measured in common.
 pub(crate) fn trips(topology: &Topology, measured: Option<&RttTable>) -> Vec<ShownTrip> {
     let mut known = topology.clone();
-    known.set_measured(measured.into_iter().flat_map(|measured| measured.resolve(topology)));
+    known.set_measured_rtts(measured.into_iter().flat_map(|measured| measured.resolve(topology)));
     let pairs = topology.zones().flat_map(|a| topology.zones().filter(move |b| a < *b).map(move |b| (a, b)));
     let trip = |(a, b)| {
         Some(ShownTrip {
             a: topology.zone_name(a).to_owned(),
             b: topology.zone_name(b).to_owned(),
-            ms: known.trip(a, b)?.as_secs_f64() * 1e3,
-            stated: known.stated(a, b).is_some(),
+            ms: known.rtt(a, b)?.as_secs_f64() * 1e3,
+            stated: known.configured_rtt(a, b).is_some(),
         })
     };
     pairs.filter_map(trip).collect()
--- a/crates/failover/src/balancer_routing.rs
+++ b/crates/failover/src/balancer_routing.rs
@@ -113,7 +113,7 @@
 
     /// Applies another topology or other rules. The agreed document is carried over by names.
     pub fn reconfigure(&mut self, mut topology: Topology, rules: Rules, zone: Zone) {
-        topology.set_measured(self.rtt_table.resolve(&topology.clone()));
+        topology.set_measured_rtts(self.rtt_table.resolve(&topology.clone()));
         let priorities = PriorityLists::new(&topology, &rules);
         let old = std::mem::replace(&mut self.topology, topology);
         let carried_over = |new: Zone| {
--- a/crates/failover/src/decider.rs
+++ b/crates/failover/src/decider.rs
@@ -173,7 +173,7 @@
             return;
         }
         self.rtt_table = rtt_table.clone();
-        self.topology.set_measured(rtt_table.resolve(&self.topology.clone()));
+        self.topology.set_measured_rtts(rtt_table.resolve(&self.topology.clone()));
         let priorities = PriorityLists::new(&self.topology, &self.rules);
         if priorities != self.priorities {
             self.priorities = priorities;
@@ -184,7 +184,7 @@
     /// Applies another topology or other rules. The state is carried over by names; the members have to be
     /// set again.
     pub fn reconfigure(&mut self, mut topology: Topology, rules: Rules, now: Duration) {
-        topology.set_measured(self.rtt_table.resolve(&topology.clone()));
+        topology.set_measured_rtts(self.rtt_table.resolve(&topology.clone()));
         if digest(&topology, &rules) == self.agreed.digest {
             self.priorities = PriorityLists::new(&topology, &rules);
             (self.topology, self.rules) = (topology, rules);
--- a/crates/failover/src/priorities.rs
+++ b/crates/failover/src/priorities.rs
@@ -85,7 +85,7 @@
             let mut list_indexes = Vec::new();
             for from in topology.zones() {
                 let mut steps: Vec<ZoneSet> =
-                    rule.ladder(topology, from).iter().map(|step| set(step)).collect();
+                    rule.priority_list(topology, from).iter().map(|step| set(step)).collect();
                 let explicit_steps = steps.len();
                 let named_zones = steps.iter().fold(0, |all, step| all | step);
                 let other_zones = all & !named_zones & !set(&rule.never);
--- a/crates/failover/tests/all/planner.rs
+++ b/crates/failover/tests/all/planner.rs
@@ -5,7 +5,7 @@
 use maplehook_failover::plan::{Planner, PlannerInput, demand_table};
 use maplehook_failover::priorities::{PriorityLists, zones_in};
 use maplehook_failover::{Bounds, FULL_SHARE, Plan, Row};
-use maplehook_locality::{Place, Region, Rule, Rules, Step, Topology, WhenLost, Zone};
+use maplehook_locality::{Region, Rule, Rules, Step, StepTarget, Topology, WhenLost, Zone};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -158,18 +158,18 @@
 
 fn a_rule() -> impl Strategy<Value = Rule> {
     let place = prop_oneof![
-        Just(Place::OwnZone),
-        Just(Place::OwnRegion),
-        Just(Place::Anywhere),
-        (0u16..4).prop_map(|zone| Place::Zone(Zone(zone))),
-        (0u16..2).prop_map(|region| Place::Region(Region(region))),
+        Just(StepTarget::OwnZone),
+        Just(StepTarget::OwnRegion),
+        Just(StepTarget::Anywhere),
+        (0u16..4).prop_map(|zone| StepTarget::Zone(Zone(zone))),
+        (0u16..2).prop_map(|region| StepTarget::Region(Region(region))),
     ];
     let steps = prop::collection::vec(place, 1..4);
     let most = prop_oneof![Just(1.0), Just(0.0), Just(0.3)];
     (steps, prop::collection::btree_set(0u16..4, 0..3), 1u32..11, most, any::<bool>()).prop_map(
         |(steps, never, over, most, anywhere)| {
             let mut rule = Rule::near_first();
-            rule.steps = steps.into_iter().map(|place| Step { place, within: None }).collect();
+            rule.steps = steps.into_iter().map(|place| Step { target: place, within: None }).collect();
             rule.never = never.into_iter().map(Zone).collect();
             rule.spill.over = f64::from(over) / 10.0;
             rule.beyond_region_most = most;
--- a/crates/locality/examples/compile.rs
+++ b/crates/locality/examples/compile.rs
@@ -1,7 +1,7 @@
 //! Time and memory of the largest text over the largest deployment: `cargo run --release -p maplehook-locality --example compile`.
 
-use maplehook_locality::rules::RULES_MOST;
-use maplehook_locality::topology::ZONES_MOST;
+use maplehook_locality::rules::MAX_RULES;
+use maplehook_locality::topology::MAX_ZONES;
 use maplehook_locality::{Names, Rule, Topology, compile, language, strictest};
 use std::fmt::Write;
 use std::hint::black_box;
@@ -23,7 +23,7 @@
 
 fn main() {
     let regions: Vec<String> = (0..8).map(|n| format!("region{n}")).collect();
-    let zones: Vec<String> = (0..ZONES_MOST).map(|n| format!("zone{n}")).collect();
+    let zones: Vec<String> = (0..MAX_ZONES).map(|n| format!("zone{n}")).collect();
     let of = |n: usize| zones[n * 8..n * 8 + 8].iter().map(String::as_str).collect();
     let Ok(topology) = Topology::new(regions.iter().enumerate().map(|(n, name)| (name.as_str(), of(n))))
     else {
@@ -33,19 +33,19 @@
     let tenants: Vec<String> = (0..256).map(|n| format!("tenant{n}")).collect();
     let names = Names { topology: &topology, classes: &classes, tenants: &tenants };
     let mut text = String::new();
-    for n in 0..RULES_MOST - 1 {
+    for n in 0..MAX_RULES - 1 {
         let _ = writeln!(
             text,
             "rule r{n} {{ for tenant \"tenant{n}\"; prefer own zone > own region within 3ms > region \"region{}\" \
              within 40ms > anywhere; spill over 80% for 1s, back under 60% for 5s; beyond region at most 30%; \
              never zone \"zone{}\"; }}",
             n % 8,
-            n % ZONES_MOST
+            n % MAX_ZONES
         );
     }
     text.push_str("rule rest { prefer own zone > own region > anywhere; }\n");
     println!(
-        "{RULES_MOST} rules, {ZONES_MOST} zones, {} x {} cells, {} bytes",
+        "{MAX_RULES} rules, {MAX_ZONES} zones, {} x {} cells, {} bytes",
         classes.len(),
         tenants.len(),
         text.len()
@@ -58,7 +58,9 @@
     timed("format", || language::format(&text));
     timed("strictest of it and itself", || strictest(&rules, &rules));
     timed("all ladders", || {
-        let of = |rule: &Rule| topology.zones().map(|zone| rule.ladder(&topology, zone).len()).sum::<usize>();
+        let of = |rule: &Rule| {
+            topology.zones().map(|zone| rule.priority_list(&topology, zone).len()).sum::<usize>()
+        };
         rules.all().iter().map(of).sum::<usize>()
     });
     let heap = |rule: &Rule| {
--- a/crates/locality/src/contradict.rs
+++ b/crates/locality/src/contradict.rs
@@ -11,11 +11,11 @@
 //! to be over the same names in the same order: zones, classes and tenants. Beyond the tables, the rules for whatever nobody
 //! knows are looked at too.
 
-use crate::rules::{RULES_MOST, Rule, Rules, WhenLost};
+use crate::rules::{MAX_RULES, Rule, Rules, WhenLost};
 use std::collections::BTreeMap;
 
 /// The most contradictions that are told; one more says that there are others.
-pub const TOLD_MOST: usize = 64;
+pub const MAX_CONTRADICTIONS: usize = 64;
 
 /// What of two sets of rules may not be acted on at the same time, in words; empty: they may stand side by side.
 pub fn contradictions(a: &Rules, b: &Rules, classes: &[String], tenants: &[String]) -> Vec<String> {
@@ -31,7 +31,7 @@
         if differ.is_empty() {
             continue;
         }
-        if found.len() == TOLD_MOST {
+        if found.len() == MAX_CONTRADICTIONS {
             found.push("further contradictions are not listed".to_owned());
             break;
         }
@@ -80,22 +80,23 @@
     };
     let (classes, tenants) = (size(a).0.max(size(b).0), size(a).1.max(size(b).1));
     let known = (0..classes).flat_map(move |class| (0..tenants).map(move |tenant| (class, tenant)));
-    let known =
-        known.map(|(class, tenant)| (Some((class, tenant)), (a.of(class, tenant), b.of(class, tenant))));
+    let known = known.map(|(class, tenant)| {
+        (Some((class, tenant)), (a.rule_index(class, tenant), b.rule_index(class, tenant)))
+    });
     known.chain([(None, (a.all().len() - 1, b.all().len() - 1))])
 }
 
 /// What either forbids is forbidden, and so on by the table above; where requests go is as the second says.
 ///
 /// A rule of the second that comes together with several of the first becomes several, as far as they differ in what they forbid.
-/// Should these be more than [`RULES_MOST`], each rule of the second is as strict as all that it comes together with.
+/// Should these be more than [`MAX_RULES`], each rule of the second is as strict as all that it comes together with.
 pub fn strictest(a: &Rules, b: &Rules) -> Rules {
     let mut pairs: BTreeMap<(usize, usize), Rule> = BTreeMap::new();
     for (_, (x, y)) in cells(a, b) {
         pairs.entry((y, x)).or_insert_with(|| stricter(&a.all()[x], &b.all()[y]));
     }
     let mut made = distinct(&pairs, b);
-    if made.len() > RULES_MOST {
+    if made.len() > MAX_RULES {
         let mut by_second: BTreeMap<usize, Rule> = BTreeMap::new();
         for (y, x) in pairs.keys() {
             let so_far = by_second.entry(*y).or_insert_with(|| b.all()[*y].clone());
@@ -127,8 +128,9 @@
         .filter_map(|(key, rule)| made.iter().position(|other| other == rule).map(|n| (*key, n)))
         .collect();
     let last = made.len() - 1;
-    let rule_of =
-        |class, tenant| at.get(&(b.of(class, tenant), a.of(class, tenant))).copied().unwrap_or(last);
+    let rule_of = |class, tenant| {
+        at.get(&(b.rule_index(class, tenant), a.rule_index(class, tenant))).copied().unwrap_or(last)
+    };
     Rules::new(made, classes, tenants, rule_of)
 }
 
--- a/crates/locality/src/explain.rs
+++ b/crates/locality/src/explain.rs
@@ -2,16 +2,16 @@
 //!
 //! It goes by what is seen now. The planner, while it waits out a dwell time, may have fewer or more steps open.
 
+use crate::health::LocalityHealth;
 use crate::language::Names;
-use crate::language::ast::{At, Named, PlaceText, StepText};
-use crate::rules::{Place, Rule, Rules, Step, WhenLost};
-use crate::state::Seen;
+use crate::language::ast::{NamedLocality, Spanned, StepSyntax, TargetSyntax};
+use crate::rules::{Rule, Rules, Step, StepTarget, WhenLost};
 use crate::topology::{Topology, Zone};
 use std::fmt;
 
 /// Why a rule that stands earlier was passed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Passed {
+pub enum RuleMismatch {
     /// No request of the class goes by it.
     OtherClass,
     /// No request of the tenant goes by it.
@@ -22,28 +22,28 @@
 
 /// Why a zone that a step names is left out of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeftOut {
+pub enum ZoneExclusion {
     /// `never` forbids it.
     Never,
     /// It is further than `within`.
     TooFar,
     /// It is not known how far it is.
-    WayUnknown,
+    RttUnknown,
     /// A step before leads there.
     Earlier,
 }
 
 /// What becomes of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum StepOutcome {
     /// No zone is left in it.
     Empty,
     /// None of its zones can be used.
-    Lost,
+    Unusable,
     /// Its load is not under `spill over`.
     Full,
     /// It is used, but less of it than `spill below` can be: the next is used too.
-    TooLittle,
+    LowCapacity,
     /// Requests go here.
     Chosen,
     /// A step before it takes all.
@@ -52,17 +52,17 @@
 
 /// A step of the rule.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StepExplained {
+pub struct StepExplanation {
     /// As it is written.
     pub step: String,
     /// Names of its zones.
     pub zones: Vec<String>,
     /// Names of zones that it does not lead to.
-    pub left_out: Vec<(String, LeftOut)>,
+    pub left_out: Vec<(String, ZoneExclusion)>,
     /// Its zones together.
-    pub seen: Seen,
+    pub seen: LocalityHealth,
     /// What becomes of it.
-    pub outcome: Outcome,
+    pub outcome: StepOutcome,
 }
 
 /// Why a request goes where it goes.
@@ -73,9 +73,9 @@
     /// The rule that it goes by.
     pub rule: Rule,
     /// Rules that stand before that one.
-    pub passed: Vec<(String, Passed)>,
+    pub passed: Vec<(String, RuleMismatch)>,
     /// The rule's steps.
-    pub steps: Vec<StepExplained>,
+    pub steps: Vec<StepExplanation>,
     /// The step where requests go; `None`: no step is left, and [`Rule::when_lost`] says what becomes of them.
     pub chosen: Option<usize>,
 }
@@ -87,9 +87,9 @@
     class: usize,
     tenant: usize,
     from: Zone,
-    seen: &[Seen],
+    seen: &[LocalityHealth],
 ) -> Explanation {
-    let chosen_rule = rules.of(class, tenant);
+    let chosen_rule = rules.rule_index(class, tenant);
     let rule = &rules.all()[chosen_rule];
     let passed = rules.all()[..chosen_rule].iter().enumerate();
     let passed = passed.map(|(n, rule)| (rule.name.clone(), passed_over(rules, n, class, tenant)));
@@ -103,31 +103,31 @@
         ],
         rule: rule.clone(),
         passed: passed.collect(),
-        chosen: steps.iter().position(|step| step.outcome == Outcome::Chosen),
+        chosen: steps.iter().position(|step| step.outcome == StepOutcome::Chosen),
         steps,
     }
 }
 
-fn passed_over(rules: &Rules, rule: usize, class: usize, tenant: usize) -> Passed {
+fn passed_over(rules: &Rules, rule: usize, class: usize, tenant: usize) -> RuleMismatch {
     let (table, tenants) = rules.table();
     let mut used = table.iter().enumerate().filter(|(_, n)| usize::from(**n) == rule).map(|(cell, _)| cell);
     if tenants == 0 || !used.clone().any(|cell| cell / tenants == class) {
-        Passed::OtherClass
+        RuleMismatch::OtherClass
     } else if !used.any(|cell| cell % tenants == tenant) {
-        Passed::OtherTenant
+        RuleMismatch::OtherTenant
     } else {
-        Passed::OtherPair
+        RuleMismatch::OtherPair
     }
 }
 
-fn steps(rule: &Rule, topology: &Topology, from: Zone, seen: &[Seen]) -> Vec<StepExplained> {
-    let well = Seen { load: 0.0, usable: 1.0 };
+fn steps(rule: &Rule, topology: &Topology, from: Zone, seen: &[LocalityHealth]) -> Vec<StepExplanation> {
+    let well = LocalityHealth { load: 0.0, usable: 1.0 };
     let (mut taken, mut done, mut little) = (Vec::new(), false, None);
     let mut explained = Vec::new();
     for (n, step) in rule.steps.iter().enumerate() {
         let mut zones = Vec::new();
         let mut left_out = Vec::new();
-        for zone in step.place.zones(topology, from) {
+        for zone in step.target.zones(topology, from) {
             match left(rule, topology, from, step, zone, &taken) {
                 Some(why) => left_out.push((topology.zone_name(zone).to_owned(), why)),
                 None => zones.push(zone),
@@ -135,25 +135,25 @@
         }
         taken.extend(&zones);
         let of_zone = |zone: &Zone| (seen.get(usize::from(zone.0)).copied().unwrap_or(well), 1.0);
-        let seen = Seen::together(zones.iter().map(of_zone));
+        let seen = LocalityHealth::combine(zones.iter().map(of_zone));
         let outcome = if zones.is_empty() {
-            Outcome::Empty
+            StepOutcome::Empty
         } else if done {
-            Outcome::NotNeeded
-        } else if seen.is_lost() {
-            Outcome::Lost
-        } else if !seen.takes_more(rule) {
-            Outcome::Full
-        } else if seen.is_pressed(rule) {
+            StepOutcome::NotNeeded
+        } else if seen.is_unusable() {
+            StepOutcome::Unusable
+        } else if !seen.accepts_more(rule) {
+            StepOutcome::Full
+        } else if seen.needs_next_step(rule) {
             little = little.or(Some(n));
-            Outcome::TooLittle
+            StepOutcome::LowCapacity
         } else {
             done = true;
-            Outcome::Chosen
+            StepOutcome::Chosen
         };
         let name = |zone: &Zone| topology.zone_name(*zone).to_owned();
         let step = written(step, topology);
-        explained.push(StepExplained {
+        explained.push(StepExplanation {
             step,
             zones: zones.iter().map(name).collect(),
             left_out,
@@ -163,7 +163,7 @@
     }
     // With none that is well enough, the first of which too little can be used is the one.
     if let (false, Some(n)) = (done, little) {
-        explained[n].outcome = Outcome::Chosen;
+        explained[n].outcome = StepOutcome::Chosen;
     }
     explained
 }
@@ -175,30 +175,32 @@
     step: &Step,
     zone: Zone,
     taken: &[Zone],
-) -> Option<LeftOut> {
-    let trip = topology.trip(from, zone);
+) -> Option<ZoneExclusion> {
+    let rtt = topology.rtt(from, zone);
     if rule.never.binary_search(&zone).is_ok() {
-        Some(LeftOut::Never)
+        Some(ZoneExclusion::Never)
     } else if taken.contains(&zone) {
-        Some(LeftOut::Earlier)
-    } else if step.within.is_some() && trip.is_none() {
-        Some(LeftOut::WayUnknown)
-    } else if step.within.is_some_and(|most| trip.is_some_and(|trip| trip > most)) {
-        Some(LeftOut::TooFar)
+        Some(ZoneExclusion::Earlier)
+    } else if step.within.is_some() && rtt.is_none() {
+        Some(ZoneExclusion::RttUnknown)
+    } else if step.within.is_some_and(|most| rtt.is_some_and(|rtt| rtt > most)) {
+        Some(ZoneExclusion::TooFar)
     } else {
         None
     }
 }
 
 fn written(step: &Step, topology: &Topology) -> String {
-    let place = match step.place {
-        Place::OwnZone => PlaceText::OwnZone,
-        Place::OwnRegion => PlaceText::OwnRegion,
-        Place::Anywhere => PlaceText::Anywhere,
-        Place::Zone(zone) => PlaceText::Named(Named::Zone(topology.zone_name(zone).into())),
-        Place::Region(region) => PlaceText::Named(Named::Region(topology.region_name(region).into())),
+    let target = match step.target {
+        StepTarget::OwnZone => TargetSyntax::OwnZone,
+        StepTarget::OwnRegion => TargetSyntax::OwnRegion,
+        StepTarget::Anywhere => TargetSyntax::Anywhere,
+        StepTarget::Zone(zone) => TargetSyntax::Named(NamedLocality::Zone(topology.zone_name(zone).into())),
+        StepTarget::Region(region) => {
+            TargetSyntax::Named(NamedLocality::Region(topology.region_name(region).into()))
+        }
     };
-    StepText { place, within: step.within.map(At::nowhere) }.to_string()
+    StepSyntax { target, within: step.within.map(Spanned::unspanned) }.to_string()
 }
 
 impl fmt::Display for Explanation {
@@ -207,9 +209,9 @@
         writeln!(f, "class {class}, tenant {tenant}, into zone {zone}")?;
         for (name, why) in &self.passed {
             let why = match why {
-                Passed::OtherClass => "no request of this class goes by it",
-                Passed::OtherTenant => "no request of this tenant goes by it",
-                Passed::OtherPair => "this class and this tenant go by it, but not together",
+                RuleMismatch::OtherClass => "no request of this class goes by it",
+                RuleMismatch::OtherTenant => "no request of this tenant goes by it",
+                RuleMismatch::OtherPair => "this class and this tenant go by it, but not together",
             };
             writeln!(f, "  rule {name}: {why}")?;
         }
@@ -220,10 +222,10 @@
             self.outcome(f, step)?;
             for (zone, why) in &step.left_out {
                 let why = match why {
-                    LeftOut::Never => "never",
-                    LeftOut::TooFar => "too far",
-                    LeftOut::WayUnknown => "way not known",
-                    LeftOut::Earlier => "in a step before",
+                    ZoneExclusion::Never => "never",
+                    ZoneExclusion::TooFar => "too far",
+                    ZoneExclusion::RttUnknown => "way not known",
+                    ZoneExclusion::Earlier => "in a step before",
                 };
                 write!(f, "; without {zone} ({why})")?;
             }
@@ -240,17 +242,17 @@
 }
 
 impl Explanation {
-    fn outcome(&self, f: &mut fmt::Formatter<'_>, step: &StepExplained) -> fmt::Result {
+    fn outcome(&self, f: &mut fmt::Formatter<'_>, step: &StepExplanation) -> fmt::Result {
         let percent = |share: f64| (share * 1000.0).round() / 10.0;
         let (load, usable) = (percent(step.seen.load), percent(step.seen.usable));
         let (over, least) = (percent(self.rule.spill.over), percent(self.rule.usable_least));
         match step.outcome {
-            Outcome::Empty => f.write_str("no zone left in it"),
-            Outcome::Lost => f.write_str("lost: nothing of it can be used"),
-            Outcome::Full => write!(f, "full: load {load}%, spills over {over}%"),
-            Outcome::TooLittle => write!(f, "{usable}% usable, spills below {least}%"),
-            Outcome::Chosen => write!(f, "requests go here: load {load}%, {usable}% usable"),
-            Outcome::NotNeeded => f.write_str("not needed"),
+            StepOutcome::Empty => f.write_str("no zone left in it"),
+            StepOutcome::Unusable => f.write_str("lost: nothing of it can be used"),
+            StepOutcome::Full => write!(f, "full: load {load}%, spills over {over}%"),
+            StepOutcome::LowCapacity => write!(f, "{usable}% usable, spills below {least}%"),
+            StepOutcome::Chosen => write!(f, "requests go here: load {load}%, {usable}% usable"),
+            StepOutcome::NotNeeded => f.write_str("not needed"),
         }
     }
 }
--- a/crates/locality/src/language/ast.rs
+++ b/crates/locality/src/language/ast.rs
@@ -5,14 +5,14 @@
 
 /// Something and the bytes where it stands. Two are the same if they say the same, wherever they stand.
 #[derive(Clone, Debug)]
-pub struct At<T> {
+pub struct Spanned<T> {
     /// What is said.
     pub node: T,
     /// Where, in bytes of the text.
     pub span: Range<usize>,
 }
 
-impl<T: PartialEq> PartialEq for At<T> {
+impl<T: PartialEq> PartialEq for Spanned<T> {
     fn eq(&self, other: &Self) -> bool {
         self.node == other.node
     }
@@ -24,7 +24,7 @@
 
 impl Percent {
     /// All.
-    pub const WHOLE: Self = Self(1_000_000);
+    pub const HUNDRED: Self = Self(1_000_000);
 
     /// As a share, 0 to 1.
     pub fn share(self) -> f64 {
@@ -36,22 +36,22 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Text {
     /// Its rules.
-    pub rules: Vec<RuleText>,
+    pub rules: Vec<RuleSyntax>,
     /// Comments after the last one.
     pub end: Vec<String>,
 }
 
 /// A rule.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RuleText {
+pub struct RuleSyntax {
     /// Comments before it.
     pub before: Vec<String>,
     /// Its name.
-    pub name: At<String>,
+    pub name: Spanned<String>,
     /// A comment behind its opening brace.
     pub head: Option<String>,
     /// Its clauses; at most one of each kind.
-    pub clauses: Vec<ClauseText>,
+    pub clauses: Vec<ClauseSyntax>,
     /// Comments behind its last clause.
     pub end: Vec<String>,
     /// A comment behind its closing brace.
@@ -60,11 +60,11 @@
 
 /// A clause.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClauseText {
+pub struct ClauseSyntax {
     /// Comments before it, and those that stood inside it.
     pub before: Vec<String>,
     /// What it says.
-    pub clause: At<Clause>,
+    pub clause: Spanned<Clause>,
     /// A comment behind it on the same line.
     pub after: Option<String>,
 }
@@ -73,17 +73,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Clause {
     /// `for class "x", tenant "y"`
-    For(Vec<At<Subject>>),
+    For(Vec<Spanned<Subject>>),
     /// `prefer own zone > anywhere`
-    Prefer(Vec<At<StepText>>),
+    Prefer(Vec<Spanned<StepSyntax>>),
     /// `spill over 80% for 1s, back under 60% for 5s`
-    SpillOver(Over),
+    SpillOver(SpillThresholds),
     /// `spill below 50% usable`
-    SpillBelow(At<Percent>),
+    SpillBelow(Spanned<Percent>),
     /// `beyond region at most 30%`
-    Beyond(At<Percent>),
+    Beyond(Spanned<Percent>),
     /// `never zone "a", region "b"`
-    Never(Vec<At<Named>>),
+    Never(Vec<Spanned<NamedLocality>>),
     /// `when lost refuse`: whether anywhere is meant.
     WhenLost(bool),
 }
@@ -103,7 +103,7 @@
     }
 
     /// By what words each kind begins.
-    pub const WORDS: [&str; 7] =
+    pub const KEYWORDS: [&str; 7] =
         ["for", "prefer", "spill over", "spill below", "beyond region", "never", "when lost"];
 }
 
@@ -118,7 +118,7 @@
 
 /// A place by name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Named {
+pub enum NamedLocality {
     /// A zone.
     Zone(String),
     /// A region.
@@ -127,42 +127,42 @@
 
 /// Where a step leads.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PlaceText {
+pub enum TargetSyntax {
     /// `own zone`
     OwnZone,
     /// `own region`
     OwnRegion,
     /// `zone "a"`, `region "b"`
-    Named(Named),
+    Named(NamedLocality),
     /// `anywhere`
     Anywhere,
 }
 
 /// A step of `prefer`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StepText {
+pub struct StepSyntax {
     /// Where it leads.
-    pub place: PlaceText,
+    pub target: TargetSyntax,
     /// How far at the most, there and back.
-    pub within: Option<At<Duration>>,
+    pub within: Option<Spanned<Duration>>,
 }
 
 /// `spill over`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Over {
+pub struct SpillThresholds {
     /// Load over which it begins.
-    pub over: At<Percent>,
+    pub over: Spanned<Percent>,
     /// For how long.
-    pub over_for: At<Duration>,
+    pub over_for: Spanned<Duration>,
     /// Load under which it ends.
-    pub back: At<Percent>,
+    pub back: Spanned<Percent>,
     /// For how long.
-    pub back_for: At<Duration>,
+    pub back_for: Spanned<Duration>,
 }
 
-impl<T> At<T> {
+impl<T> Spanned<T> {
     /// Something that stands nowhere, for texts that are made and not read.
-    pub fn nowhere(node: T) -> Self {
+    pub fn unspanned(node: T) -> Self {
         Self { node, span: 0..0 }
     }
 }
--- a/crates/locality/src/language/check.rs
+++ b/crates/locality/src/language/check.rs
@@ -1,10 +1,10 @@
 //! From a tree to tables: names are looked up, and what can't be meant is told.
 
-use super::ast::{At, Clause, Named, PlaceText, RuleText, StepText, Subject};
+use super::ast::{Clause, NamedLocality, RuleSyntax, Spanned, StepSyntax, Subject, TargetSyntax};
 use super::fault::{Faults, nearest};
 use super::parser::Parsed;
-use super::{NAME_MOST, Names, STEPS_MOST, reach};
-use crate::rules::{Place, RULES_MOST, Rule, Rules, Spill, Step, WhenLost};
+use super::{MAX_NAME_CHARS, MAX_STEPS, Names, reach};
+use crate::rules::{MAX_RULES, Rule, Rules, Spill, Step, StepTarget, WhenLost};
 use crate::topology::{Topology, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -28,8 +28,8 @@
     let mut checked = Vec::new();
     for (text, whole) in parsed.text.rules.iter().zip(&parsed.whole) {
         let (name, at) = (&text.name.node, text.name.span.start);
-        if name.chars().count() > NAME_MOST {
-            faults.add(at, || format!("a rule's name has {NAME_MOST} characters at most"));
+        if name.chars().count() > MAX_NAME_CHARS {
+            faults.add(at, || format!("a rule's name has {MAX_NAME_CHARS} characters at most"));
         }
         if seen.insert(name, at).is_some() {
             faults.add(at, || format!("a rule `{name}` stands above"));
@@ -43,10 +43,10 @@
 
 fn too_many(checked: &[Checked], faults: &mut Faults) {
     let added = usize::from(checked.iter().all(|rule| rule.subjects.is_some()));
-    if checked.len() + added > RULES_MOST
-        && let Some(first) = checked.get(RULES_MOST - added)
+    if checked.len() + added > MAX_RULES
+        && let Some(first) = checked.get(MAX_RULES - added)
     {
-        faults.add(first.at, || format!("{RULES_MOST} rules at most, with the one for all others"));
+        faults.add(first.at, || format!("{MAX_RULES} rules at most, with the one for all others"));
     }
 }
 
@@ -102,7 +102,7 @@
 }
 
 impl Maker<'_, '_> {
-    fn rule(&mut self, text: &RuleText) -> Checked {
+    fn rule(&mut self, text: &RuleSyntax) -> Checked {
         let mut rule = Rule {
             name: text.name.node.clone(),
             steps: Vec::new(),
@@ -112,7 +112,7 @@
             never: Vec::new(),
             when_lost: WhenLost::default(),
         };
-        let (mut subjects, mut steps, mut never): (_, &[At<StepText>], Option<Range<usize>>) =
+        let (mut subjects, mut steps, mut never): (_, &[Spanned<StepSyntax>], Option<Range<usize>>) =
             (None, &[], None);
         for clause in &text.clauses {
             match &clause.clause.node {
@@ -150,8 +150,8 @@
         if self.whole && steps.is_empty() {
             self.faults.add(at, || format!("rule `{}` has no `prefer`", text.name.node));
         }
-        if let Some(first) = steps.get(STEPS_MOST) {
-            self.faults.add(first.span.start, || format!("{STEPS_MOST} steps at most"));
+        if let Some(first) = steps.get(MAX_STEPS) {
+            self.faults.add(first.span.start, || format!("{MAX_STEPS} steps at most"));
         }
         if subjects.is_some() && text.name.node == "default" {
             self.faults
@@ -163,7 +163,7 @@
         Checked { rule, subjects, at, whole: self.whole }
     }
 
-    fn subjects(&mut self, list: &[At<Subject>]) -> (BTreeSet<usize>, BTreeSet<usize>) {
+    fn subjects(&mut self, list: &[Spanned<Subject>]) -> (BTreeSet<usize>, BTreeSet<usize>) {
         let (mut classes, mut tenants) = (BTreeSet::new(), BTreeSet::new());
         for subject in list {
             let (kind, name, known, chosen) = match &subject.node {
@@ -186,16 +186,16 @@
         (classes, tenants)
     }
 
-    fn named(&mut self, named: &Named, at: usize) -> Option<Place> {
+    fn named(&mut self, named: &NamedLocality, at: usize) -> Option<StepTarget> {
         let topology = self.names.topology;
         let place = match named {
-            Named::Zone(name) => topology.zone(name).map(Place::Zone),
-            Named::Region(name) => topology.region(name).map(Place::Region),
+            NamedLocality::Zone(name) => topology.zone(name).map(StepTarget::Zone),
+            NamedLocality::Region(name) => topology.region(name).map(StepTarget::Region),
         };
         if place.is_none() {
             self.faults.add(at, || match named {
-                Named::Zone(name) => unknown("zone", name, zone_names(topology)),
-                Named::Region(name) => {
+                NamedLocality::Zone(name) => unknown("zone", name, zone_names(topology)),
+                NamedLocality::Region(name) => {
                     unknown("region", name, topology.regions().map(|region| topology.region_name(region)))
                 }
             });
@@ -203,25 +203,25 @@
         place
     }
 
-    fn step(&mut self, step: &StepText, span: &Range<usize>) -> Option<Step> {
-        let place = match &step.place {
-            PlaceText::OwnZone => Place::OwnZone,
-            PlaceText::OwnRegion => Place::OwnRegion,
-            PlaceText::Anywhere => Place::Anywhere,
-            PlaceText::Named(named) => self.named(named, span.start)?,
+    fn step(&mut self, step: &StepSyntax, span: &Range<usize>) -> Option<Step> {
+        let target = match &step.target {
+            TargetSyntax::OwnZone => StepTarget::OwnZone,
+            TargetSyntax::OwnRegion => StepTarget::OwnRegion,
+            TargetSyntax::Anywhere => StepTarget::Anywhere,
+            TargetSyntax::Named(named) => self.named(named, span.start)?,
         };
-        Some(Step { place, within: step.within.as_ref().map(|within| within.node) })
+        Some(Step { target, within: step.within.as_ref().map(|within| within.node) })
     }
 
-    fn never(&mut self, list: &[At<Named>]) -> Vec<Zone> {
+    fn never(&mut self, list: &[Spanned<NamedLocality>]) -> Vec<Zone> {
         let (mut zones, mut seen) = (BTreeSet::new(), BTreeSet::new());
         for named in list {
             if !seen.insert(&named.node) {
                 self.faults.add(named.span.start, || format!("{} is named twice", named.node));
             }
             match self.named(&named.node, named.span.start) {
-                Some(Place::Zone(zone)) => drop(zones.insert(zone)),
-                Some(Place::Region(region)) => zones.extend(self.names.topology.zones_of(region)),
+                Some(StepTarget::Zone(zone)) => drop(zones.insert(zone)),
+                Some(StepTarget::Region(region)) => zones.extend(self.names.topology.zones_of(region)),
                 _ => {}
             }
         }
--- a/crates/locality/src/language/clauses.rs
+++ b/crates/locality/src/language/clauses.rs
@@ -1,14 +1,16 @@
 //! Clauses and the figures in them.
 
-use super::ast::{At, Clause, Named, Over, Percent, PlaceText, StepText, Subject};
+use super::ast::{
+    Clause, NamedLocality, Percent, Spanned, SpillThresholds, StepSyntax, Subject, TargetSyntax,
+};
 use super::lexer::{Kind, unquoted};
 use super::parser::{Parse, Parser};
 use std::time::Duration;
 
 /// The longest time of `for`.
-pub const WAIT_MOST: Duration = Duration::from_secs(3600);
+pub const MAX_SPILL_DWELL: Duration = Duration::from_secs(3600);
 /// The longest time of `within`.
-pub const WITHIN_MOST: Duration = Duration::from_secs(60);
+pub const MAX_WITHIN: Duration = Duration::from_secs(60);
 
 /// Units of time and how many microseconds they have, the longest first.
 pub(super) const UNITS: [(&str, u64); 4] = [("m", 60_000_000), ("s", 1_000_000), ("ms", 1_000), ("us", 1)];
@@ -53,12 +55,12 @@
         }
     }
 
-    fn list<T>(&mut self, item: impl Fn(&mut Self) -> Parse<T>) -> Parse<Vec<At<T>>> {
+    fn list<T>(&mut self, item: impl Fn(&mut Self) -> Parse<T>) -> Parse<Vec<Spanned<T>>> {
         let mut items = Vec::new();
         loop {
             let start = self.span().start;
             let node = item(self)?;
-            items.push(At { node, span: self.since(start) });
+            items.push(Spanned { node, span: self.since(start) });
             if !self.take_sign(',') {
                 return Ok(items);
             }
@@ -83,27 +85,27 @@
         }
     }
 
-    fn named(&mut self) -> Parse<Named> {
+    fn named(&mut self) -> Parse<NamedLocality> {
         if self.take_word("zone") {
-            self.name("zone").map(Named::Zone)
+            self.name("zone").map(NamedLocality::Zone)
         } else if self.take_word("region") {
-            self.name("region").map(Named::Region)
+            self.name("region").map(NamedLocality::Region)
         } else {
             Err(self.expected(&["zone", "region"]))
         }
     }
 
-    fn steps(&mut self) -> Parse<Vec<At<StepText>>> {
+    fn steps(&mut self) -> Parse<Vec<Spanned<StepSyntax>>> {
         let mut steps = Vec::new();
         loop {
             let start = self.span().start;
-            let place = self.place()?;
-            let within = if self.take_word("within") { Some(self.duration(WITHIN_MOST)?) } else { None };
-            if let (PlaceText::OwnZone, Some(within)) = (&place, &within) {
+            let target = self.target()?;
+            let within = if self.take_word("within") { Some(self.duration(MAX_WITHIN)?) } else { None };
+            if let (TargetSyntax::OwnZone, Some(within)) = (&target, &within) {
                 self.faults.add(within.span.start, || "the own zone is always within".into());
             }
             let nothing_said = within.is_none();
-            steps.push(At { node: StepText { place, within }, span: self.since(start) });
+            steps.push(Spanned { node: StepSyntax { target, within }, span: self.since(start) });
             if self.take_sign('>') {
                 continue;
             }
@@ -116,46 +118,46 @@
         }
     }
 
-    fn place(&mut self) -> Parse<PlaceText> {
+    fn target(&mut self) -> Parse<TargetSyntax> {
         if self.take_word("own") {
             if self.take_word("zone") {
-                Ok(PlaceText::OwnZone)
+                Ok(TargetSyntax::OwnZone)
             } else if self.take_word("region") {
-                Ok(PlaceText::OwnRegion)
+                Ok(TargetSyntax::OwnRegion)
             } else {
                 Err(self.expected(&["zone", "region"]))
             }
         } else if self.take_word("anywhere") {
-            Ok(PlaceText::Anywhere)
+            Ok(TargetSyntax::Anywhere)
         } else if self.at_word("zone") || self.at_word("region") {
-            self.named().map(PlaceText::Named)
+            self.named().map(TargetSyntax::Named)
         } else {
             Err(self.expected(&["own", "zone", "region", "anywhere"]))
         }
     }
 
-    fn over(&mut self) -> Parse<Over> {
+    fn over(&mut self) -> Parse<SpillThresholds> {
         let over = self.percent()?;
         self.need_word("for")?;
-        let over_for = self.duration(WAIT_MOST)?;
+        let over_for = self.duration(MAX_SPILL_DWELL)?;
         self.need_sign(',')?;
         self.need_word("back")?;
         self.need_word("under")?;
         let back = self.percent()?;
         self.need_word("for")?;
-        let back_for = self.duration(WAIT_MOST)?;
-        Ok(Over { over, over_for, back, back_for })
+        let back_for = self.duration(MAX_SPILL_DWELL)?;
+        Ok(SpillThresholds { over, over_for, back, back_for })
     }
 
-    fn percent(&mut self) -> Parse<At<Percent>> {
+    fn percent(&mut self) -> Parse<Spanned<Percent>> {
         let span = self.span();
         let Some(Kind::Figure(number, "%")) = self.next_kind() else {
             return Err(self.expected_some("a percentage such as `80%`"));
         };
         self.step();
         match scaled(number, 10_000) {
-            Some(millionths) if millionths <= u64::from(Percent::WHOLE.0) => {
-                Ok(At { node: Percent(millionths as u32), span })
+            Some(millionths) if millionths <= u64::from(Percent::HUNDRED.0) => {
+                Ok(Spanned { node: Percent(millionths as u32), span })
             }
             Some(_) => Err(self.wrong(span.start, "a percentage lies from 0% to 100%")),
             None => {
@@ -164,7 +166,7 @@
         }
     }
 
-    fn duration(&mut self, most: Duration) -> Parse<At<Duration>> {
+    fn duration(&mut self, most: Duration) -> Parse<Spanned<Duration>> {
         let span = self.span();
         let unit = |unit: &str| UNITS.iter().find(|(name, _)| *name == unit).map(|(_, micros)| *micros);
         let (number, micros) = match self.next_kind() {
@@ -174,7 +176,7 @@
         self.step();
         match scaled(number, micros) {
             Some(micros) if (1..=most.as_micros() as u64).contains(&micros) => {
-                Ok(At { node: Duration::from_micros(micros), span })
+                Ok(Spanned { node: Duration::from_micros(micros), span })
             }
             _ => {
                 let what =
--- a/crates/locality/src/language/fault.rs
+++ b/crates/locality/src/language/fault.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 /// The most faults that are told of one text; one more says that there are others.
-pub const FAULTS_MOST: usize = 64;
+pub const MAX_FAULTS: usize = 64;
 
 /// A fault of a text.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -34,7 +34,7 @@
 impl Faults {
     /// Words are only made while there is place for them.
     pub(crate) fn add(&mut self, at: usize, what: impl FnOnce() -> String) {
-        if self.found.len() < FAULTS_MOST {
+        if self.found.len() < MAX_FAULTS {
             self.found.push((at, what()));
         } else {
             self.more = true;
@@ -67,10 +67,10 @@
 /// The nearest of some names, in words to be put behind a fault; nothing if none is near.
 pub(crate) fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> String {
     let length = name.chars().count();
-    if length > NAME_LOOKED_AT {
+    if length > MAX_COMPARED_NAME_CHARS {
         return String::new();
     }
-    let far = |other: &str| (other.chars().count() <= NAME_LOOKED_AT).then(|| distance(name, other));
+    let far = |other: &str| (other.chars().count() <= MAX_COMPARED_NAME_CHARS).then(|| distance(name, other));
     let best = known.into_iter().filter_map(|other| Some((far(other)?, other))).min();
     match best {
         Some((far, other)) if far <= 1 + length / 3 => format!("; did you mean `{other}`?"),
@@ -79,7 +79,7 @@
 }
 
 /// Longer names are not compared: it takes the product of both lengths.
-const NAME_LOOKED_AT: usize = 64;
+const MAX_COMPARED_NAME_CHARS: usize = 64;
 
 /// Levenshtein's, with the exchange of two neighbours as one step (optimal string alignment).
 fn distance(a: &str, b: &str) -> usize {
@@ -134,7 +134,7 @@
         let mut faults = Faults::default();
         (0..1000).for_each(|n| faults.add(n, || "bad".into()));
         let told = faults.told(&"x".repeat(1000));
-        assert_eq!(told.len(), FAULTS_MOST + 1);
-        assert_eq!(told[FAULTS_MOST].what, "further faults are not listed");
+        assert_eq!(told.len(), MAX_FAULTS + 1);
+        assert_eq!(told[MAX_FAULTS].what, "further faults are not listed");
     }
 }
--- a/crates/locality/src/language/mod.rs
+++ b/crates/locality/src/language/mod.rs
@@ -20,14 +20,14 @@
 //! - The rule without `for` is for whomever no other fits, wherever it stands, and is the last of [`Rules`]; there is one at most.
 //!   If none is written, [`Rule::near_first`] is added by the name `default`, which no rule with a `for` may bear. It is never
 //!   unreachable: it is also for classes and tenants that a request names and nobody knows.
-//! - [`RULES_MOST`] counts it, written or added; a rule has [`STEPS_MOST`] steps at the most.
+//! - [`MAX_RULES`] counts it, written or added; a rule has [`MAX_STEPS`] steps at the most.
 //! - Where a deployment has no class or no tenant by name, the tables have one each.
 //! - `own region` has the own zone too if no step before it led there; a step never leads to a zone twice.
 //! - A way whose time is not known when a text is compiled may turn out near: no step is called unreachable for it.
-//! - A rule's name is a word: a letter or `_`, then letters, digits, `-`, `_`; [`NAME_MOST`] at the most. Other names stand in
+//! - A rule's name is a word: a letter or `_`, then letters, digits, `-`, `_`; [`MAX_NAME_CHARS`] at the most. Other names stand in
 //!   quotes; in them a backslash stands before a quote or a backslash.
 //! - Percentages have four places at most. Times are whole microseconds, in `us`, `ms`, `s` or `m` (minutes): up to
-//!   [`WITHIN_MOST`] with `within`, [`WAIT_MOST`] with `for`.
+//!   [`MAX_WITHIN`] with `within`, [`MAX_SPILL_DWELL`] with `for`.
 //! - `beyond region` and `spill` are no faults where they have nothing to act on: they are bounds, and a zone may come later.
 //! - Comments go from `#` to the end of the line. [`format()`] keeps them: one inside a clause moves before it.
 //!
@@ -43,21 +43,21 @@
 mod print;
 mod reach;
 
-pub use clauses::{WAIT_MOST, WITHIN_MOST};
-pub use fault::{FAULTS_MOST, Fault};
+pub use clauses::{MAX_SPILL_DWELL, MAX_WITHIN};
+pub use fault::{Fault, MAX_FAULTS};
 
 use crate::rules::Rules;
 #[cfg(doc)]
-use crate::rules::{RULES_MOST, Rule, Spill};
+use crate::rules::{MAX_RULES, Rule, Spill};
 use crate::topology::Topology;
 use fault::Faults;
 
 /// The most bytes of a text.
-pub const TEXT_MOST: usize = 64 * 1024;
+pub const MAX_TEXT_BYTES: usize = 64 * 1024;
 /// The most characters of a rule's name.
-pub const NAME_MOST: usize = 64;
+pub const MAX_NAME_CHARS: usize = 64;
 /// The most steps of one rule.
-pub const STEPS_MOST: usize = 64;
+pub const MAX_STEPS: usize = 64;
 
 /// The names that a text may use, by position as in the tables.
 #[derive(Clone, Copy, Debug)]
@@ -99,8 +99,8 @@
 }
 
 fn bounded(text: &str, faults: &mut Faults) -> bool {
-    if text.len() > TEXT_MOST {
-        faults.add(TEXT_MOST, || format!("the text has {} bytes; {TEXT_MOST} at most", text.len()));
+    if text.len() > MAX_TEXT_BYTES {
+        faults.add(MAX_TEXT_BYTES, || format!("the text has {} bytes; {MAX_TEXT_BYTES} at most", text.len()));
     }
-    text.len() <= TEXT_MOST
+    text.len() <= MAX_TEXT_BYTES
 }
--- a/crates/locality/src/language/parser.rs
+++ b/crates/locality/src/language/parser.rs
@@ -1,6 +1,6 @@
 //! From pieces to a tree. After a fault it goes on at the next clause or rule, so that all faults of a text are told at once.
 
-use super::ast::{At, Clause, ClauseText, RuleText, Text};
+use super::ast::{Clause, ClauseSyntax, RuleSyntax, Spanned, Text};
 use super::fault::{Faults, nearest};
 use super::lexer::{Kind, Token, tokens};
 use std::ops::Range;
@@ -145,7 +145,7 @@
         Some((*text).to_owned())
     }
 
-    fn rule(&mut self) -> Parse<(RuleText, bool)> {
+    fn rule(&mut self) -> Parse<(RuleSyntax, bool)> {
         let before = std::mem::take(&mut self.passed);
         self.step();
         let span = self.span();
@@ -154,9 +154,9 @@
         };
         self.step();
         self.need_sign('{')?;
-        let name = At { node: name.to_owned(), span };
+        let name = Spanned { node: name.to_owned(), span };
         let head = self.comment_on_line();
-        let (mut clauses, mut whole) = (Vec::<ClauseText>::new(), true);
+        let (mut clauses, mut whole) = (Vec::<ClauseSyntax>::new(), true);
         let closed = loop {
             if self.take_sign('}') {
                 break true;
@@ -168,7 +168,7 @@
             match self.whole_clause(before) {
                 Ok(clause) => {
                     if clauses.iter().any(|other| other.clause.node.kind() == clause.clause.node.kind()) {
-                        let word = Clause::WORDS[clause.clause.node.kind()];
+                        let word = Clause::KEYWORDS[clause.clause.node.kind()];
                         self.faults.add(clause.clause.span.start, || format!("`{word}` stands twice"));
                         whole = false;
                     } else {
@@ -187,16 +187,16 @@
         }
         let end = std::mem::take(&mut self.passed);
         let after = if closed { self.comment_on_line() } else { None };
-        Ok((RuleText { before, name, head, clauses, end, after }, whole))
+        Ok((RuleSyntax { before, name, head, clauses, end, after }, whole))
     }
 
-    fn whole_clause(&mut self, mut before: Vec<String>) -> Parse<ClauseText> {
+    fn whole_clause(&mut self, mut before: Vec<String>) -> Parse<ClauseSyntax> {
         let start = self.span().start;
         let clause = self.clause()?;
         self.need_sign(';')?;
-        let clause = At { node: clause, span: self.since(start) };
+        let clause = Spanned { node: clause, span: self.since(start) };
         before.append(&mut self.passed);
-        Ok(ClauseText { before, clause, after: self.comment_on_line() })
+        Ok(ClauseSyntax { before, clause, after: self.comment_on_line() })
     }
 
     /// Behind the clause's `;`, or at the next clause, rule or brace. Any clause has taken its first piece.
--- a/crates/locality/src/language/print.rs
+++ b/crates/locality/src/language/print.rs
@@ -1,6 +1,6 @@
 //! The one way in which a text is printed: clauses in a fixed order, two spaces in, an empty line between rules.
 
-use super::ast::{Clause, Named, Percent, PlaceText, RuleText, StepText, Subject, Text};
+use super::ast::{Clause, NamedLocality, Percent, RuleSyntax, StepSyntax, Subject, TargetSyntax, Text};
 use super::clauses::UNITS;
 use super::lexer::quoted;
 use std::fmt::{self, Write};
@@ -32,7 +32,7 @@
     }
 }
 
-impl fmt::Display for RuleText {
+impl fmt::Display for RuleSyntax {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         comments(f, "", &self.before)?;
         write!(f, "rule {} {{", self.name.node)?;
@@ -82,7 +82,7 @@
     }
 }
 
-impl fmt::Display for Named {
+impl fmt::Display for NamedLocality {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Zone(name) => write!(f, "zone {}", quoted(name)),
@@ -91,13 +91,13 @@
     }
 }
 
-impl fmt::Display for StepText {
+impl fmt::Display for StepSyntax {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match &self.place {
-            PlaceText::OwnZone => f.write_str("own zone"),
-            PlaceText::OwnRegion => f.write_str("own region"),
-            PlaceText::Named(named) => named.fmt(f),
-            PlaceText::Anywhere => f.write_str("anywhere"),
+        match &self.target {
+            TargetSyntax::OwnZone => f.write_str("own zone"),
+            TargetSyntax::OwnRegion => f.write_str("own region"),
+            TargetSyntax::Named(named) => named.fmt(f),
+            TargetSyntax::Anywhere => f.write_str("anywhere"),
         }?;
         self.within.as_ref().map_or(Ok(()), |within| write!(f, " within {}", time(within.node)))
     }
--- a/crates/locality/src/language/reach.rs
+++ b/crates/locality/src/language/reach.rs
@@ -1,6 +1,6 @@
 //! Steps that lead nowhere, whichever zone a request came into, and a `never` that leaves a rule nothing.
 
-use super::ast::{At, StepText};
+use super::ast::{Spanned, StepSyntax};
 use super::fault::Faults;
 use crate::rules::Rule;
 use crate::topology::Topology;
@@ -27,7 +27,7 @@
 
 pub(super) fn check(
     rule: &Rule,
-    steps: &[At<StepText>],
+    steps: &[Spanned<StepSyntax>],
     never: Option<Range<usize>>,
     topology: &Topology,
     faults: &mut Faults,
@@ -44,14 +44,14 @@
         for (step, comes) in rule.steps.iter().zip(&mut comes) {
             // No bound is further than any that can be written.
             let within = step.within.unwrap_or(Duration::MAX);
-            for zone in step.place.zones(topology, from) {
-                let trip = topology.trip(from, zone);
+            for zone in step.target.zones(topology, from) {
+                let rtt = topology.rtt(from, zone);
                 let place = &mut taken[usize::from(zone.0)];
                 // A known way is as good as any longer bound once it is within one.
-                let reach = if trip.is_some_and(|trip| trip <= within) { Duration::MAX } else { within };
+                let reach = if rtt.is_some_and(|rtt| rtt <= within) { Duration::MAX } else { within };
                 let here = if rule.never.binary_search(&zone).is_ok() {
                     Comes::Forbidden
-                } else if trip.is_some_and(|trip| trip > within) {
+                } else if rtt.is_some_and(|rtt| rtt > within) {
                     Comes::TooFar
                 } else if place.is_some_and(|place| place >= reach) {
                     Comes::Taken
--- a/crates/locality/src/rules.rs
+++ b/crates/locality/src/rules.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 /// The most rules.
-pub const RULES_MOST: usize = 256;
+pub const MAX_RULES: usize = 256;
 
 /// Where a step leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Place {
+pub enum StepTarget {
     /// The zone that the request came into.
     OwnZone,
     /// The other zones of its region.
@@ -22,7 +22,7 @@
     Anywhere,
 }
 
-impl Place {
+impl StepTarget {
     /// The zones that it names for requests that came into a zone.
     pub fn zones(self, topology: &Topology, from: Zone) -> Vec<Zone> {
         match self {
@@ -39,7 +39,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Step {
     /// Where it leads.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub target: StepTarget,
     /// Only to zones within this time, there and back; a zone of which it is not known is not within.
     pub within: Option<Duration>,
 }
@@ -95,10 +96,10 @@
 impl Rule {
     /// What holds where nothing is written: near first, and everywhere in the end.
     pub fn near_first() -> Self {
-        let step = |place| Step { place, within: None };
+        let step = |target| Step { target, within: None };
         Self {
             name: "default".into(),
-            steps: vec![step(Place::OwnZone), step(Place::OwnRegion), step(Place::Anywhere)],
+            steps: vec![step(StepTarget::OwnZone), step(StepTarget::OwnRegion), step(StepTarget::Anywhere)],
             spill: Spill::default(),
             usable_least: 0.5,
             beyond_region_most: 1.0,
@@ -108,22 +109,22 @@
     }
 
     /// The zones of each step for requests that came into this zone: none twice, none forbidden, no step empty.
-    pub fn ladder(&self, topology: &Topology, from: Zone) -> Vec<Vec<Zone>> {
-        let (mut taken, mut ladder) = (Vec::new(), Vec::new());
+    pub fn priority_list(&self, topology: &Topology, from: Zone) -> Vec<Vec<Zone>> {
+        let (mut taken, mut priority_list) = (Vec::new(), Vec::new());
         for step in &self.steps {
-            let zones = step.place.zones(topology, from);
+            let zones = step.target.zones(topology, from);
             let near = |zone: &Zone| {
-                step.within.is_none_or(|most| topology.trip(from, *zone).is_some_and(|trip| trip <= most))
+                step.within.is_none_or(|most| topology.rtt(from, *zone).is_some_and(|rtt| rtt <= most))
             };
             let fits =
                 |zone: &Zone| near(zone) && !taken.contains(zone) && self.never.binary_search(zone).is_err();
             let zones: Vec<Zone> = zones.into_iter().filter(fits).collect();
             taken.extend(&zones);
             if !zones.is_empty() {
-                ladder.push(zones);
+                priority_list.push(zones);
             }
         }
-        ladder
+        priority_list
     }
 }
 
@@ -162,7 +163,7 @@
     }
 
     /// The rule for a class and a tenant, as a position in [`Self::all`]; the last one for what there is not.
-    pub fn of(&self, class: usize, tenant: usize) -> usize {
+    pub fn rule_index(&self, class: usize, tenant: usize) -> usize {
         let known = (tenant < self.tenants).then(|| self.table.get(class * self.tenants + tenant)).flatten();
         known.map_or(self.rules.len() - 1, |n| usize::from(*n))
     }
@@ -179,8 +180,8 @@
 
     fn topology() -> Topology {
         let mut topology = Topology::new([("north", vec!["a", "b"]), ("south", vec!["c", "d"])]).unwrap();
-        topology.set_trip(Zone(0), Zone(1), Duration::from_millis(1));
-        topology.set_trip(Zone(0), Zone(2), Duration::from_millis(5));
+        topology.set_rtt(Zone(0), Zone(1), Duration::from_millis(1));
+        topology.set_rtt(Zone(0), Zone(2), Duration::from_millis(5));
         topology
     }
 
@@ -188,11 +189,14 @@
     fn a_ladder_names_each_zone_once_and_none_that_is_forbidden() {
         let topology = topology();
         let mut rule = Rule::near_first();
-        assert_eq!(rule.ladder(&topology, Zone(0)), [vec![Zone(0)], vec![Zone(1)], vec![Zone(2), Zone(3)]]);
+        assert_eq!(
+            rule.priority_list(&topology, Zone(0)),
+            [vec![Zone(0)], vec![Zone(1)], vec![Zone(2), Zone(3)]]
+        );
         rule.never = vec![Zone(1)];
-        assert_eq!(rule.ladder(&topology, Zone(0)), [vec![Zone(0)], vec![Zone(2), Zone(3)]]);
+        assert_eq!(rule.priority_list(&topology, Zone(0)), [vec![Zone(0)], vec![Zone(2), Zone(3)]]);
         rule.steps[2].within = Some(Duration::from_millis(5));
-        assert_eq!(rule.ladder(&topology, Zone(0)), [vec![Zone(0)], vec![Zone(2)]]);
+        assert_eq!(rule.priority_list(&topology, Zone(0)), [vec![Zone(0)], vec![Zone(2)]]);
     }
 
     #[test]
@@ -200,6 +204,9 @@
         let mut other = Rule::near_first();
         other.name = "other".into();
         let rules = Rules::new(vec![Rule::near_first(), other], 2, 2, |class, _| class);
-        assert_eq!((rules.of(0, 1), rules.of(1, 0), rules.of(7, 0), rules.of(0, 7)), (0, 1, 1, 1));
+        assert_eq!(
+            (rules.rule_index(0, 1), rules.rule_index(1, 0), rules.rule_index(7, 0), rules.rule_index(0, 7)),
+            (0, 1, 1, 1)
+        );
     }
 }
--- a/crates/locality/src/topology.rs
+++ b/crates/locality/src/topology.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 /// The most zones and regions.
-pub const ZONES_MOST: usize = 64;
+pub const MAX_ZONES: usize = 64;
 /// The most regions.
-pub const REGIONS_MOST: usize = 32;
+pub const MAX_REGIONS: usize = 32;
 
 /// Position of a zone in its [`Topology`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -20,32 +20,32 @@
 
 /// What is wrong with a topology.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wrong {
+pub enum TopologyError {
     /// No zone at all.
     Empty,
     /// A region without a zone.
-    NoZones(String),
+    RegionWithoutZones(String),
     /// A region's name stands twice.
-    RegionTwice(String),
+    DuplicateRegion(String),
     /// A zone's name stands twice, in one region or in two.
-    ZoneTwice(String),
-    /// More than [`ZONES_MOST`] zones or [`REGIONS_MOST`] regions.
+    DuplicateZone(String),
+    /// More than [`MAX_ZONES`] zones or [`MAX_REGIONS`] regions.
     TooMany,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for TopologyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Empty => f.write_str("there is no zone"),
-            Self::NoZones(region) => write!(f, "region {region:?} has no zone"),
-            Self::RegionTwice(name) => write!(f, "region {name:?} is named twice"),
-            Self::ZoneTwice(name) => write!(f, "zone {name:?} is named twice"),
-            Self::TooMany => write!(f, "{ZONES_MOST} zones and {REGIONS_MOST} regions at most"),
+            Self::RegionWithoutZones(region) => write!(f, "region {region:?} has no zone"),
+            Self::DuplicateRegion(name) => write!(f, "region {name:?} is named twice"),
+            Self::DuplicateZone(name) => write!(f, "zone {name:?} is named twice"),
+            Self::TooMany => write!(f, "{MAX_ZONES} zones and {MAX_REGIONS} regions at most"),
         }
     }
 }
 
-impl std::error::Error for Wrong {}
+impl std::error::Error for TopologyError {}
 
 #[derive(Clone, Debug, PartialEq)]
 struct ZoneEntry {
@@ -64,65 +64,67 @@
 pub struct Topology {
     zones: Vec<ZoneEntry>,
     regions: Vec<RegionEntry>,
-    trips: BTreeMap<(Zone, Zone), Duration>,
+    rtts: BTreeMap<(Zone, Zone), Duration>,
     /// What was measured of ways that nobody has stated.
     measured: BTreeMap<(Zone, Zone), Duration>,
 }
 
 impl Topology {
     /// Regions by name, each with the names of its zones.
-    pub fn new<'a>(regions: impl IntoIterator<Item = (&'a str, Vec<&'a str>)>) -> Result<Self, Wrong> {
+    pub fn new<'a>(
+        regions: impl IntoIterator<Item = (&'a str, Vec<&'a str>)>,
+    ) -> Result<Self, TopologyError> {
         let mut topology = Self::default();
         let mut seen = BTreeSet::new();
         for (name, zones) in regions {
             if topology.region(name).is_some() {
-                return Err(Wrong::RegionTwice(name.into()));
+                return Err(TopologyError::DuplicateRegion(name.into()));
             }
             if zones.is_empty() {
-                return Err(Wrong::NoZones(name.into()));
+                return Err(TopologyError::RegionWithoutZones(name.into()));
             }
             let region = Region(topology.regions.len() as u16);
             let mut entry = RegionEntry { name: name.into(), zones: Vec::new() };
             for zone in zones {
                 if !seen.insert(zone.to_owned()) {
-                    return Err(Wrong::ZoneTwice(zone.into()));
+                    return Err(TopologyError::DuplicateZone(zone.into()));
                 }
                 entry.zones.push(Zone(topology.zones.len() as u16));
                 topology.zones.push(ZoneEntry { name: zone.into(), region });
-                if topology.zones.len() > ZONES_MOST {
-                    return Err(Wrong::TooMany);
+                if topology.zones.len() > MAX_ZONES {
+                    return Err(TopologyError::TooMany);
                 }
             }
             topology.regions.push(entry);
-            if topology.regions.len() > REGIONS_MOST {
-                return Err(Wrong::TooMany);
+            if topology.regions.len() > MAX_REGIONS {
+                return Err(TopologyError::TooMany);
             }
         }
-        if topology.zones.is_empty() { Err(Wrong::Empty) } else { Ok(topology) }
+        if topology.zones.is_empty() { Err(TopologyError::Empty) } else { Ok(topology) }
     }
 
     /// States the time of the way between two zones, there and back.
-    pub fn set_trip(&mut self, a: Zone, b: Zone, time: Duration) {
-        self.trips.insert((a.min(b), a.max(b)), time);
+    pub fn set_rtt(&mut self, a: Zone, b: Zone, time: Duration) {
+        self.rtts.insert((a.min(b), a.max(b)), time);
     }
 
     /// What was measured of ways, there and back, instead of what was before. It stands only where nothing is stated.
-    pub fn set_measured(&mut self, trips: impl IntoIterator<Item = (Zone, Zone, Duration)>) {
-        self.measured = trips.into_iter().map(|(a, b, time)| ((a.min(b), a.max(b)), time)).collect();
+    pub fn set_measured_rtts(&mut self, rtts: impl IntoIterator<Item = (Zone, Zone, Duration)>) {
+        self.measured = rtts.into_iter().map(|(a, b, time)| ((a.min(b), a.max(b)), time)).collect();
     }
 
     /// The time of the way between two zones, there and back, stated or else measured; nothing within one zone, `None` if it is
     /// not known.
-    pub fn trip(&self, a: Zone, b: Zone) -> Option<Duration> {
+    pub fn rtt(&self, a: Zone, b: Zone) -> Option<Duration> {
         if a == b {
             return Some(Duration::ZERO);
         }
-        self.stated(a, b).or_else(|| self.measured.get(&(a.min(b), a.max(b))).copied())
+        self.configured_rtt(a, b).or_else(|| self.measured.get(&(a.min(b), a.max(b))).copied())
     }
 
     /// What is stated of that, if anything is.
-    pub fn stated(&self, a: Zone, b: Zone) -> Option<Duration> {
-        self.trips.get(&(a.min(b), a.max(b))).copied()
+    pub fn configured_rtt(&self, a: Zone, b: Zone) -> Option<Duration> {
+        self.rtts.get(&(a.min(b), a.max(b))).copied()
     }
 
     /// All zones.
@@ -176,23 +178,29 @@
         let (a, c) = (topology.zone("a").unwrap(), topology.zone("c").unwrap());
         assert_eq!(topology.region_name(topology.region_of(c)), "south");
         assert_eq!(topology.zones_of(topology.region("north").unwrap()), [a, topology.zone("b").unwrap()]);
-        assert_eq!((topology.trip(a, c), topology.trip(a, a)), (None, Some(Duration::ZERO)));
-        topology.set_trip(c, a, Duration::from_millis(9));
-        assert_eq!(topology.trip(a, c), Some(Duration::from_millis(9)));
+        assert_eq!((topology.rtt(a, c), topology.rtt(a, a)), (None, Some(Duration::ZERO)));
+        topology.set_rtt(c, a, Duration::from_millis(9));
+        assert_eq!(topology.rtt(a, c), Some(Duration::from_millis(9)));
         let (b, ms) = (topology.zone("b").unwrap(), Duration::from_millis);
-        topology.set_measured([(a, c, ms(2)), (b, a, ms(1))]);
-        assert_eq!(topology.trip(a, c), Some(ms(9)), "what is stated stands");
-        assert_eq!((topology.trip(a, b), topology.trip(b, a)), (Some(ms(1)), Some(ms(1))));
-        topology.set_measured([]);
-        assert_eq!((topology.trip(a, c), topology.trip(a, b)), (Some(ms(9)), None));
+        topology.set_measured_rtts([(a, c, ms(2)), (b, a, ms(1))]);
+        assert_eq!(topology.rtt(a, c), Some(ms(9)), "what is configured_rtt stands");
+        assert_eq!((topology.rtt(a, b), topology.rtt(b, a)), (Some(ms(1)), Some(ms(1))));
+        topology.set_measured_rtts([]);
+        assert_eq!((topology.rtt(a, c), topology.rtt(a, b)), (Some(ms(9)), None));
         assert_eq!(topology.zone_name(Zone(9)), "");
     }
 
     #[test]
     fn what_is_wrong_is_named() {
-        assert_eq!(Topology::new([]), Err(Wrong::Empty));
-        assert_eq!(Topology::new([("n", vec![])]), Err(Wrong::NoZones("n".into())));
-        assert_eq!(Topology::new([("n", vec!["a"]), ("n", vec!["b"])]), Err(Wrong::RegionTwice("n".into())));
-        assert_eq!(Topology::new([("n", vec!["a"]), ("s", vec!["a"])]), Err(Wrong::ZoneTwice("a".into())));
+        assert_eq!(Topology::new([]), Err(TopologyError::Empty));
+        assert_eq!(Topology::new([("n", vec![])]), Err(TopologyError::RegionWithoutZones("n".into())));
+        assert_eq!(
+            Topology::new([("n", vec!["a"]), ("n", vec!["b"])]),
+            Err(TopologyError::DuplicateRegion("n".into()))
+        );
+        assert_eq!(
+            Topology::new([("n", vec!["a"]), ("s", vec!["a"])]),
+            Err(TopologyError::DuplicateZone("a".into()))
+        );
     }
 }
--- a/crates/locality/tests/contradict.rs
+++ b/crates/locality/tests/contradict.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::fixed;
-use maplehook_locality::contradict::TOLD_MOST;
-use maplehook_locality::rules::RULES_MOST;
+use maplehook_locality::contradict::MAX_CONTRADICTIONS;
+use maplehook_locality::rules::MAX_RULES;
 use maplehook_locality::{Rule, Rules, WhenLost, Zone, contradictions, strictest};
 use proptest::prelude::*;
 
@@ -52,33 +52,37 @@
     assert_eq!(told(&a, &b).len(), 1);
     assert!(told(&a, &b)[0].starts_with("rules strict and loose (class c0, tenant t0 and 1 more)"));
     let both = strictest(&a, &b);
-    let never = |class| both.all()[both.of(class, 0)].never.clone();
+    let never = |class| both.all()[both.rule_index(class, 0)].never.clone();
     assert_eq!((never(0), never(1), never(2), never(99)), (vec![Zone(0)], vec![], vec![], vec![]));
     let names: Vec<&str> = both.all().iter().map(|rule| rule.name.as_str()).collect();
     assert_eq!(names, ["loose with strict", "loose"]);
     // Sets over nothing known have a rule for it all the same.
     let none = strictest(&Rules::new(vec![strict], 0, 0, |_, _| 0), &Rules::near_first(0, 0));
-    assert_eq!((none.all().len(), none.all()[none.of(0, 0)].when_lost), (1, WhenLost::Refuse));
+    assert_eq!((none.all().len(), none.all()[none.rule_index(0, 0)].when_lost), (1, WhenLost::Refuse));
 }
 
 #[test]
 fn more_pairs_than_rules_are_read_together() {
     let many = |name: &str, never: u16| -> Vec<Rule> {
         let rule = |n: u16| rule(&format!("{name}{n}"), &[never + n % 32], 1.0, WhenLost::Refuse);
-        (0..RULES_MOST as u16).map(rule).collect()
+        (0..MAX_RULES as u16).map(rule).collect()
     };
     let a = Rules::new(many("a", 0), 256, 64, |class, _| class);
     let b = Rules::new(many("b", 32), 256, 64, |class, tenant| (class + tenant) % 256);
     let both = strictest(&a, &b);
-    assert!(both.all().len() <= RULES_MOST, "{}", both.all().len());
+    assert!(both.all().len() <= MAX_RULES, "{}", both.all().len());
     for (class, tenant) in (0..256).flat_map(|class| (0..64).map(move |tenant| (class, tenant))) {
-        let rule = &both.all()[both.of(class, tenant)];
-        for zone in a.all()[a.of(class, tenant)].never.iter().chain(&b.all()[b.of(class, tenant)].never) {
+        let rule = &both.all()[both.rule_index(class, tenant)];
+        for zone in a.all()[a.rule_index(class, tenant)]
+            .never
+            .iter()
+            .chain(&b.all()[b.rule_index(class, tenant)].never)
+        {
             assert!(rule.never.binary_search(zone).is_ok());
         }
     }
     assert_eq!(strictest(&a, &both), both);
-    assert_eq!(told(&a, &b).len(), TOLD_MOST + 1);
+    assert_eq!(told(&a, &b).len(), MAX_CONTRADICTIONS + 1);
 }
 
 fn some_rule(name: String) -> impl Strategy<Value = Rule> {
@@ -108,7 +112,7 @@
 }
 
 fn of(rules: &Rules, cell: (usize, usize)) -> &Rule {
-    &rules.all()[rules.of(cell.0, cell.1)]
+    &rules.all()[rules.rule_index(cell.0, cell.1)]
 }
 
 fn forbids(rule: &Rule) -> (Vec<Zone>, f64, WhenLost) {
--- a/crates/locality/tests/explain.rs
+++ b/crates/locality/tests/explain.rs
@@ -1,7 +1,7 @@
 //! Why a request goes where it goes.
 
-use maplehook_locality::explain::{LeftOut, Outcome, Passed};
-use maplehook_locality::{Explanation, Names, Seen, Topology, Zone, compile, explain};
+use maplehook_locality::explain::{RuleMismatch, StepOutcome, ZoneExclusion};
+use maplehook_locality::{Explanation, LocalityHealth, Names, Topology, Zone, compile, explain};
 use std::time::Duration;
 
 const TEXT: &str = r#"
@@ -15,12 +15,12 @@
 }
 "#;
 
-fn explained(class: usize, tenant: usize, from: u16, seen: &[Seen]) -> Explanation {
+fn explained(class: usize, tenant: usize, from: u16, seen: &[LocalityHealth]) -> Explanation {
     let zones = vec!["giza", "luxor", "thebes", "dakhla"];
     let mut topology =
         Topology::new([("north", zones), ("south", vec!["aswan"]), ("west", vec!["siwa"])]).unwrap();
-    topology.set_trip(Zone(0), Zone(2), Duration::from_millis(2));
-    topology.set_trip(Zone(0), Zone(3), Duration::from_millis(9));
+    topology.set_rtt(Zone(0), Zone(2), Duration::from_millis(2));
+    topology.set_rtt(Zone(0), Zone(3), Duration::from_millis(9));
     let classes = ["browse", "confirm"].map(String::from);
     let tenants = ["lodge", "inn"].map(String::from);
     let names = Names { topology: &topology, classes: &classes, tenants: &tenants };
@@ -28,22 +28,25 @@
     explain(&rules, &names, class, tenant, Zone(from), seen)
 }
 
-fn seen(load: f64, usable: f64) -> Seen {
-    Seen { load, usable }
+fn seen(load: f64, usable: f64) -> LocalityHealth {
+    LocalityHealth { load, usable }
 }
 
 #[test]
 fn each_rule_and_step_that_was_passed_over_has_its_reason() {
     let well = seen(0.2, 1.0);
     let told = explained(1, 0, 0, &[seen(0.9, 1.0), well, seen(0.0, 0.0), well, well, well]);
-    let passed = [("browse".into(), Passed::OtherClass), ("inn".into(), Passed::OtherTenant)];
+    let passed = [("browse".into(), RuleMismatch::OtherClass), ("inn".into(), RuleMismatch::OtherTenant)];
     assert_eq!((told.rule.name.as_str(), &told.passed[..]), ("booking", &passed[..]));
-    let outcomes: Vec<Outcome> = told.steps.iter().map(|step| step.outcome).collect();
-    assert_eq!(outcomes, [Outcome::Full, Outcome::Lost, Outcome::Chosen, Outcome::NotNeeded]);
+    let outcomes: Vec<StepOutcome> = told.steps.iter().map(|step| step.outcome).collect();
+    assert_eq!(
+        outcomes,
+        [StepOutcome::Full, StepOutcome::Unusable, StepOutcome::Chosen, StepOutcome::NotNeeded]
+    );
     let left = [
-        ("giza".to_owned(), LeftOut::Earlier),
-        ("luxor".to_owned(), LeftOut::Never),
-        ("dakhla".to_owned(), LeftOut::TooFar),
+        ("giza".to_owned(), ZoneExclusion::Earlier),
+        ("luxor".to_owned(), ZoneExclusion::Never),
+        ("dakhla".to_owned(), ZoneExclusion::TooFar),
     ];
     assert_eq!((told.chosen, &told.steps[1].left_out[..]), (Some(2), &left[..]));
     let text = "class confirm, tenant lodge, into zone giza\n  \
@@ -62,16 +65,16 @@
 #[test]
 fn a_way_that_is_not_known_and_a_forbidden_own_zone_are_said() {
     let told = explained(1, 0, 1, &[]);
-    assert_eq!(told.steps[0].left_out, [("luxor".to_owned(), LeftOut::Never)]);
-    assert_eq!((told.steps[0].outcome, told.steps[1].outcome), (Outcome::Empty, Outcome::Empty));
-    assert!(told.steps[1].left_out.contains(&("giza".to_owned(), LeftOut::WayUnknown)));
+    assert_eq!(told.steps[0].left_out, [("luxor".to_owned(), ZoneExclusion::Never)]);
+    assert_eq!((told.steps[0].outcome, told.steps[1].outcome), (StepOutcome::Empty, StepOutcome::Empty));
+    assert!(told.steps[1].left_out.contains(&("giza".to_owned(), ZoneExclusion::RttUnknown)));
     assert_eq!(told.chosen, Some(2));
 }
 
 #[test]
 fn with_little_usable_the_next_is_used_and_with_nothing_better_the_little() {
     let little = explained(1, 0, 0, &[seen(0.1, 0.3)]);
-    assert_eq!((little.steps[0].outcome, little.chosen), (Outcome::TooLittle, Some(1)));
+    assert_eq!((little.steps[0].outcome, little.chosen), (StepOutcome::LowCapacity, Some(1)));
     let all =
         [seen(0.1, 0.3), seen(0.0, 0.0), seen(0.9, 1.0), seen(0.0, 0.0), seen(0.0, 0.0), seen(0.0, 0.0)];
     assert_eq!(explained(1, 0, 0, &all).chosen, Some(0));
--- a/crates/locality/tests/golden.rs
+++ b/crates/locality/tests/golden.rs
@@ -2,11 +2,11 @@
 
 use maplehook_golden::{assert_text, golden_types};
 use maplehook_locality::language::{Names, compile, format};
-use maplehook_locality::{Rules, Seen, Topology};
+use maplehook_locality::{LocalityHealth, Rules, Topology};
 
 golden_types! {
     rules: Postcard Rules;
-    seen: Json Seen;
+    seen: Json LocalityHealth;
 }
 
 const GOOD: &str = r#"
--- a/crates/locality/tests/language.rs
+++ b/crates/locality/tests/language.rs
@@ -1,8 +1,8 @@
 //! Texts and what they come to; faults and where they are told.
 
 use maplehook_locality::language::{Names, compile, format};
-use maplehook_locality::rules::RULES_MOST;
-use maplehook_locality::{Place, Rule, Rules, Spill, Step, Topology, WhenLost, Zone};
+use maplehook_locality::rules::MAX_RULES;
+use maplehook_locality::{Rule, Rules, Spill, Step, StepTarget, Topology, WhenLost, Zone};
 use std::time::Duration;
 
 const CLASSES: [&str; 3] = ["browse", "confirm", "hold-day"];
@@ -11,8 +11,8 @@
 fn topology() -> Topology {
     let mut topology =
         Topology::new([("north", vec!["giza", "luxor"]), ("south", vec!["aswan", "edfu"])]).unwrap();
-    topology.set_trip(Zone(0), Zone(1), Duration::from_millis(1));
-    topology.set_trip(Zone(2), Zone(3), Duration::from_millis(1));
+    topology.set_rtt(Zone(0), Zone(1), Duration::from_millis(1));
+    topology.set_rtt(Zone(2), Zone(3), Duration::from_millis(1));
     topology
 }
 
@@ -45,10 +45,10 @@
     let want = Rule {
         name: "booking".into(),
         steps: vec![
-            Step { place: Place::OwnZone, within: None },
-            Step { place: Place::OwnRegion, within: Some(Duration::from_millis(3)) },
-            Step { place: Place::Region(maplehook_locality::Region(1)), within: None },
-            Step { place: Place::Anywhere, within: None },
+            Step { target: StepTarget::OwnZone, within: None },
+            Step { target: StepTarget::OwnRegion, within: Some(Duration::from_millis(3)) },
+            Step { target: StepTarget::Region(maplehook_locality::Region(1)), within: None },
+            Step { target: StepTarget::Anywhere, within: None },
         ],
         spill: Spill {
             over: 0.855,
@@ -62,8 +62,8 @@
         when_lost: WhenLost::Anywhere,
     };
     assert_eq!(rules.all(), [want, Rule::near_first()]);
-    let for_lodge: Vec<usize> = (0..3).map(|class| rules.of(class, 0)).collect();
-    let for_inn: Vec<usize> = (0..3).map(|class| rules.of(class, 1)).collect();
+    let for_lodge: Vec<usize> = (0..3).map(|class| rules.rule_index(class, 0)).collect();
+    let for_inn: Vec<usize> = (0..3).map(|class| rules.rule_index(class, 1)).collect();
     assert_eq!((for_lodge, for_inn), (vec![1, 0, 0], vec![1, 1, 1]));
 }
 
@@ -86,9 +86,9 @@
     let names: Vec<&str> = rules.all().iter().map(|rule| rule.name.as_str()).collect();
     assert_eq!(names, ["a", "b", "rest"]);
     let cells: Vec<usize> =
-        (0..3).flat_map(|c| (0..2).map(move |t| (c, t))).map(|(c, t)| rules.of(c, t)).collect();
+        (0..3).flat_map(|c| (0..2).map(move |t| (c, t))).map(|(c, t)| rules.rule_index(c, t)).collect();
     assert_eq!(cells, [0, 0, 2, 1, 2, 1]);
-    assert_eq!(rules.of(9, 9), 2);
+    assert_eq!(rules.rule_index(9, 9), 2);
 }
 
 #[test]
@@ -96,7 +96,7 @@
     let topology = topology();
     let names = Names { topology: &topology, classes: &[], tenants: &[] };
     let rules = compile("rule a { prefer own zone; }", &names).unwrap();
-    assert_eq!((rules.all()[rules.of(0, 0)].name.as_str(), rules.table().0.len()), ("a", 1));
+    assert_eq!((rules.all()[rules.rule_index(0, 0)].name.as_str(), rules.table().0.len()), ("a", 1));
 }
 
 #[test]
@@ -197,14 +197,14 @@
 #[test]
 fn a_text_has_its_bounds() {
     let topology = topology();
-    let classes: Vec<String> = (0..RULES_MOST).map(|n| format!("c{n}")).collect();
+    let classes: Vec<String> = (0..MAX_RULES).map(|n| format!("c{n}")).collect();
     let names = Names { topology: &topology, classes: &classes, tenants: &[] };
     let rule = |n: usize| format!("rule r{n} {{ for class \"c{n}\"; prefer own zone; }}\n");
-    let most: String = (0..RULES_MOST - 1).map(rule).collect();
-    assert_eq!(compile(&most, &names).unwrap().all().len(), RULES_MOST);
-    let more: String = (0..RULES_MOST).map(rule).collect();
+    let most: String = (0..MAX_RULES - 1).map(rule).collect();
+    assert_eq!(compile(&most, &names).unwrap().all().len(), MAX_RULES);
+    let more: String = (0..MAX_RULES).map(rule).collect();
     let told = compile(&more, &names).unwrap_err();
-    assert_eq!((told.len(), told[0].line, told[0].column), (1, RULES_MOST, 6), "{told:?}");
+    assert_eq!((told.len(), told[0].line, told[0].column), (1, MAX_RULES, 6), "{told:?}");
     assert!(compile(&format!("{most}rule rest {{ prefer own zone; }}"), &names).is_ok());
     let steps: String = (1..=65).map(|n| format!("zone \"giza\" within {n}us > ")).collect();
     let told = compile(&format!("rule a {{ prefer {steps} anywhere; }}"), &names).unwrap_err();
--- a/crates/locality/tests/round_trip.rs
+++ b/crates/locality/tests/round_trip.rs
@@ -5,14 +5,15 @@
 use common::fixed;
 use maplehook_locality::Topology;
 use maplehook_locality::language::ast::{
-    At, Clause, ClauseText, Named, Over, Percent, PlaceText, RuleText, StepText, Subject, Text,
+    Clause, ClauseSyntax, NamedLocality, Percent, RuleSyntax, Spanned, SpillThresholds, StepSyntax, Subject,
+    TargetSyntax, Text,
 };
-use maplehook_locality::language::{FAULTS_MOST, Fault, Names, compile, format, parse};
+use maplehook_locality::language::{Fault, MAX_FAULTS, Names, compile, format, parse};
 use proptest::prelude::*;
 use std::time::Duration;
 
-fn at<T>(node: T) -> At<T> {
-    At::nowhere(node)
+fn at<T>(node: T) -> Spanned<T> {
+    Spanned::unspanned(node)
 }
 
 fn comment() -> impl Strategy<Value = String> {
@@ -27,38 +28,38 @@
     prop_oneof![Just("giza".to_owned()), "[^\n]{0,8}", "[\"\\\\a# ;]{0,5}"]
 }
 
-fn named() -> impl Strategy<Value = Named> {
-    prop_oneof![name().prop_map(Named::Zone), name().prop_map(Named::Region)]
+fn named() -> impl Strategy<Value = NamedLocality> {
+    prop_oneof![name().prop_map(NamedLocality::Zone), name().prop_map(NamedLocality::Region)]
 }
 
-fn percent() -> impl Strategy<Value = At<Percent>> {
+fn percent() -> impl Strategy<Value = Spanned<Percent>> {
     prop_oneof![(0u32..=100).prop_map(|n| n * 10_000), 0u32..=1_000_000].prop_map(|n| at(Percent(n)))
 }
 
-fn time(most: u64) -> impl Strategy<Value = At<Duration>> {
+fn time(most: u64) -> impl Strategy<Value = Spanned<Duration>> {
     prop_oneof![1..=most, (1..=most / 1000).prop_map(|ms| ms * 1000), Just(most)]
         .prop_map(|micros| at(Duration::from_micros(micros)))
 }
 
-fn step() -> impl Strategy<Value = At<StepText>> {
-    let own = Just(at(StepText { place: PlaceText::OwnZone, within: None }));
-    let place = prop_oneof![
-        Just(PlaceText::OwnRegion),
-        Just(PlaceText::Anywhere),
-        named().prop_map(PlaceText::Named),
+fn step() -> impl Strategy<Value = Spanned<StepSyntax>> {
+    let own = Just(at(StepSyntax { target: TargetSyntax::OwnZone, within: None }));
+    let target = prop_oneof![
+        Just(TargetSyntax::OwnRegion),
+        Just(TargetSyntax::Anywhere),
+        named().prop_map(TargetSyntax::Named),
     ];
-    let other = (place, prop::option::of(time(60_000_000)));
-    prop_oneof![own, other.prop_map(|(place, within)| at(StepText { place, within }))]
+    let other = (target, prop::option::of(time(60_000_000)));
+    prop_oneof![own, other.prop_map(|(target, within)| at(StepSyntax { target, within }))]
 }
 
-fn clauses() -> impl Strategy<Value = Vec<ClauseText>> {
+fn clauses() -> impl Strategy<Value = Vec<ClauseSyntax>> {
     let subject = prop_oneof![name().prop_map(Subject::Class), name().prop_map(Subject::Tenant)];
     let over = (percent(), time(3_600_000_000), percent(), time(3_600_000_000));
     let kinds = (
         prop::option::of(prop::collection::vec(subject.prop_map(at), 1..4).prop_map(Clause::For)),
         prop::option::of(prop::collection::vec(step(), 1..5).prop_map(Clause::Prefer)),
         prop::option::of(over.prop_map(|(over, over_for, back, back_for)| {
-            Clause::SpillOver(Over { over, over_for, back, back_for })
+            Clause::SpillOver(SpillThresholds { over, over_for, back, back_for })
         })),
         prop::option::of(percent().prop_map(Clause::SpillBelow)),
         prop::option::of(percent().prop_map(Clause::Beyond)),
@@ -69,7 +70,7 @@
     (kinds, around).prop_map(|((a, b, c, d, e, f, g), around)| {
         let clauses = [a, b, c, d, e, f, g].into_iter().zip(around);
         let text = |(clause, (before, after)): (Option<Clause>, (Vec<String>, Option<String>))| {
-            clause.map(|clause| ClauseText { before, clause: at(clause), after })
+            clause.map(|clause| ClauseSyntax { before, clause: at(clause), after })
         };
         clauses.filter_map(text).collect()
     })
@@ -79,7 +80,7 @@
     let rule =
         (comments(), "[A-Za-z_][A-Za-z0-9_-]{0,9}", prop::option::of(comment()), clauses(), comments());
     let rule = (rule, prop::option::of(comment())).prop_map(|((before, name, head, clauses, end), after)| {
-        RuleText { before, name: at(name), head, clauses, end, after }
+        RuleSyntax { before, name: at(name), head, clauses, end, after }
     });
     (prop::collection::vec(rule, 0..4), comments()).prop_map(|(rules, end)| Text { rules, end })
 }
@@ -144,7 +145,7 @@
     let (classes, tenants) = (["x".to_owned()], ["lodge".to_owned()]);
     let names = Names { topology: &topology, classes: &classes, tenants: &tenants };
     for faults in [compile(text, &names).err(), format(text).err()].into_iter().flatten() {
-        prop_assert!(!faults.is_empty() && faults.len() <= FAULTS_MOST + 1);
+        prop_assert!(!faults.is_empty() && faults.len() <= MAX_FAULTS + 1);
         for fault in &faults {
             prop_assert!(is_inside(text, fault), "{} of {:?}", fault, text);
             prop_assert!(!fault.what.is_empty() && fault.what.len() < 1000 && !fault.what.contains('\n'));
--- a/crates/proxy/src/failover.rs
+++ b/crates/proxy/src/failover.rs
@@ -137,7 +137,7 @@
         let class = position(classes, class).unwrap_or(usize::MAX);
         for tenant in &names.tenants {
             let tenant = position(tenants, tenant).unwrap_or(usize::MAX);
-            groups.push(if class == usize::MAX { u16::MAX } else { rules.of(class, tenant) as u16 });
+            groups.push(if class == usize::MAX { u16::MAX } else { rules.rule_index(class, tenant) as u16 });
         }
     }
     let region: Vec<ZoneId> =
--- a/crates/proxy/src/locality_command.rs
+++ b/crates/proxy/src/locality_command.rs
@@ -6,8 +6,8 @@
 use maplehook_config::{Operator, Places};
 use maplehook_failover_agent::shown::Shown;
 use maplehook_locality::explain::explain;
+use maplehook_locality::health::LocalityHealth;
 use maplehook_locality::language::{self, Names};
-use maplehook_locality::state::Seen;
 use std::error::Error;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -128,7 +128,7 @@
                         Some((topology.zone(&trip.a)?, topology.zone(&trip.b)?, took))
                     })
                     .collect();
-                topology.set_measured(ways);
+                topology.set_measured_rtts(ways);
                 let topology = &topology;
                 let seen = topology.zones().map(|zone| seen(shown.as_ref(), topology.zone_name(zone)));
                 let names = Names { topology, classes: &proxy.classes, tenants: &tenants };
@@ -171,12 +171,12 @@
 }
 
 /// How a zone stands, by what is shown; well and empty where nothing is.
-fn seen(shown: Option<&Shown>, zone: &str) -> Seen {
+fn seen(shown: Option<&Shown>, zone: &str) -> LocalityHealth {
     let place = shown.and_then(|shown| shown.places.iter().find(|place| place.zone == zone));
-    let Some(place) = place else { return Seen { load: 0.0, usable: 1.0 } };
+    let Some(place) = place else { return LocalityHealth { load: 0.0, usable: 1.0 } };
     let usable = match place.state.as_str() {
         "lost" | "evacuated" => 0.0,
         _ => f64::from(u8::from(place.usable > 0.0)),
     };
-    Seen { load: f64::from(place.load), usable }
+    LocalityHealth { load: f64::from(place.load), usable }
 }
--- a/crates/versions/src/locality_rules.rs
+++ b/crates/versions/src/locality_rules.rs
@@ -40,7 +40,7 @@
     Rules::new(rules, classes.len(), tenants.len(), |class, tenant| {
         let class = position(&from.classes, &classes[class]);
         let tenant = position(&from_tenants, &tenants[tenant]);
-        class.zip(tenant).map_or(unrestricted, |(class, tenant)| places.rules.of(class, tenant))
+        class.zip(tenant).map_or(unrestricted, |(class, tenant)| places.rules.rule_index(class, tenant))
     })
 }
 
--- a/crates/versions/src/locality_rules/tests.rs
+++ b/crates/versions/src/locality_rules/tests.rs
@@ -26,7 +26,7 @@
     );
     assert!(!conflicts(&old, &new).is_empty());
     let strict = strictest(&old, &new).unwrap();
-    let (book, look) = (strict.rules.of(0, 0), strict.rules.of(1, 0));
+    let (book, look) = (strict.rules.rule_index(0, 0), strict.rules.rule_index(1, 0));
     let (book, look) = (&strict.rules.all()[book], &strict.rules.all()[look]);
     assert_eq!(book.never, [strict.topology.zone("c").unwrap()]);
     assert_eq!((book.when_lost, book.beyond_region_most), (WhenLost::Refuse, 0.3));
@@ -40,7 +40,7 @@
     assert!(new.places.is_none());
     assert!(!conflicts(&old, &new).is_empty());
     let strict = strictest(&old, &new).unwrap();
-    let rule = |class: usize| &strict.rules.all()[strict.rules.of(class, 0)];
+    let rule = |class: usize| &strict.rules.all()[strict.rules.rule_index(class, 0)];
     assert_eq!((rule(0).never.len(), rule(1).never.len()), (0, 1));
     assert!(conflicts(&new, &new).is_empty() && strictest(&new, &new).is_none());
     assert!(conflicts(&old, &old).is_empty());
--- a/tools/simulator/src/places/agreeing.rs
+++ b/tools/simulator/src/places/agreeing.rs
@@ -208,7 +208,7 @@
             return;
         }
         let zone = |n: usize| Zone(ground.posts[n].zone as u16);
-        let trip = ground.topology.trip(zone(from), zone(to)).unwrap_or_default() / 2;
+        let trip = ground.topology.rtt(zone(from), zone(to)).unwrap_or_default() / 2;
         let late = if matches!(word, Word::Report { .. }) { ground.late } else { Duration::ZERO };
         let jitter = Duration::from_micros(self.rng.random_range(100..3000));
         self.sent += 1;
--- a/tools/simulator/src/places/ground.rs
+++ b/tools/simulator/src/places/ground.rs
@@ -140,7 +140,7 @@
             for b in zones.iter().filter(|b| *b > a) {
                 let near = topology.region_of(*a) == topology.region_of(*b);
                 let ms = if near { 1..3 } else { 20..60 };
-                topology.set_trip(*a, *b, Duration::from_millis(rng.random_range(ms)));
+                topology.set_rtt(*a, *b, Duration::from_millis(rng.random_range(ms)));
             }
         }
         let count = zones.len();
@@ -223,7 +223,7 @@
             let asked = truth.asked * truth.crowd;
             let place = Zone(zone as u16);
             // Where nobody serves, the nearest that do, after a while.
-            let trip = |to: &usize| self.topology.trip(place, Zone(*to as u16));
+            let trip = |to: &usize| self.topology.rtt(place, Zone(*to as u16));
             let other = (0..count).filter(|to| serving[*to] > 0).min_by_key(|to| (trip(to), *to));
             match other {
                 _ if serving[zone] > 0 => comes[zone] += asked,
