--- a/crates/endpoints/src/fleet.rs
+++ b/crates/endpoints/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet as it is believed to be.
+//! Fleet membership merged from several sources.
 
 use crate::instance::{Instance, InstanceStatus};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -6,22 +6,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How much is believed, and for how long.
+/// Limits on how far missing instances stay available and how long a source's data counts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Share of a source's instances that may be missing at once without being held. 0 to 1.
+    /// Largest share of a source's up instances that may go missing at once without a hold, 0 to 1.
     pub max_missing_share: f64,
-    /// Lists in a row that have to agree before one that is missing is forgotten. 1 or more.
+    /// Consecutive lists without an instance after which it is removed. At least 1.
     pub confirming_lists: u32,
-    /// The longest time for which a loss is held without further evidence.
+    /// Longest hold of a missing instance that does not answer on its sockets.
     pub max_hold: Duration,
-    /// The longest time for which one that answers on its sockets is held, though it is missing.
+    /// Longest hold of a missing instance that still answers on its sockets.
     pub max_hold_answering: Duration,
-    /// How long a source's word is fresh after the source was last heard.
+    /// Time since a source's last update during which its records are fresh.
     pub freshness: Duration,
-    /// How long a new replica may lag.
+    /// Time after a change of replica during which the new replica may serve old versions.
     pub max_replica_lag: Duration,
-    /// Instances that are remembered, of all sources together; more are not taken in.
+    /// Maximum number of records over all sources; further instances are ignored.
     pub max_instances: usize,
 }
 
@@ -39,51 +39,51 @@
     }
 }
 
-/// Who says something: a source, and which of its replicas.
+/// Source and replica that sent an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Origin {
-    /// The source, by its precedence.
+    /// Precedence of the source; 0 is the highest.
     pub source: usize,
-    /// The replica.
+    /// Number of the replica within the source.
     pub replica: u32,
 }
 
-/// How an instance stands.
+/// Whether an instance takes new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MemberState {
-    /// Requests may go there.
+    /// The instance takes new requests.
     Available,
-    /// Nothing new goes there; what is there is finished.
+    /// The instance takes no new requests and finishes those in flight.
     Draining,
-    /// Nobody knows it.
+    /// No source has a record of the instance.
     Removed,
 }
 
-/// Why one is on offer that its source does not list any more.
+/// Hold that keeps an instance available although its source no longer lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
-    /// Since when it has been missing.
+    /// Time at which the instance was first missing.
     pub since: Duration,
-    /// When that ends at the latest.
+    /// Latest end of the hold.
     pub until: Duration,
 }
 
-/// An instance with its provenance.
+/// An instance, its state and the source that decides the state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// As its source listed it last.
+    /// Data of the instance from the source's last update.
     pub instance: Instance,
-    /// How it stands.
+    /// Whether the instance takes new requests.
     pub state: MemberState,
-    /// Whose word that is.
+    /// Precedence of the deciding source.
     pub source: usize,
-    /// When that word was last heard.
+    /// Time at which the deciding source last listed the instance.
     pub last_update: Duration,
-    /// Set if it is on offer though it is missing.
+    /// Set while the instance is held available although it is missing.
     pub hold: Option<Hold>,
 }
 
-/// What one source says of one instance.
+/// State of one instance at one source.
 #[derive(Debug)]
 struct Record {
     instance: Instance,
@@ -95,130 +95,131 @@
 #[derive(Clone, Copy, Debug)]
 struct Missing {
     since: Duration,
-    /// Lists in a row that did not name it.
+    /// Consecutive lists that did not contain the instance.
     lists: u32,
-    /// Its loss is not believed yet.
-    held: bool,
-    /// When it last answered on its sockets, and whether it could not be reached since.
+    /// Set while the loss is unconfirmed and the instance stays available.
+    is_held: bool,
+    /// Time of the last answer on the sockets; cleared when a connection fails.
     answered: Option<Duration>,
-    unreachable: bool,
+    is_unreachable: bool,
 }
 
 #[derive(Debug, Default)]
 struct Source {
     records: FxHashMap<String, Record>,
-    /// Versions of those that were deleted, so that a replica that lags does not bring them back.
+    /// Version and time of each deletion, so that a lagging replica does not restore the instance.
     deleted: FxHashMap<String, (u64, Duration)>,
     deleted_in_order: VecDeque<(Duration, String)>,
     last_update: Option<Duration>,
-    /// The replica that spoke last, and since when.
+    /// Replica of the last update, and the time of the change to that replica.
     replica: Option<(u32, Duration)>,
 }
 
-/// The fleet as it is believed to be.
+/// Fleet membership merged from several sources.
 #[derive(Debug)]
 pub struct Membership {
     bounds: Bounds,
     sources: Vec<Source>,
     now: Duration,
-    /// Instances that were not taken in for want of room.
+    /// Number of updates ignored because [`Bounds::max_instances`] was reached.
     overflow: usize,
 }
 
 impl Membership {
-    /// Nobody yet, by so many sources.
+    /// Creates an empty membership for the given number of sources.
     pub fn new(bounds: Bounds, sources: usize) -> Self {
         let sources = (0..sources).map(|_| Source::default()).collect();
         Self { bounds, sources, now: Duration::ZERO, overflow: 0 }
     }
 
-    /// Instances known, by source and key.
+    /// Returns the number of records; an instance counts once for each source that has it.
     pub fn len(&self) -> usize {
         self.sources.iter().map(|source| source.records.len()).sum()
     }
 
-    /// Whether nobody is known.
+    /// Returns true if no source has a record.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Instances that were not taken in since there are [`Bounds::most`].
+    /// Returns how many updates were ignored because [`Bounds::max_instances`] was reached.
     pub fn overflow(&self) -> usize {
         self.overflow
     }
 
-    /// A source lists all that it knows.
+    /// Applies a complete list of a source. Up instances that the list lacks are held if the list is empty or
+    /// too many of them are missing.
     pub fn apply_list(&mut self, now: Duration, origin: Origin, list: Vec<Instance>) {
-        self.hear(now, origin);
-        let named: FxHashSet<String> = list.iter().map(|instance| instance.key.clone()).collect();
+        self.record_update(now, origin);
+        let listed_keys: FxHashSet<String> = list.iter().map(|instance| instance.key.clone()).collect();
         for instance in list {
-            self.said(origin, instance);
+            self.update_instance(origin, instance);
         }
         let (now, bounds) = (self.now, self.bounds);
         let Some(source) = self.sources.get_mut(origin.source) else { return };
-        let offered = source.records.values().filter(|r| r.instance.status.is_up()).count();
+        let up_count = source.records.values().filter(|r| r.instance.status.is_up()).count();
         let missing = source
             .records
             .values()
             .filter(|r| {
-                r.instance.status.is_up() && (r.missing.is_some() || !named.contains(&r.instance.key))
+                r.instance.status.is_up() && (r.missing.is_some() || !listed_keys.contains(&r.instance.key))
             })
             .count();
-        // One of two is half of the fleet, and no wonder.
-        let too_many =
-            named.is_empty() || (missing as f64 > bounds.max_missing_share * offered as f64 && missing > 1);
-        for record in source.records.values_mut().filter(|r| !named.contains(&r.instance.key)) {
+        // A single missing instance is never too many, even if it is half of the fleet.
+        let too_many = listed_keys.is_empty()
+            || (missing as f64 > bounds.max_missing_share * up_count as f64 && missing > 1);
+        for record in source.records.values_mut().filter(|r| !listed_keys.contains(&r.instance.key)) {
             let up = record.instance.status.is_up();
             let missing = record.missing.get_or_insert(Missing {
                 since: now,
                 lists: 0,
-                held: too_many && up,
+                is_held: too_many && up,
                 answered: None,
-                unreachable: false,
+                is_unreachable: false,
             });
             missing.lists = missing.lists.saturating_add(1);
-            // Those that went before the others did belong to the same loss.
-            missing.held |= too_many && up && missing.lists <= bounds.confirming_lists;
+            // Instances that went missing shortly before the others belong to the same loss.
+            missing.is_held |= too_many && up && missing.lists <= bounds.confirming_lists;
         }
-        self.settle(origin.source);
+        self.expire_missing(origin.source);
     }
 
-    /// A source tells what has changed.
+    /// Applies an incremental update of a source.
     pub fn apply_changes(&mut self, now: Duration, origin: Origin, changes: Vec<Instance>) {
-        self.hear(now, origin);
+        self.record_update(now, origin);
         for instance in changes {
-            self.said(origin, instance);
+            self.update_instance(origin, instance);
         }
-        self.settle(origin.source);
+        self.expire_missing(origin.source);
     }
 
-    /// A source agrees with what it said before: those that were missing are missing still.
+    /// Records that a source's list has not changed: each missing instance is missing from one more list.
     pub fn confirm_unchanged(&mut self, now: Duration, origin: Origin) {
-        self.hear(now, origin);
+        self.record_update(now, origin);
         let Some(source) = self.sources.get_mut(origin.source) else { return };
         for missing in source.records.values_mut().filter_map(|record| record.missing.as_mut()) {
             missing.lists = missing.lists.saturating_add(1);
         }
-        self.settle(origin.source);
+        self.expire_missing(origin.source);
     }
 
-    /// A source says in so many words that these are no more, each with its version. One, or a few, are gone at once;
-    /// more than the share that may be missing are not believed at once either: leases that all end together are
-    /// more often a fault between the registry and those that renew.
-    pub fn apply_deletions(&mut self, now: Duration, origin: Origin, gone: &[(String, u64)]) {
-        self.hear(now, origin);
+    /// Applies explicit deletions, given as key and version. Few deletions take effect at once. More than
+    /// [`Bounds::max_missing_share`] of the up instances are held like missing ones, because leases that all
+    /// expire together usually mean a fault between the registry and the instances that renew them.
+    pub fn apply_deletions(&mut self, now: Duration, origin: Origin, deletions: &[(String, u64)]) {
+        self.record_update(now, origin);
         let (now, bounds) = (self.now, self.bounds);
         let Some(source) = self.sources.get_mut(origin.source) else { return };
-        let offered = source.records.values().filter(|r| r.instance.status.is_up()).count();
+        let up_count = source.records.values().filter(|r| r.instance.status.is_up()).count();
         let up = |key: &String| source.records.get(key).is_some_and(|r| r.instance.status.is_up());
-        let lost = gone.iter().filter(|(key, _)| up(key)).count();
-        let too_many = lost > 1 && lost as f64 > bounds.max_missing_share * offered as f64;
-        for (key, version) in gone {
+        let deleted_up = deletions.iter().filter(|(key, _)| up(key)).count();
+        let too_many = deleted_up > 1 && deleted_up as f64 > bounds.max_missing_share * up_count as f64;
+        for (key, version) in deletions {
             let Some(record) = source.records.get_mut(key) else { continue };
             if too_many && record.instance.status.is_up() {
                 let missing =
-                    Missing { since: now, lists: 1, held: true, answered: None, unreachable: false };
-                record.missing.get_or_insert(missing).held = true;
+                    Missing { since: now, lists: 1, is_held: true, answered: None, is_unreachable: false };
+                record.missing.get_or_insert(missing).is_held = true;
                 continue;
             }
             let version = record.instance.version.max(*version);
@@ -230,22 +231,22 @@
         }
     }
 
-    /// An instance has answered on its sockets.
+    /// Records that an instance answered on its sockets.
     pub fn record_answer(&mut self, now: Duration, key: &str) {
         self.now = self.now.max(now);
         let now = self.now;
         for missing in self.missing_of(key) {
-            (missing.answered, missing.unreachable) = (Some(now), false);
+            (missing.answered, missing.is_unreachable) = (Some(now), false);
         }
     }
 
-    /// No connection to an instance could be made.
+    /// Records that a connection to an instance failed.
     pub fn record_unreachable(&mut self, now: Duration, key: &str) {
         self.now = self.now.max(now);
         for missing in self.missing_of(key) {
-            (missing.answered, missing.unreachable) = (None, true);
+            (missing.answered, missing.is_unreachable) = (None, true);
         }
-        // Without the answer its hold may have ended long ago.
+        // Without its last answer, the hold may be past its end already.
         self.advance(now);
     }
 
@@ -254,15 +255,16 @@
         records.filter_map(|record| record.missing.as_mut())
     }
 
-    /// Time goes on; a clock that goes back stands. A source that could not be asked says nothing: it is not told.
+    /// Advances the time and expires holds. A `now` before the last one is ignored. A failed query of a
+    /// source is no update of that source.
     pub fn advance(&mut self, now: Duration) {
         self.now = self.now.max(now);
         for source in 0..self.sources.len() {
-            self.settle(source);
+            self.expire_missing(source);
         }
     }
 
-    fn hear(&mut self, now: Duration, origin: Origin) {
+    fn record_update(&mut self, now: Duration, origin: Origin) {
         self.now = self.now.max(now);
         let now = self.now;
         let Some(source) = self.sources.get_mut(origin.source) else { return };
@@ -272,13 +274,13 @@
         }
     }
 
-    /// A source says something of an instance that it lists.
-    fn said(&mut self, origin: Origin, instance: Instance) {
-        let (now, max_replica_lag, room) =
+    /// Applies what a source reports for one listed instance.
+    fn update_instance(&mut self, origin: Origin, instance: Instance) {
+        let (now, max_replica_lag, has_capacity) =
             (self.now, self.bounds.max_replica_lag, self.len() < self.bounds.max_instances);
         let Some(source) = self.sources.get_mut(origin.source) else { return };
         let since = source.replica.map_or(now, |(_, since)| since);
-        // A replica that has just taken over may lag.
+        // A source's new replica may lag behind the previous one.
         let may_lag = now < since + max_replica_lag;
         if let Some((version, _)) = source.deleted.get(&instance.key) {
             if may_lag && instance.version <= *version && instance.version > 0 {
@@ -291,13 +293,13 @@
                 record.last_update = now;
                 let older = instance.version < record.instance.version;
                 if record.replica != origin.replica && may_lag && older && instance.status.is_up() {
-                    // It is listed, but what is said of it is old.
+                    // The instance is listed, but its data is older than the record.
                     record.missing = None;
                     return;
                 }
                 *record = Record { instance, replica: origin.replica, last_update: now, missing: None };
             }
-            None if !room => self.overflow += 1,
+            None if !has_capacity => self.overflow += 1,
             None => {
                 let record = Record { replica: origin.replica, last_update: now, missing: None, instance };
                 source.records.insert(record.instance.key.clone(), record);
@@ -305,19 +307,21 @@
         }
     }
 
-    /// Ends what has been held for long enough, and forgets what is confirmed to be gone.
-    fn settle(&mut self, source: usize) {
+    /// Ends holds that are over and removes missing instances whose loss is confirmed.
+    fn expire_missing(&mut self, source: usize) {
         let (now, bounds) = (self.now, self.bounds);
         let Some(source) = self.sources.get_mut(source) else { return };
         source.records.retain(|_, record| {
             let Some(missing) = &mut record.missing else { return true };
             let bound = missing.until(&bounds);
-            missing.held &= now < bound && !(missing.unreachable && missing.lists >= bounds.confirming_lists);
-            // What was never on offer, or is believed lost, goes when the lists agree.
-            missing.held || missing.lists < bounds.confirming_lists
+            missing.is_held &=
+                now < bound && !(missing.is_unreachable && missing.lists >= bounds.confirming_lists);
+            // An instance without a hold is removed once enough lists confirm the loss.
+            missing.is_held || missing.lists < bounds.confirming_lists
         });
-        let forget = |(at, _): &(Duration, String)| now > *at + bounds.max_replica_lag;
-        while let Some((at, key)) = source.deleted_in_order.front().filter(|entry| forget(entry)).cloned() {
+        let is_expired = |(at, _): &(Duration, String)| now > *at + bounds.max_replica_lag;
+        while let Some((at, key)) = source.deleted_in_order.front().filter(|entry| is_expired(entry)).cloned()
+        {
             source.deleted_in_order.pop_front();
             if source.deleted.get(&key).is_some_and(|(_, when)| *when == at) {
                 source.deleted.remove(&key);
@@ -325,25 +329,25 @@
         }
     }
 
-    /// When something changes by time alone, if anything does.
+    /// Returns the earliest time at which a hold ends, if there is a hold.
     pub fn next_deadline(&self) -> Option<Duration> {
         let records = self.sources.iter().flat_map(|source| source.records.values());
-        let held = records.filter_map(|record| record.missing.filter(|missing| missing.held));
+        let held = records.filter_map(|record| record.missing.filter(|missing| missing.is_held));
         held.map(|missing| missing.until(&self.bounds)).min()
     }
 
-    /// Whether anybody is missing, so that time or further lists may change how he stands.
+    /// Returns true if an instance is missing, so that time or further lists may change its state.
     pub fn has_missing(&self) -> bool {
         self.sources.iter().flat_map(|source| source.records.values()).any(|record| record.missing.is_some())
     }
 
-    /// How one instance stands.
+    /// Returns the state of one instance.
     pub fn state(&self, key: &str) -> MemberState {
-        self.decided(key).map_or(MemberState::Removed, |(_, record)| record.state())
+        self.deciding_record(key).map_or(MemberState::Removed, |(_, record)| record.state())
     }
 
-    /// The record whose word counts.
-    fn decided(&self, key: &str) -> Option<(usize, &Record)> {
+    /// Returns the record that decides the state of an instance, with the precedence of its source.
+    fn deciding_record(&self, key: &str) -> Option<(usize, &Record)> {
         let mut first = None;
         for (n, source) in self.sources.iter().enumerate() {
             let Some(record) = source.records.get(key) else { continue };
@@ -355,15 +359,15 @@
         first
     }
 
-    /// Everybody, with their provenance, in the order of their keys. Of several keys at one address the one that
-    /// started last has it.
+    /// Returns all members ordered by key. If several available keys have one address, the key with the
+    /// latest start stays available and the others drain.
     pub fn members(&self) -> Vec<Member> {
         let mut keys: Vec<&String> = self.sources.iter().flat_map(|source| source.records.keys()).collect();
         keys.sort_unstable();
         keys.dedup();
         let mut members: Vec<Member> = keys
             .into_iter()
-            .filter_map(|key| self.decided(key))
+            .filter_map(|key| self.deciding_record(key))
             .map(|(source, record)| Member {
                 instance: record.instance.clone(),
                 state: record.state(),
@@ -390,18 +394,18 @@
 }
 
 impl Missing {
-    /// When a hold ends at the latest.
+    /// Returns the latest end of the hold.
     fn until(&self, bounds: &Bounds) -> Duration {
-        let plain = self.since + bounds.max_hold;
-        // Each answer is as good as a list for a while.
+        let without_answers = self.since + bounds.max_hold;
+        // Each answer extends the hold by `max_hold`, up to `max_hold_answering`.
         let answered = self.answered.map_or(Duration::ZERO, |at| at + bounds.max_hold);
-        plain.max(answered).min(self.since + bounds.max_hold_answering.max(bounds.max_hold))
+        without_answers.max(answered).min(self.since + bounds.max_hold_answering.max(bounds.max_hold))
     }
 }
 
 impl Record {
     fn state(&self) -> MemberState {
-        let missing = self.missing.is_some_and(|missing| !missing.held);
+        let missing = self.missing.is_some_and(|missing| !missing.is_held);
         if self.instance.status == InstanceStatus::Up && self.instance.address.is_some() && !missing {
             MemberState::Available
         } else {
@@ -410,7 +414,7 @@
     }
 
     fn hold(&self, bounds: &Bounds) -> Option<Hold> {
-        let missing = self.missing.filter(|missing| missing.held)?;
+        let missing = self.missing.filter(|missing| missing.is_held)?;
         Some(Hold { since: missing.since, until: missing.until(bounds) })
     }
 }
--- a/crates/endpoints/src/instance.rs
+++ b/crates/endpoints/src/instance.rs
@@ -1,51 +1,52 @@
-//! What a source says of one instance.
+//! Instances as a source reports them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How an instance stands, by a source's word.
+/// Status of an instance, as reported by a source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InstanceStatus {
-    /// It takes requests.
+    /// The instance takes requests.
     Up,
-    /// It has said, or was found, not to work.
+    /// The instance reported a failure or failed a check.
     Down,
-    /// An operator has taken it off.
+    /// An operator took the instance out of service.
     OutOfService,
-    /// It starts.
+    /// The instance has not finished starting.
     Starting,
-    /// The source does not know.
+    /// The source does not know the status.
     Unknown,
 }
 
 impl InstanceStatus {
-    /// Whether requests may go there.
+    /// Returns true if the instance may take requests.
     pub fn is_up(self) -> bool {
         self == Self::Up
     }
 }
 
-/// An instance, as a source lists it.
+/// An instance with the attributes that a source reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
-    /// By what it is known.
+    /// Identity of the instance, unique within the fleet.
     pub key: String,
-    /// Where it listens; `None` if the source says so in no usable way. Such a one is not offered.
+    /// Address the instance listens on. `None` if the source reports no usable address; the instance then
+    /// gets no new requests.
     pub address: Option<SocketAddr>,
-    /// How it stands.
+    /// Status reported by the source.
     pub status: InstanceStatus,
-    /// When it last changed, in the source's own numbers: later ones are larger.
+    /// Version of the reported data, in the source's numbering. A later change has a larger version.
     pub version: u64,
-    /// When its process started, Unix time in milliseconds; 0 if not known.
+    /// Start of the process, in milliseconds of Unix time. 0 if not known.
     pub boot_ms: u64,
-    /// What it can do, in multiples of another.
+    /// Relative capacity; 1 is the default.
     pub weight: f64,
-    /// Zone, kind, cell and whatever else is said of it, by name.
+    /// Labels such as zone, kind and cell, by name.
     pub labels: BTreeMap<String, String>,
 }
 
 impl Instance {
-    /// One of which no more is known.
+    /// Creates an instance without address and labels, with weight 1.
     pub fn new(key: impl Into<String>, status: InstanceStatus) -> Self {
         Self {
             key: key.into(),
--- a/crates/endpoints/tests/fleet.rs
+++ b/crates/endpoints/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! What is promised of the fleet, whatever sources say and in whatever order: words act at once, losses are held
-//! within their bounds, and once sources are sane the truth is followed.
+//! Properties of fleet membership for any order of updates: a status takes effect at once, holds end within
+//! their limits, and correct sources lead to the correct fleet.
 
 use maplehook_endpoints::{Bounds, Instance, InstanceStatus, MemberState, Membership, Origin};
 use proptest::prelude::*;
@@ -28,91 +28,94 @@
     format!("desk-{n}")
 }
 
-fn desk(n: usize, status: InstanceStatus, version: u64) -> Instance {
+fn instance(n: usize, status: InstanceStatus, version: u64) -> Instance {
     let address = Some(format!("127.0.0.1:{}", 9000 + n).parse().unwrap());
     Instance { address, version, ..Instance::new(key(n), status) }
 }
 
-fn from(source: usize, replica: u32) -> Origin {
+fn origin(source: usize, replica: u32) -> Origin {
     Origin { source, replica }
 }
 
-fn offered(fleet: &Membership) -> Vec<String> {
+fn available_keys(fleet: &Membership) -> Vec<String> {
     let members = fleet.members().into_iter();
     members.filter(|m| m.state == MemberState::Available).map(|m| m.instance.key).collect()
 }
 
-fn many(n: usize) -> Vec<Instance> {
-    (0..n).map(|k| desk(k, InstanceStatus::Up, 1)).collect()
+fn up_instances(n: usize) -> Vec<Instance> {
+    (0..n).map(|k| instance(k, InstanceStatus::Up, 1)).collect()
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// The list as it is, but for those that the mask leaves out.
-    Lists(u64),
-    /// One changes its state.
+    /// The source sends a list of the instances whose bits are set in the mask.
+    List(u64),
+    /// The instance changes to the status at this index of `STATUSES`.
     SetStatus(usize, usize),
-    Failed,
-    Deleted(usize),
-    Heard(usize, bool),
-    Passes(u64),
+    FailedQuery,
+    Delete(usize),
+    /// A connection to the instance succeeds or fails.
+    Connect(usize, bool),
+    /// The time advances by milliseconds.
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        3 => any::<u64>().prop_map(Step::Lists),
-        1 => Just(Step::Lists(u64::MAX)),
-        1 => Just(Step::Lists(0)),
+        3 => any::<u64>().prop_map(Step::List),
+        1 => Just(Step::List(u64::MAX)),
+        1 => Just(Step::List(0)),
         4 => (0..12_usize, 0..STATUSES.len()).prop_map(|(n, status)| Step::SetStatus(n, status)),
-        1 => Just(Step::Failed),
-        1 => (0..12_usize).prop_map(Step::Deleted),
-        2 => (0..12_usize, any::<bool>()).prop_map(|(n, answered)| Step::Heard(n, answered)),
-        2 => (0..8_000_u64).prop_map(Step::Passes),
+        1 => Just(Step::FailedQuery),
+        1 => (0..12_usize).prop_map(Step::Delete),
+        2 => (0..12_usize, any::<bool>()).prop_map(|(n, answered)| Step::Connect(n, answered)),
+        2 => (0..8_000_u64).prop_map(Step::Advance),
     ]
 }
 
 proptest! {
-    /// Guards drains and the fleet, in any order of lists, losses, repeats and errors.
+    /// Guards against instances that stay available or drain wrongly after lists, losses, repeats and errors
+    /// in any order.
     #[test]
-    fn words_act_holds_end_and_the_truth_is_followed(steps in prop::collection::vec(step(), 0..80)) {
+    fn applies_statuses_at_once_ends_holds_and_follows_correct_sources(steps in prop::collection::vec(step(), 0..80)) {
         let mut fleet = Membership::new(bounds(), 1);
-        let mut truth: BTreeMap<usize, (InstanceStatus, u64)> = (0..12).map(|n| (n, (InstanceStatus::Up, 1))).collect();
-        let mut said: BTreeMap<usize, InstanceStatus> = BTreeMap::new();
-        let mut absent: BTreeMap<usize, Duration> = BTreeMap::new();
+        let mut actual: BTreeMap<usize, (InstanceStatus, u64)> = (0..12).map(|n| (n, (InstanceStatus::Up, 1))).collect();
+        let mut reported: BTreeMap<usize, InstanceStatus> = BTreeMap::new();
+        let mut absent_since: BTreeMap<usize, Duration> = BTreeMap::new();
         let (mut now, mut version) = (SECOND, 1);
         for step in steps {
             match step {
-                Step::Lists(mask) => {
+                Step::List(mask) => {
                     let listed: Vec<_> =
-                        truth.iter().filter(|(n, _)| mask & (1 << **n) != 0).map(|(n, (w, v))| desk(*n, *w, *v)).collect();
+                        actual.iter().filter(|(n, _)| mask & (1 << **n) != 0).map(|(n, (w, v))| instance(*n, *w, *v)).collect();
                     for n in 0..12 {
-                        match truth.get(&n).filter(|_| mask & (1 << n) != 0) {
+                        match actual.get(&n).filter(|_| mask & (1 << n) != 0) {
                             Some((status, _)) => {
-                                said.insert(n, *status);
-                                absent.remove(&n);
+                                reported.insert(n, *status);
+                                absent_since.remove(&n);
                             }
-                            None => drop(absent.entry(n).or_insert(now)),
+                            None => drop(absent_since.entry(n).or_insert(now)),
                         }
                     }
-                    fleet.apply_list(now, from(0, 0), listed);
+                    fleet.apply_list(now, origin(0, 0), listed);
                 }
                 Step::SetStatus(n, status) => {
                     version += 1;
-                    truth.insert(n, (STATUSES[status], version));
-                    said.insert(n, STATUSES[status]);
-                    absent.remove(&n);
-                    fleet.apply_changes(now, from(0, 0), vec![desk(n, STATUSES[status], version)]);
+                    actual.insert(n, (STATUSES[status], version));
+                    reported.insert(n, STATUSES[status]);
+                    absent_since.remove(&n);
+                    fleet.apply_changes(now, origin(0, 0), vec![instance(n, STATUSES[status], version)]);
                 }
-                Step::Failed => fleet.advance(now),
-                Step::Deleted(n) => {
-                    truth.remove(&n);
-                    said.remove(&n);
-                    absent.remove(&n);
-                    fleet.apply_deletions(now, from(0, 0), &[(key(n), version)]);
+                Step::FailedQuery => fleet.advance(now),
+                Step::Delete(n) => {
+                    actual.remove(&n);
+                    reported.remove(&n);
+                    absent_since.remove(&n);
+                    fleet.apply_deletions(now, origin(0, 0), &[(key(n), version)]);
                 }
-                Step::Heard(n, true) => fleet.record_answer(now, &key(n)),
-                Step::Heard(n, false) => fleet.record_unreachable(now, &key(n)),
-                Step::Passes(ms) => {
+                Step::Connect(n, true) => fleet.record_answer(now, &key(n)),
+                Step::Connect(n, false) => fleet.record_unreachable(now, &key(n)),
+                Step::Advance(ms) => {
                     now += Duration::from_millis(ms);
                     fleet.advance(now);
                 }
@@ -120,185 +123,198 @@
             for member in fleet.members() {
                 let n: usize = member.instance.key.strip_prefix("desk-").unwrap().parse().unwrap();
                 if member.state == MemberState::Available {
-                    prop_assert_eq!(said.get(&n), Some(&InstanceStatus::Up), "{} is offered", n);
+                    prop_assert_eq!(reported.get(&n), Some(&InstanceStatus::Up), "instance {} is available without a reported status of up", n);
                 }
                 if let Some(hold) = member.hold {
                     prop_assert!(now <= hold.until && hold.until <= hold.since + bounds().max_hold_answering);
-                    prop_assert!(absent.contains_key(&n));
+                    prop_assert!(absent_since.contains_key(&n));
                 }
             }
-            // Whoever was listed last, and as up, is on offer: no quarantine of those that are there.
-            for (n, status) in &said {
-                if *status == InstanceStatus::Up && !absent.contains_key(n) {
-                    prop_assert_eq!(fleet.state(&key(*n)), MemberState::Available, "{} was listed", n);
+            // An instance that the last list contains as up is available.
+            for (n, status) in &reported {
+                if *status == InstanceStatus::Up && !absent_since.contains_key(n) {
+                    prop_assert_eq!(fleet.state(&key(*n)), MemberState::Available, "instance {} was listed as up", n);
                 }
             }
             prop_assert!(fleet.next_deadline().is_none_or(|at| at <= now + bounds().max_hold_answering));
         }
-        // Sources are sane again.
-        let list = |truth: &BTreeMap<usize, (InstanceStatus, u64)>| -> Vec<_> {
-            truth.iter().map(|(n, (w, v))| desk(*n, *w, *v)).collect()
+        // The source sends correct lists again.
+        let list = |actual: &BTreeMap<usize, (InstanceStatus, u64)>| -> Vec<_> {
+            actual.iter().map(|(n, (w, v))| instance(*n, *w, *v)).collect()
         };
         for _ in 0..bounds().confirming_lists + 1 {
             now += SECOND;
-            fleet.apply_list(now, from(0, 0), list(&truth));
+            fleet.apply_list(now, origin(0, 0), list(&actual));
         }
         now += bounds().max_hold_answering;
-        fleet.apply_list(now, from(0, 0), list(&truth));
-        let up: Vec<String> = truth.iter().filter(|(_, (w, _))| w.is_up()).map(|(n, _)| key(*n)).collect();
+        fleet.apply_list(now, origin(0, 0), list(&actual));
+        let up: Vec<String> = actual.iter().filter(|(_, (w, _))| w.is_up()).map(|(n, _)| key(*n)).collect();
         let mut up = up;
         up.sort_unstable();
-        prop_assert_eq!(offered(&fleet), up);
-        prop_assert_eq!(fleet.len(), truth.len());
+        prop_assert_eq!(available_keys(&fleet), up);
+        prop_assert_eq!(fleet.len(), actual.len());
     }
 }
 
-/// Guards the fleet against a registry's fault: an empty list, or half of one, is held; a few that are missing are not.
+/// Guards against a registry fault that empties the fleet: an empty or halved list is held, a small loss is
+/// not.
 #[test]
-fn a_sudden_loss_is_held_and_a_small_one_is_not() {
+fn holds_a_sudden_large_loss_but_not_a_small_one() {
     let mut fleet = Membership::new(bounds(), 1);
-    fleet.apply_list(SECOND, from(0, 0), many(10));
-    fleet.apply_list(2 * SECOND, from(0, 0), many(8));
-    assert_eq!(offered(&fleet).len(), 8, "nothing new goes to two of ten that are missing");
+    fleet.apply_list(SECOND, origin(0, 0), up_instances(10));
+    fleet.apply_list(2 * SECOND, origin(0, 0), up_instances(8));
+    assert_eq!(available_keys(&fleet).len(), 8, "two of ten missing instances should get no new requests");
     assert_eq!(fleet.state("desk-9"), MemberState::Draining);
-    fleet.apply_list(3 * SECOND, from(0, 0), many(10));
-    assert_eq!(offered(&fleet).len(), 10);
-    for list in [Vec::new(), many(4)] {
+    fleet.apply_list(3 * SECOND, origin(0, 0), up_instances(10));
+    assert_eq!(available_keys(&fleet).len(), 10);
+    for list in [Vec::new(), up_instances(4)] {
         for second in 4..10 {
-            fleet.apply_list(second * SECOND, from(0, 0), list.clone());
-            assert_eq!(offered(&fleet).len(), 10, "{} listed", list.len());
+            fleet.apply_list(second * SECOND, origin(0, 0), list.clone());
+            assert_eq!(
+                available_keys(&fleet).len(),
+                10,
+                "all instances should be available after a list of {}",
+                list.len()
+            );
         }
-        fleet.apply_list(10 * SECOND, from(0, 0), many(10));
+        fleet.apply_list(10 * SECOND, origin(0, 0), up_instances(10));
     }
-    // It refills, a part at a time.
-    fleet.apply_list(11 * SECOND, from(0, 0), Vec::new());
+    // The registry's list grows back one instance at a time.
+    fleet.apply_list(11 * SECOND, origin(0, 0), Vec::new());
     for n in 1..=10 {
-        fleet.apply_list((11 + n as u32) * SECOND, from(0, 0), many(n));
-        assert_eq!(offered(&fleet).len(), 10, "{n} are back");
+        fleet.apply_list((11 + n as u32) * SECOND, origin(0, 0), up_instances(n));
+        assert_eq!(available_keys(&fleet).len(), 10, "all instances should be available after a list of {n}");
     }
 }
 
-/// Guards the fleet against leases that all end at once: that many deletions are held like any sudden loss, a few are
-/// gone at once.
+/// Guards against leases that all expire at once: many deletions are held like any sudden loss, while few
+/// deletions take effect at once.
 #[test]
-fn leases_that_all_end_at_once_are_held() {
+fn holds_many_deletions_at_once_but_not_a_few() {
     let mut fleet = Membership::new(bounds(), 1);
-    fleet.apply_list(SECOND, from(0, 0), many(10));
-    fleet.apply_deletions(2 * SECOND, from(0, 0), &[(key(0), 2), (key(1), 2)]);
-    assert_eq!((offered(&fleet).len(), fleet.state("desk-0")), (8, MemberState::Removed));
-    let all: Vec<_> = (2..10).map(|n| (key(n), 3)).collect();
-    fleet.apply_deletions(3 * SECOND, from(0, 0), &all);
+    fleet.apply_list(SECOND, origin(0, 0), up_instances(10));
+    fleet.apply_deletions(2 * SECOND, origin(0, 0), &[(key(0), 2), (key(1), 2)]);
+    assert_eq!((available_keys(&fleet).len(), fleet.state("desk-0")), (8, MemberState::Removed));
+    let deletions: Vec<_> = (2..10).map(|n| (key(n), 3)).collect();
+    fleet.apply_deletions(3 * SECOND, origin(0, 0), &deletions);
     for second in 4..12 {
-        fleet.confirm_unchanged(second * SECOND, from(0, 0));
-        assert_eq!(offered(&fleet).len(), 8, "at {second} s");
+        fleet.confirm_unchanged(second * SECOND, origin(0, 0));
+        assert_eq!(available_keys(&fleet).len(), 8, "the hold should last at {second} s");
     }
-    fleet.confirm_unchanged(14 * SECOND, from(0, 0));
-    assert!(offered(&fleet).is_empty(), "the max_hold has ended");
+    fleet.confirm_unchanged(14 * SECOND, origin(0, 0));
+    assert!(available_keys(&fleet).is_empty(), "the hold should have ended");
 }
 
-/// Guards a fleet that has truly shrunk: it is followed when the hold is over, or sooner where nobody is there.
+/// Guards against a fleet that never shrinks: a real loss takes effect when the hold ends, and sooner if
+/// connections fail.
 #[test]
-fn a_true_loss_is_followed() {
+fn applies_a_lasting_loss_after_the_hold_or_after_failed_connections() {
     let mut fleet = Membership::new(bounds(), 1);
-    fleet.apply_list(SECOND, from(0, 0), many(10));
+    fleet.apply_list(SECOND, origin(0, 0), up_instances(10));
     for second in 2..12 {
-        fleet.apply_list(second * SECOND, from(0, 0), many(2));
-        assert_eq!(offered(&fleet).len(), 10, "at {second} s");
+        fleet.apply_list(second * SECOND, origin(0, 0), up_instances(2));
+        assert_eq!(available_keys(&fleet).len(), 10, "the hold should last at {second} s");
     }
-    fleet.apply_list(12 * SECOND, from(0, 0), many(2));
-    assert_eq!(offered(&fleet).len(), 2);
-    // Sooner: the sockets say so too.
+    fleet.apply_list(12 * SECOND, origin(0, 0), up_instances(2));
+    assert_eq!(available_keys(&fleet).len(), 2);
+    // Failed connections confirm the loss before the hold ends.
     let mut fleet = Membership::new(bounds(), 1);
-    fleet.apply_list(SECOND, from(0, 0), many(10));
+    fleet.apply_list(SECOND, origin(0, 0), up_instances(10));
     for second in 2..5 {
-        fleet.apply_list(second * SECOND, from(0, 0), many(2));
+        fleet.apply_list(second * SECOND, origin(0, 0), up_instances(2));
         (2..10).for_each(|n| fleet.record_unreachable(second * SECOND, &key(n)));
     }
     fleet.advance(5 * SECOND);
-    assert_eq!(offered(&fleet).len(), 2);
-    // Later, but not for ever: they answer.
+    assert_eq!(available_keys(&fleet).len(), 2);
+    // Answers on the sockets extend the hold up to its limit.
     let mut fleet = Membership::new(bounds(), 1);
-    fleet.apply_list(SECOND, from(0, 0), many(10));
+    fleet.apply_list(SECOND, origin(0, 0), up_instances(10));
     for second in 2..31 {
-        fleet.apply_list(second * SECOND, from(0, 0), Vec::new());
+        fleet.apply_list(second * SECOND, origin(0, 0), Vec::new());
         (0..10).for_each(|n| fleet.record_answer(second * SECOND, &key(n)));
-        assert_eq!(offered(&fleet).len(), 10, "at {second} s");
+        assert_eq!(available_keys(&fleet).len(), 10, "the hold should last at {second} s");
     }
-    fleet.apply_list(33 * SECOND, from(0, 0), Vec::new());
-    assert!(offered(&fleet).is_empty());
+    fleet.apply_list(33 * SECOND, origin(0, 0), Vec::new());
+    assert!(available_keys(&fleet).is_empty());
 }
 
-/// Guards against a replica that lags: it puts nobody back who was taken off, and takes nobody off by an old word that
-/// he is up; after the bound it is believed as any other.
+/// Guards against a lagging replica that restores instances which were taken out or deleted. After the lag
+/// limit, the replica's data is applied like any other.
 #[test]
-fn a_replica_that_lags_puts_nobody_back() {
+fn a_lagging_replica_restores_no_instance() {
     let mut fleet = Membership::new(bounds(), 1);
-    fleet.apply_list(SECOND, from(0, 0), many(10));
-    fleet.apply_changes(2 * SECOND, from(0, 0), vec![desk(3, InstanceStatus::OutOfService, 5)]);
-    fleet.apply_deletions(2 * SECOND, from(0, 0), &[(key(4), 6)]);
-    fleet.apply_list(3 * SECOND, from(0, 1), many(10));
+    fleet.apply_list(SECOND, origin(0, 0), up_instances(10));
+    fleet.apply_changes(2 * SECOND, origin(0, 0), vec![instance(3, InstanceStatus::OutOfService, 5)]);
+    fleet.apply_deletions(2 * SECOND, origin(0, 0), &[(key(4), 6)]);
+    fleet.apply_list(3 * SECOND, origin(0, 1), up_instances(10));
     assert_eq!(fleet.state("desk-3"), MemberState::Draining);
     assert_eq!(fleet.state("desk-4"), MemberState::Removed);
-    fleet.apply_list(25 * SECOND, from(0, 1), many(10));
-    assert_eq!(fleet.state("desk-3"), MemberState::Available, "it lags no more: that is its status");
-    // The same replica, its clock set back: its latest word counts.
-    fleet.apply_changes(26 * SECOND, from(0, 1), vec![desk(5, InstanceStatus::Down, 0)]);
+    fleet.apply_list(25 * SECOND, origin(0, 1), up_instances(10));
+    assert_eq!(fleet.state("desk-3"), MemberState::Available, "a replica past the lag limit should decide");
+    // Within one replica, the latest status counts even if its version is lower, as after a clock that was
+    // set back.
+    fleet.apply_changes(26 * SECOND, origin(0, 1), vec![instance(5, InstanceStatus::Down, 0)]);
     assert_eq!(fleet.state("desk-5"), MemberState::Draining);
-    fleet.apply_changes(27 * SECOND, from(0, 1), vec![desk(5, InstanceStatus::Up, 0)]);
+    fleet.apply_changes(27 * SECOND, origin(0, 1), vec![instance(5, InstanceStatus::Up, 0)]);
     assert_eq!(fleet.state("desk-5"), MemberState::Available);
 }
 
-/// Guards identities: a move, a restart and a successor at the same address are told apart.
+/// Guards against confusing instances: a moved or restarted instance keeps its key, and a successor takes its
+/// address.
 #[test]
-fn moves_restarts_and_successors_are_told_apart() {
+fn distinguishes_moved_restarted_and_succeeding_instances() {
     let mut fleet = Membership::new(bounds(), 2);
-    fleet.apply_list(SECOND, from(0, 0), many(3));
+    fleet.apply_list(SECOND, origin(0, 0), up_instances(3));
     let moved = Instance {
         address: Some("127.0.0.1:9100".parse().unwrap()),
         boot_ms: 7,
-        ..desk(1, InstanceStatus::Up, 2)
+        ..instance(1, InstanceStatus::Up, 2)
     };
-    fleet.apply_changes(2 * SECOND, from(0, 0), vec![moved.clone()]);
+    fleet.apply_changes(2 * SECOND, origin(0, 0), vec![moved.clone()]);
     let member =
         |fleet: &Membership, key: &str| fleet.members().into_iter().find(|m| m.instance.key == key).unwrap();
     assert_eq!(member(&fleet, "desk-1").instance, moved);
-    let successor = Instance { boot_ms: 9, ..desk(2, InstanceStatus::Up, 3) };
+    let successor = Instance { boot_ms: 9, ..instance(2, InstanceStatus::Up, 3) };
     let successor = Instance { key: "desk-2b".into(), ..successor };
-    fleet.apply_changes(3 * SECOND, from(0, 0), vec![successor]);
-    assert_eq!(member(&fleet, "desk-2").state, MemberState::Draining, "its process is no more");
+    fleet.apply_changes(3 * SECOND, origin(0, 0), vec![successor]);
+    assert_eq!(
+        member(&fleet, "desk-2").state,
+        MemberState::Draining,
+        "the successor should have the address"
+    );
     assert_eq!(member(&fleet, "desk-2b").state, MemberState::Available);
-    // One without a usable address is known, and not offered.
-    let nowhere = Instance { address: None, ..desk(0, InstanceStatus::Up, 4) };
-    fleet.apply_changes(4 * SECOND, from(0, 0), vec![nowhere]);
+    // An instance without a usable address is a member, but not available.
+    let without_address = Instance { address: None, ..instance(0, InstanceStatus::Up, 4) };
+    fleet.apply_changes(4 * SECOND, origin(0, 0), vec![without_address]);
     assert_eq!(member(&fleet, "desk-0").state, MemberState::Draining);
 }
 
-/// Guards the precedence of sources, and memory.
+/// Guards the precedence of sources and the limit on the number of records.
 #[test]
-fn the_first_fresh_source_decides() {
+fn first_fresh_source_decides_and_records_are_bounded() {
     let mut fleet = Membership::new(Bounds { max_instances: 5, ..bounds() }, 2);
     fleet.apply_list(
         SECOND,
-        from(1, 0),
-        vec![desk(0, InstanceStatus::Up, 1), desk(1, InstanceStatus::Up, 1)],
+        origin(1, 0),
+        vec![instance(0, InstanceStatus::Up, 1), instance(1, InstanceStatus::Up, 1)],
     );
-    fleet.apply_list(SECOND, from(0, 0), vec![desk(0, InstanceStatus::OutOfService, 1)]);
+    fleet.apply_list(SECOND, origin(0, 0), vec![instance(0, InstanceStatus::OutOfService, 1)]);
     assert_eq!(
         (fleet.state("desk-0"), fleet.state("desk-1")),
         (MemberState::Draining, MemberState::Available)
     );
     assert_eq!(fleet.members()[1].source, 1);
-    // The first has not been heard for long: the second is, and its word counts until the first is back.
+    // The first source is no longer fresh, so the second decides until the first sends an update.
     fleet.apply_list(
         60 * SECOND,
-        from(1, 0),
-        vec![desk(0, InstanceStatus::Up, 1), desk(1, InstanceStatus::Up, 1)],
+        origin(1, 0),
+        vec![instance(0, InstanceStatus::Up, 1), instance(1, InstanceStatus::Up, 1)],
     );
     assert_eq!(fleet.state("desk-0"), MemberState::Available);
     fleet.advance(61 * SECOND);
     assert_eq!(fleet.state("desk-0"), MemberState::Available);
-    fleet.apply_list(62 * SECOND, from(0, 0), vec![desk(0, InstanceStatus::OutOfService, 1)]);
+    fleet.apply_list(62 * SECOND, origin(0, 0), vec![instance(0, InstanceStatus::OutOfService, 1)]);
     assert_eq!(fleet.state("desk-0"), MemberState::Draining);
-    fleet.apply_list(63 * SECOND, from(1, 0), many(30));
+    fleet.apply_list(63 * SECOND, origin(1, 0), up_instances(30));
     assert_eq!((fleet.len(), fleet.overflow() > 0), (5, true));
 }
