--- a/crates/locality/src/contradict.rs
+++ b/crates/locality/src/contradict.rs
@@ -1,25 +1,27 @@
-//! What of two sets of rules contradicts, and the strictest reading of both: whatever it allows, each of them does.
+//! Finds contradictions between two sets of rules and merges both into the strictest set, which allows only
+//! what both sets allow.
 //!
-//! | clause | contradict when | strictest reading |
+//! | clause | contradiction | strictest set |
 //! | --- | --- | --- |
-//! | `never` | it forbids other zones | what either forbids |
-//! | `beyond region at most` | it differs | the lesser |
-//! | `when lost` | it differs | `refuse` |
-//! | `prefer`, `spill`, names | never: they say where first, not what may happen | the second's |
+//! | `never` | the excluded zones differing | zones that either excludes |
+//! | `beyond region at most` | the values differing | the smaller value |
+//! | `when lost` | the values differing | `refuse` |
+//! | `prefer`, `spill`, names | none: they set preferences, not permissions | those of the second set |
 //!
-//! Both are looked at by class and tenant, since a rule may have another name, another place or other requests in either. They have
-//! to be over the same names in the same order: zones, classes and tenants. Beyond the tables, the rules for whatever nobody
-//! knows are looked at too.
+//! The sets are compared for each class and tenant, since a rule may have another name, position or scope in
+//! each set. Both sets have to use the same zones, classes and tenants in the same order. The rules for
+//! unknown classes and tenants are compared as well.
 
 use crate::rules::{MAX_RULES, Rule, Rules, WhenLost};
 use std::collections::BTreeMap;
 
-/// The most contradictions that are told; one more says that there are others.
+/// Maximum number of contradictions listed; one more entry reports that there are others.
 pub const MAX_CONTRADICTIONS: usize = 64;
 
-/// What of two sets of rules may not be acted on at the same time, in words; empty: they may stand side by side.
+/// Describes each contradiction between two sets of rules. If the result is empty, both sets may be in force
+/// at the same time, at different balancers.
 pub fn contradictions(a: &Rules, b: &Rules, classes: &[String], tenants: &[String]) -> Vec<String> {
-    // Cells of one pair of rules differ alike: the first stands for them.
+    // All cells with the same pair of rules differing alike; the description names the first cell.
     let mut pairs = BTreeMap::new();
     for (cell, pair) in cells(a, b) {
         pairs.entry(pair).or_insert((cell, 0usize)).1 += 1;
@@ -27,8 +29,8 @@
     let mut found = Vec::new();
     for ((x, y), (cell, count)) in pairs {
         let (x, y) = (&a.all()[x], &b.all()[y]);
-        let differ = differences(x, y);
-        if differ.is_empty() {
+        let differing = differing_clauses(x, y);
+        if differing.is_empty() {
             continue;
         }
         if found.len() == MAX_CONTRADICTIONS {
@@ -40,12 +42,21 @@
         } else {
             format!("rules {} and {}", x.name, y.name)
         };
-        found.push(format!("{rule}{}: {}", whose(cell, count, classes, tenants), differ.join(", ")));
+        found.push(format!(
+            "{rule}{}: {}",
+            describe_cell(cell, count, classes, tenants),
+            differing.join(", ")
+        ));
     }
     found
 }
 
-fn whose(cell: Option<(usize, usize)>, count: usize, classes: &[String], tenants: &[String]) -> String {
+fn describe_cell(
+    cell: Option<(usize, usize)>,
+    count: usize,
+    classes: &[String],
+    tenants: &[String],
+) -> String {
     let Some((class, tenant)) = cell else { return " (classes and tenants that nobody knows)".into() };
     let name = |kind: &str, names: &[String], n| names.get(n).map(|name: &String| format!("{kind} {name}"));
     let names: Vec<String> =
@@ -54,23 +65,23 @@
     if names.is_empty() { String::new() } else { format!(" ({}{more})", names.join(", ")) }
 }
 
-fn differences(a: &Rule, b: &Rule) -> Vec<String> {
-    let mut differ = Vec::new();
+fn differing_clauses(a: &Rule, b: &Rule) -> Vec<String> {
+    let mut differing = Vec::new();
     if a.never != b.never {
-        differ.push("never forbids other zones".into());
+        differing.push("never forbids other zones".into());
     }
     if a.beyond_region_most != b.beyond_region_most {
         let percent = |rule: &Rule| (rule.beyond_region_most * 1e6).round() / 1e4;
-        differ.push(format!("beyond region at most {}% and {}%", percent(a), percent(b)));
+        differing.push(format!("beyond region at most {}% and {}%", percent(a), percent(b)));
     }
     if a.when_lost != b.when_lost {
-        let word = |rule: &Rule| if rule.when_lost == WhenLost::Refuse { "refuse" } else { "anywhere" };
-        differ.push(format!("when lost {} and {}", word(a), word(b)));
+        let keyword = |rule: &Rule| if rule.when_lost == WhenLost::Refuse { "refuse" } else { "anywhere" };
+        differing.push(format!("when lost {} and {}", keyword(a), keyword(b)));
     }
-    differ
+    differing
 }
 
-/// A class and a tenant by position, or whatever there is not; and its rules in either.
+/// Indices of a class and a tenant (`None`: unknown ones), and the indices of their rules in the two sets.
 type Cell = (Option<(usize, usize)>, (usize, usize));
 
 fn cells(a: &Rules, b: &Rules) -> impl Iterator<Item = Cell> {
@@ -86,21 +97,23 @@
     known.chain([(None, (a.all().len() - 1, b.all().len() - 1))])
 }
 
-/// What either forbids is forbidden, and so on by the table above; where requests go is as the second says.
+/// Merges two sets of rules into the strictest set, by the table in the module documentation. Steps and spill
+/// thresholds are those of the second set.
 ///
-/// A rule of the second that comes together with several of the first becomes several, as far as they differ in what they forbid.
-/// Should these be more than [`MAX_RULES`], each rule of the second is as strict as all that it comes together with.
+/// A rule of the second set that shares requests with several rules of the first is split into one rule for
+/// each distinct result. If that makes more than [`MAX_RULES`] rules, each rule of the second set is instead
+/// made as strict as all rules of the first set that share requests with it.
 pub fn strictest(a: &Rules, b: &Rules) -> Rules {
     let mut pairs: BTreeMap<(usize, usize), Rule> = BTreeMap::new();
     for (_, (x, y)) in cells(a, b) {
-        pairs.entry((y, x)).or_insert_with(|| stricter(&a.all()[x], &b.all()[y]));
+        pairs.entry((y, x)).or_insert_with(|| merge_rules(&a.all()[x], &b.all()[y]));
     }
-    let mut made = distinct(&pairs, b);
-    if made.len() > MAX_RULES {
+    let mut merged = distinct(&pairs, b);
+    if merged.len() > MAX_RULES {
         let mut by_second: BTreeMap<usize, Rule> = BTreeMap::new();
         for (y, x) in pairs.keys() {
-            let so_far = by_second.entry(*y).or_insert_with(|| b.all()[*y].clone());
-            *so_far = as_strict(&a.all()[*x], so_far);
+            let merged_rule = by_second.entry(*y).or_insert_with(|| b.all()[*y].clone());
+            *merged_rule = tighten(&a.all()[*x], merged_rule);
         }
         for (y, rule) in &mut by_second {
             if *rule != b.all()[*y] {
@@ -110,57 +123,59 @@
         for (key, rule) in &mut pairs {
             rule.clone_from(&by_second[&key.0]);
         }
-        made = distinct(&pairs, b);
+        merged = distinct(&pairs, b);
     }
-    // The rule for whatever there is not is the last.
+    // The rule for unknown classes and tenants has to be the last one.
     let last = (b.all().len() - 1, a.all().len() - 1);
-    if let Some(n) = pairs.get(&last).and_then(|last| made.iter().position(|rule| rule == last)) {
-        let rule = made.remove(n);
-        made.push(rule);
+    if let Some(n) = pairs.get(&last).and_then(|last| merged.iter().position(|rule| rule == last)) {
+        let rule = merged.remove(n);
+        merged.push(rule);
     }
     let (table, tenants) = b.table();
     let (a_table, a_tenants) = a.table();
     let tenants = tenants.max(a_tenants);
     let rows = |table: &[u16], tenants: usize| table.len().checked_div(tenants).unwrap_or(0);
     let classes = rows(table, b.table().1).max(rows(a_table, a_tenants));
-    let at: BTreeMap<(usize, usize), usize> = pairs
+    let merged_index: BTreeMap<(usize, usize), usize> = pairs
         .iter()
-        .filter_map(|(key, rule)| made.iter().position(|other| other == rule).map(|n| (*key, n)))
+        .filter_map(|(key, rule)| merged.iter().position(|other| other == rule).map(|n| (*key, n)))
         .collect();
-    let last = made.len() - 1;
+    let last = merged.len() - 1;
     let rule_of = |class, tenant| {
-        at.get(&(b.rule_index(class, tenant), a.rule_index(class, tenant))).copied().unwrap_or(last)
+        merged_index.get(&(b.rule_index(class, tenant), a.rule_index(class, tenant))).copied().unwrap_or(last)
     };
-    Rules::new(made, classes, tenants, rule_of)
+    Rules::new(merged, classes, tenants, rule_of)
 }
 
-/// Rules of pairs in the order of the second's, each once; those of the second that come together with none stand as they are.
+/// Returns the distinct rules of all pairs, in the order of the second set. A rule of the second set without
+/// a pair is returned unchanged.
 fn distinct(pairs: &BTreeMap<(usize, usize), Rule>, b: &Rules) -> Vec<Rule> {
-    let mut made: Vec<Rule> = Vec::new();
+    let mut merged: Vec<Rule> = Vec::new();
     for (y, rule) in b.all().iter().enumerate() {
-        let start = made.len();
+        let start = merged.len();
         for (_, rule) in pairs.range((y, 0)..=(y, usize::MAX)) {
-            if !made[start..].contains(rule) {
-                made.push(rule.clone());
+            if !merged[start..].contains(rule) {
+                merged.push(rule.clone());
             }
         }
-        if made.len() == start {
-            made.push(rule.clone());
+        if merged.len() == start {
+            merged.push(rule.clone());
         }
     }
-    made
+    merged
 }
 
-/// As strict as both; it keeps `b`'s name if nothing had to be made stricter, so that no name is there twice.
-fn stricter(a: &Rule, b: &Rule) -> Rule {
-    let mut rule = as_strict(a, b);
+/// Returns a rule as strict as `a` and `b`, with the steps of `b`. The rule keeps the name of `b` if `b` is
+/// strict enough already, so that no name appears twice.
+fn merge_rules(a: &Rule, b: &Rule) -> Rule {
+    let mut rule = tighten(a, b);
     if rule != *b {
         rule.name = format!("{} with {}", b.name, a.name);
     }
     rule
 }
 
-fn as_strict(a: &Rule, b: &Rule) -> Rule {
+fn tighten(a: &Rule, b: &Rule) -> Rule {
     let mut rule = b.clone();
     rule.never.extend(&a.never);
     rule.never.sort_unstable();
--- a/crates/locality/src/explain.rs
+++ b/crates/locality/src/explain.rs
@@ -1,6 +1,7 @@
-//! Why a request goes where it goes: which rule, which step, and why each one before it was passed over.
+//! Explains the routing of a request: the rule and step that apply, and why earlier rules and steps do not.
 //!
-//! It goes by what is seen now. The planner, while it waits out a dwell time, may have fewer or more steps open.
+//! The explanation is based on the current health of the zones. The planner may use fewer or more steps while
+//! a dwell time runs.
 
 use crate::health::LocalityHealth;
 use crate::language::Names;
@@ -9,92 +10,93 @@
 use crate::topology::{Topology, Zone};
 use std::fmt;
 
-/// Why a rule that stands earlier was passed over.
+/// Reason why an earlier rule does not apply to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RuleMismatch {
-    /// No request of the class goes by it.
+    /// The rule applies to no request of the class.
     OtherClass,
-    /// No request of the tenant goes by it.
+    /// The rule applies to no request of the tenant.
     OtherTenant,
-    /// Requests of the class go by it, but of other tenants, or of classes that have this tenant's too.
+    /// The rule applies to the class and to the tenant, but only in combination with others.
     OtherPair,
 }
 
-/// Why a zone that a step names is left out of it.
+/// Reason why a step does not use a zone that its target includes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneExclusion {
-    /// `never` forbids it.
+    /// A `never` clause excludes the zone.
     Never,
-    /// It is further than `within`.
+    /// The round-trip time exceeds `within`.
     TooFar,
-    /// It is not known how far it is.
+    /// The step has a `within`, and the round-trip time is unknown.
     RttUnknown,
-    /// A step before leads there.
+    /// An earlier step uses the zone.
     Earlier,
 }
 
-/// What becomes of a step.
+/// Result of evaluating a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StepOutcome {
-    /// No zone is left in it.
+    /// The step has no zones after exclusions.
     Empty,
-    /// None of its zones can be used.
+    /// No zone of the step has usable capacity.
     Unusable,
-    /// Its load is not under `spill over`.
+    /// The load of the step has reached the `spill over` threshold.
     Full,
-    /// It is used, but less of it than `spill below` can be: the next is used too.
+    /// The usable capacity is less than `spill below`, so the next step takes requests as healthy.
     LowCapacity,
-    /// Requests go here.
+    /// The step takes the requests.
     Chosen,
-    /// A step before it takes all.
+    /// An earlier step takes all requests.
     NotNeeded,
 }
 
-/// A step of the rule.
+/// One step of the rule, with the zones it uses and its result.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StepExplanation {
-    /// As it is written.
+    /// Step in the syntax of the rule language.
     pub step: String,
-    /// Names of its zones.
+    /// Names of the zones that the step uses.
     pub zones: Vec<String>,
-    /// Names of zones that it does not lead to.
-    pub left_out: Vec<(String, ZoneExclusion)>,
-    /// Its zones together.
-    pub seen: LocalityHealth,
-    /// What becomes of it.
+    /// Names of the target's zones that the step does not use, with the reason.
+    pub excluded_zones: Vec<(String, ZoneExclusion)>,
+    /// Combined health of the zones that the step uses.
+    pub health: LocalityHealth,
+    /// Result of evaluating the step.
     pub outcome: StepOutcome,
 }
 
-/// Why a request goes where it goes.
+/// Explanation of the routing of one request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
-    /// Whose request: its class, tenant, and the zone that it came into.
+    /// Class and tenant of the request, and the zone that received it.
     pub request: [String; 3],
-    /// The rule that it goes by.
+    /// Rule that applies to the request.
     pub rule: Rule,
-    /// Rules that stand before that one.
-    pub passed: Vec<(String, RuleMismatch)>,
-    /// The rule's steps.
+    /// Names of the earlier rules, with the reason why each does not apply.
+    pub mismatches: Vec<(String, RuleMismatch)>,
+    /// Steps of the rule, in order of preference.
     pub steps: Vec<StepExplanation>,
-    /// The step where requests go; `None`: no step is left, and [`Rule::when_lost`] says what becomes of them.
+    /// Index of the step that takes the request. `None` if no step can; [`Rule::when_lost`] then applies.
     pub chosen: Option<usize>,
 }
 
-/// Why a request goes where it goes. `seen` is by zone; a zone beyond its end counts as well and empty.
+/// Explains the routing of a request that `from` receives. `health` is indexed by zone; a zone beyond its end
+/// counts as healthy and without load.
 pub fn explain(
     rules: &Rules,
     names: &Names<'_>,
     class: usize,
     tenant: usize,
     from: Zone,
-    seen: &[LocalityHealth],
+    health: &[LocalityHealth],
 ) -> Explanation {
     let chosen_rule = rules.rule_index(class, tenant);
     let rule = &rules.all()[chosen_rule];
-    let passed = rules.all()[..chosen_rule].iter().enumerate();
-    let passed = passed.map(|(n, rule)| (rule.name.clone(), passed_over(rules, n, class, tenant)));
-    let name = |names: &[String], n: usize| names.get(n).cloned().unwrap_or_else(|| "(none known)".into());
-    let steps = steps(rule, names.topology, from, seen);
+    let mismatches = rules.all()[..chosen_rule].iter().enumerate();
+    let mismatches = mismatches.map(|(n, rule)| (rule.name.clone(), mismatch(rules, n, class, tenant)));
+    let name = |names: &[String], n: usize| names.get(n).cloned().unwrap_or_else(|| "(unknown)".into());
+    let steps = steps(rule, names.topology, from, health);
     Explanation {
         request: [
             name(names.classes, class),
@@ -102,13 +104,13 @@
             names.topology.zone_name(from).to_owned(),
         ],
         rule: rule.clone(),
-        passed: passed.collect(),
+        mismatches: mismatches.collect(),
         chosen: steps.iter().position(|step| step.outcome == StepOutcome::Chosen),
         steps,
     }
 }
 
-fn passed_over(rules: &Rules, rule: usize, class: usize, tenant: usize) -> RuleMismatch {
+fn mismatch(rules: &Rules, rule: usize, class: usize, tenant: usize) -> RuleMismatch {
     let (table, tenants) = rules.table();
     let mut used = table.iter().enumerate().filter(|(_, n)| usize::from(**n) == rule).map(|(cell, _)| cell);
     if tenants == 0 || !used.clone().any(|cell| cell / tenants == class) {
@@ -120,77 +122,78 @@
     }
 }
 
-fn steps(rule: &Rule, topology: &Topology, from: Zone, seen: &[LocalityHealth]) -> Vec<StepExplanation> {
-    let well = LocalityHealth { load: 0.0, usable: 1.0 };
-    let (mut taken, mut done, mut little) = (Vec::new(), false, None);
-    let mut explained = Vec::new();
+fn steps(rule: &Rule, topology: &Topology, from: Zone, health: &[LocalityHealth]) -> Vec<StepExplanation> {
+    let healthy = LocalityHealth { load: 0.0, usable: 1.0 };
+    let (mut used_zones, mut is_satisfied, mut low_capacity) = (Vec::new(), false, None);
+    let mut explanations = Vec::new();
     for (n, step) in rule.steps.iter().enumerate() {
         let mut zones = Vec::new();
-        let mut left_out = Vec::new();
+        let mut excluded_zones = Vec::new();
         for zone in step.target.zones(topology, from) {
-            match left(rule, topology, from, step, zone, &taken) {
-                Some(why) => left_out.push((topology.zone_name(zone).to_owned(), why)),
+            match exclusion(rule, topology, from, step, zone, &used_zones) {
+                Some(why) => excluded_zones.push((topology.zone_name(zone).to_owned(), why)),
                 None => zones.push(zone),
             }
         }
-        taken.extend(&zones);
-        let of_zone = |zone: &Zone| (seen.get(usize::from(zone.0)).copied().unwrap_or(well), 1.0);
-        let seen = LocalityHealth::combine(zones.iter().map(of_zone));
+        used_zones.extend(&zones);
+        let weighted_health =
+            |zone: &Zone| (health.get(usize::from(zone.0)).copied().unwrap_or(healthy), 1.0);
+        let health = LocalityHealth::combine(zones.iter().map(weighted_health));
         let outcome = if zones.is_empty() {
             StepOutcome::Empty
-        } else if done {
+        } else if is_satisfied {
             StepOutcome::NotNeeded
-        } else if seen.is_unusable() {
+        } else if health.is_unusable() {
             StepOutcome::Unusable
-        } else if !seen.accepts_more(rule) {
+        } else if !health.accepts_more(rule) {
             StepOutcome::Full
-        } else if seen.needs_next_step(rule) {
-            little = little.or(Some(n));
+        } else if health.needs_next_step(rule) {
+            low_capacity = low_capacity.or(Some(n));
             StepOutcome::LowCapacity
         } else {
-            done = true;
+            is_satisfied = true;
             StepOutcome::Chosen
         };
         let name = |zone: &Zone| topology.zone_name(*zone).to_owned();
-        let step = written(step, topology);
-        explained.push(StepExplanation {
+        let step = syntax(step, topology);
+        explanations.push(StepExplanation {
             step,
             zones: zones.iter().map(name).collect(),
-            left_out,
-            seen,
+            excluded_zones,
+            health,
             outcome,
         });
     }
-    // With none that is well enough, the first of which too little can be used is the one.
-    if let (false, Some(n)) = (done, little) {
-        explained[n].outcome = StepOutcome::Chosen;
+    // If no step has enough capacity, the first step with low capacity takes the requests.
+    if let (false, Some(n)) = (is_satisfied, low_capacity) {
+        explanations[n].outcome = StepOutcome::Chosen;
     }
-    explained
+    explanations
 }
 
-fn left(
+fn exclusion(
     rule: &Rule,
     topology: &Topology,
     from: Zone,
     step: &Step,
     zone: Zone,
-    taken: &[Zone],
+    used_zones: &[Zone],
 ) -> Option<ZoneExclusion> {
     let rtt = topology.rtt(from, zone);
     if rule.never.binary_search(&zone).is_ok() {
         Some(ZoneExclusion::Never)
-    } else if taken.contains(&zone) {
+    } else if used_zones.contains(&zone) {
         Some(ZoneExclusion::Earlier)
     } else if step.within.is_some() && rtt.is_none() {
         Some(ZoneExclusion::RttUnknown)
-    } else if step.within.is_some_and(|most| rtt.is_some_and(|rtt| rtt > most)) {
+    } else if step.within.is_some_and(|max_rtt| rtt.is_some_and(|rtt| rtt > max_rtt)) {
         Some(ZoneExclusion::TooFar)
     } else {
         None
     }
 }
 
-fn written(step: &Step, topology: &Topology) -> String {
+fn syntax(step: &Step, topology: &Topology) -> String {
     let target = match step.target {
         StepTarget::OwnZone => TargetSyntax::OwnZone,
         StepTarget::OwnRegion => TargetSyntax::OwnRegion,
@@ -206,12 +209,14 @@
 impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let [class, tenant, zone] = &self.request;
-        writeln!(f, "class {class}, tenant {tenant}, into zone {zone}")?;
-        for (name, why) in &self.passed {
+        writeln!(f, "class {class}, tenant {tenant}, received in zone {zone}")?;
+        for (name, why) in &self.mismatches {
             let why = match why {
-                RuleMismatch::OtherClass => "no request of this class goes by it",
-                RuleMismatch::OtherTenant => "no request of this tenant goes by it",
-                RuleMismatch::OtherPair => "this class and this tenant go by it, but not together",
+                RuleMismatch::OtherClass => "applies to no request of this class",
+                RuleMismatch::OtherTenant => "applies to no request of this tenant",
+                RuleMismatch::OtherPair => {
+                    "applies to this class and to this tenant, but not to both together"
+                }
             };
             writeln!(f, "  rule {name}: {why}")?;
         }
@@ -220,12 +225,12 @@
             let mark = if self.chosen == Some(n) { '>' } else { ' ' };
             write!(f, "{mark}   {}. {} [{}]: ", n + 1, step.step, step.zones.join(", "))?;
             self.outcome(f, step)?;
-            for (zone, why) in &step.left_out {
+            for (zone, why) in &step.excluded_zones {
                 let why = match why {
                     ZoneExclusion::Never => "never",
-                    ZoneExclusion::TooFar => "too far",
-                    ZoneExclusion::RttUnknown => "way not known",
-                    ZoneExclusion::Earlier => "in a step before",
+                    ZoneExclusion::TooFar => "round-trip time too long",
+                    ZoneExclusion::RttUnknown => "round-trip time unknown",
+                    ZoneExclusion::Earlier => "used by an earlier step",
                 };
                 write!(f, "; without {zone} ({why})")?;
             }
@@ -233,9 +238,9 @@
         }
         match (self.chosen, self.rule.when_lost) {
             (Some(_), _) => Ok(()),
-            (None, WhenLost::Refuse) => writeln!(f, "> no step left: refused"),
+            (None, WhenLost::Refuse) => writeln!(f, "> no usable step: rejected"),
             (None, WhenLost::Anywhere) => {
-                writeln!(f, "> no step left: anywhere that `never` does not forbid")
+                writeln!(f, "> no usable step: any zone that `never` does not exclude")
             }
         }
     }
@@ -244,14 +249,14 @@
 impl Explanation {
     fn outcome(&self, f: &mut fmt::Formatter<'_>, step: &StepExplanation) -> fmt::Result {
         let percent = |share: f64| (share * 1000.0).round() / 10.0;
-        let (load, usable) = (percent(step.seen.load), percent(step.seen.usable));
-        let (over, least) = (percent(self.rule.spill.over), percent(self.rule.usable_least));
+        let (load, usable) = (percent(step.health.load), percent(step.health.usable));
+        let (over, min_usable) = (percent(self.rule.spill.over), percent(self.rule.usable_least));
         match step.outcome {
-            StepOutcome::Empty => f.write_str("no zone left in it"),
-            StepOutcome::Unusable => f.write_str("lost: nothing of it can be used"),
-            StepOutcome::Full => write!(f, "full: load {load}%, spills over {over}%"),
-            StepOutcome::LowCapacity => write!(f, "{usable}% usable, spills below {least}%"),
-            StepOutcome::Chosen => write!(f, "requests go here: load {load}%, {usable}% usable"),
+            StepOutcome::Empty => f.write_str("no zones after exclusions"),
+            StepOutcome::Unusable => f.write_str("unusable: no zone has usable capacity"),
+            StepOutcome::Full => write!(f, "full: load {load}%, spills over at {over}%"),
+            StepOutcome::LowCapacity => write!(f, "{usable}% usable, spills below {min_usable}%"),
+            StepOutcome::Chosen => write!(f, "chosen: load {load}%, {usable}% usable"),
             StepOutcome::NotNeeded => f.write_str("not needed"),
         }
     }
--- a/crates/locality/src/health.rs
+++ b/crates/locality/src/health.rs
@@ -1,48 +1,49 @@
-//! How a step of a rule's ladder stands at one instant: what is seen of its zones, together.
+//! Load and usable capacity of a zone or of a step, at one instant.
 //!
-//! Dwell times, hysteresis and the slow return are the planner's, who decides for all; here is only what a step looks like.
+//! This module covers one step at one instant. The planner adds dwell times, hysteresis and gradual recovery.
 
 use crate::rules::Rule;
 use serde::{Deserialize, Serialize};
 
-/// A step of the ladder, as seen.
+/// Load and usable capacity of a zone, or of the zones of a step combined.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LocalityHealth {
-    /// Load over its room: 1 is full.
+    /// Load divided by the usable capacity; 1 is full.
     pub load: f64,
-    /// Share of its capacity that is usable. 0: it is lost.
+    /// Usable share of the total capacity, 0 to 1. With 0, nothing is usable.
     pub usable: f64,
 }
 
 impl LocalityHealth {
-    /// Several zones as one: usable by their weights, load by what of these is usable. Lost where there are none.
+    /// Combines pairs of zone health and weight. The usable share is averaged by weight, the load by weight
+    /// and usable share. The result is unusable if no zone is usable.
     pub fn combine(parts: impl IntoIterator<Item = (Self, f64)>) -> Self {
-        let (mut all, mut usable, mut load) = (0.0, 0.0, 0.0);
-        for (seen, weight) in parts {
-            all += weight;
-            if !seen.is_unusable() {
-                usable += weight * seen.usable;
-                load += weight * seen.usable * seen.load;
+        let (mut total, mut usable, mut load) = (0.0, 0.0, 0.0);
+        for (health, weight) in parts {
+            total += weight;
+            if !health.is_unusable() {
+                usable += weight * health.usable;
+                load += weight * health.usable * health.load;
             }
         }
         if usable > 0.0 {
-            Self { load: load / usable, usable: usable / all }
+            Self { load: load / usable, usable: usable / total }
         } else {
             Self { load: 0.0, usable: 0.0 }
         }
     }
 
-    /// Nothing of it can be used.
+    /// Returns true if the usable share is not above 0, or not a number.
     pub fn is_unusable(&self) -> bool {
         !matches!(self.usable.partial_cmp(&0.0), Some(std::cmp::Ordering::Greater))
     }
 
-    /// Whether more may go there: neither lost nor over the rule's threshold.
+    /// Returns true if some capacity is usable and the load is below the rule's `spill over` threshold.
     pub fn accepts_more(&self, rule: &Rule) -> bool {
         !self.is_unusable() && self.load < rule.spill.over
     }
 
-    /// Whether the next step is to be asked.
+    /// Returns true if the rule's next step has to take requests as well.
     pub fn needs_next_step(&self, rule: &Rule) -> bool {
         !self.accepts_more(rule) || self.usable < rule.usable_least
     }
@@ -52,30 +53,30 @@
 mod tests {
     use super::*;
 
-    fn seen(load: f64, usable: f64) -> LocalityHealth {
+    fn health(load: f64, usable: f64) -> LocalityHealth {
         LocalityHealth { load, usable }
     }
 
     #[test]
-    fn zones_together_are_their_usable_parts() {
-        let both = LocalityHealth::combine([(seen(0.5, 1.0), 2.0), (seen(1.0, 0.5), 2.0)]);
+    fn combines_zones_by_weight_and_usable_share() {
+        let both = LocalityHealth::combine([(health(0.5, 1.0), 2.0), (health(1.0, 0.5), 2.0)]);
         assert!((both.usable - 0.75).abs() < 1e-12 && (both.load - 2.0 / 3.0).abs() < 1e-12, "{both:?}");
-        // What is lost bears nothing, and its load says nothing.
-        let half = LocalityHealth::combine([(seen(0.5, 1.0), 1.0), (seen(9.0, 0.0), 1.0)]);
-        assert_eq!(half, seen(0.5, 0.5));
+        // An unusable zone adds no load.
+        let half = LocalityHealth::combine([(health(0.5, 1.0), 1.0), (health(9.0, 0.0), 1.0)]);
+        assert_eq!(half, health(0.5, 0.5));
         assert!(
             LocalityHealth::combine([]).is_unusable()
-                && LocalityHealth::combine([(seen(0.0, f64::NAN), 1.0)]).is_unusable()
+                && LocalityHealth::combine([(health(0.0, f64::NAN), 1.0)]).is_unusable()
         );
     }
 
     #[test]
-    fn the_next_step_is_asked_where_one_is_full_or_too_little_of_it_is_left() {
+    fn needs_the_next_step_when_full_or_below_the_usable_share() {
         let rule = Rule { usable_least: 0.5, ..Rule::near_first() };
-        assert!(!seen(0.79, 0.5).needs_next_step(&rule) && seen(0.79, 0.5).accepts_more(&rule));
-        assert!(seen(0.79, 0.49).needs_next_step(&rule) && seen(0.79, 0.49).accepts_more(&rule));
-        // A figure that is no number counts as full, or as lost.
-        for full in [seen(0.8, 1.0), seen(f64::NAN, 1.0), seen(0.0, 0.0), seen(0.0, f64::NAN)] {
+        assert!(!health(0.79, 0.5).needs_next_step(&rule) && health(0.79, 0.5).accepts_more(&rule));
+        assert!(health(0.79, 0.49).needs_next_step(&rule) && health(0.79, 0.49).accepts_more(&rule));
+        // A load that is not a number counts as full; a usable share that is not a number counts as 0.
+        for full in [health(0.8, 1.0), health(f64::NAN, 1.0), health(0.0, 0.0), health(0.0, f64::NAN)] {
             assert!(full.needs_next_step(&rule) && !full.accepts_more(&rule), "{full:?}");
         }
     }
--- a/crates/locality/src/language/ast.rs
+++ b/crates/locality/src/language/ast.rs
@@ -1,14 +1,14 @@
-//! A text as it is written: rules, clauses, comments, and where each stands.
+//! Syntax tree of the rule language: rules, clauses and comments, with their positions in the text.
 
 use std::ops::Range;
 use std::time::Duration;
 
-/// Something and the bytes where it stands. Two are the same if they say the same, wherever they stand.
+/// A syntax node with its byte range. Equality ignores the byte range.
 #[derive(Clone, Debug)]
 pub struct Spanned<T> {
-    /// What is said.
+    /// Syntax node.
     pub node: T,
-    /// Where, in bytes of the text.
+    /// Byte range of the node in the text.
     pub span: Range<usize>,
 }
 
@@ -18,58 +18,58 @@
     }
 }
 
-/// A share, in millionths: so that what is printed is what was written.
+/// A percentage in millionths of the total, so that the printed value equals the written one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Percent(pub u32);
 
 impl Percent {
-    /// All.
+    /// 100 %.
     pub const HUNDRED: Self = Self(1_000_000);
 
-    /// As a share, 0 to 1.
+    /// Returns the percentage as a share, 0 to 1.
     pub fn share(self) -> f64 {
         f64::from(self.0) / 1e6
     }
 }
 
-/// A text.
+/// Syntax tree of a complete text.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Text {
-    /// Its rules.
+    /// Rules in the order of the text.
     pub rules: Vec<RuleSyntax>,
-    /// Comments after the last one.
+    /// Comments after the last rule, without `#`.
     pub end: Vec<String>,
 }
 
-/// A rule.
+/// Syntax of one rule, with its comments.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuleSyntax {
-    /// Comments before it.
+    /// Comments before the rule.
     pub before: Vec<String>,
-    /// Its name.
+    /// Name of the rule.
     pub name: Spanned<String>,
-    /// A comment behind its opening brace.
+    /// Comment on the line of the opening brace.
     pub head: Option<String>,
-    /// Its clauses; at most one of each kind.
+    /// Clauses in the order of the text, at most one of each kind.
     pub clauses: Vec<ClauseSyntax>,
-    /// Comments behind its last clause.
+    /// Comments between the last clause and the closing brace.
     pub end: Vec<String>,
-    /// A comment behind its closing brace.
+    /// Comment on the line of the closing brace.
     pub after: Option<String>,
 }
 
-/// A clause.
+/// Syntax of one clause, with its comments.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClauseSyntax {
-    /// Comments before it, and those that stood inside it.
+    /// Comments before the clause, and comments moved out of it.
     pub before: Vec<String>,
-    /// What it says.
+    /// Content of the clause, without its comments.
     pub clause: Spanned<Clause>,
-    /// A comment behind it on the same line.
+    /// Comment after the clause, on the same line.
     pub after: Option<String>,
 }
 
-/// What a clause says.
+/// Content of a clause.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Clause {
     /// `for class "x", tenant "y"`
@@ -84,12 +84,12 @@
     Beyond(Spanned<Percent>),
     /// `never zone "a", region "b"`
     Never(Vec<Spanned<NamedLocality>>),
-    /// `when lost refuse`: whether anywhere is meant.
+    /// `when lost refuse` (false) or `when lost anywhere` (true).
     WhenLost(bool),
 }
 
 impl Clause {
-    /// Kinds are printed in the order of these numbers.
+    /// Returns the number of the clause's kind. Clauses are printed in this order.
     pub fn kind(&self) -> usize {
         match self {
             Self::For(_) => 0,
@@ -102,30 +102,30 @@
         }
     }
 
-    /// By what words each kind begins.
+    /// Leading keywords of each kind of clause, indexed by [`Self::kind`].
     pub const KEYWORDS: [&str; 7] =
         ["for", "prefer", "spill over", "spill below", "beyond region", "never", "when lost"];
 }
 
-/// Whom a rule is for.
+/// Class or tenant that a rule applies to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
-    /// A class by name.
+    /// Name of a class.
     Class(String),
-    /// A tenant by name.
+    /// Name of a tenant.
     Tenant(String),
 }
 
-/// A place by name.
+/// Zone or region given by name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NamedLocality {
-    /// A zone.
+    /// Name of a zone.
     Zone(String),
-    /// A region.
+    /// Name of a region.
     Region(String),
 }
 
-/// Where a step leads.
+/// Syntax of a step's target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TargetSyntax {
     /// `own zone`
@@ -138,30 +138,30 @@
     Anywhere,
 }
 
-/// A step of `prefer`.
+/// Syntax of one step of a `prefer` clause.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StepSyntax {
-    /// Where it leads.
+    /// Zones that the step sends requests to.
     pub target: TargetSyntax,
-    /// How far at the most, there and back.
+    /// Maximum round-trip time to a zone.
     pub within: Option<Spanned<Duration>>,
 }
 
-/// `spill over`.
+/// Content of a `spill over` clause.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpillThresholds {
-    /// Load over which it begins.
+    /// Load above which spilling begins.
     pub over: Spanned<Percent>,
-    /// For how long.
+    /// Time for which the load has to stay above `over`.
     pub over_for: Spanned<Duration>,
-    /// Load under which it ends.
+    /// Load below which spilling ends.
     pub back: Spanned<Percent>,
-    /// For how long.
+    /// Time for which the load has to stay below `back`.
     pub back_for: Spanned<Duration>,
 }
 
 impl<T> Spanned<T> {
-    /// Something that stands nowhere, for texts that are made and not read.
+    /// Creates a node with an empty byte range, for syntax trees that are not parsed from a text.
     pub fn unspanned(node: T) -> Self {
         Self { node, span: 0..0 }
     }
--- a/crates/locality/src/language/check.rs
+++ b/crates/locality/src/language/check.rs
@@ -1,7 +1,7 @@
-//! From a tree to tables: names are looked up, and what can't be meant is told.
+//! Compiles the syntax tree to rules: resolves names and reports semantic errors.
 
 use super::ast::{Clause, NamedLocality, RuleSyntax, Spanned, StepSyntax, Subject, TargetSyntax};
-use super::fault::{Faults, nearest};
+use super::fault::{Faults, suggestion};
 use super::parser::Parsed;
 use super::{MAX_NAME_CHARS, MAX_STEPS, Names, reach};
 use crate::rules::{MAX_RULES, Rule, Rules, Spill, Step, StepTarget, WhenLost};
@@ -9,14 +9,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
-/// A rule, and what is known of it beside.
+/// A compiled rule with the data needed to check it against other rules.
 struct Checked {
     rule: Rule,
-    /// Classes and tenants listed; none: all. `None` for the default rule.
+    /// Indices of the listed classes and tenants; an empty set means all. `None` for the default rule.
     subjects: Option<(BTreeSet<usize>, BTreeSet<usize>)>,
+    /// Byte position of the rule's name.
     at: usize,
-    /// Nothing of it is missing for a fault, so that it can be judged against the others.
-    whole: bool,
+    /// Set if no part of the rule was dropped because of an error, so that the rule can be checked against
+    /// others.
+    is_complete: bool,
 }
 
 pub(super) fn check(parsed: &Parsed, names: &Names<'_>, faults: &mut Faults) -> Rules {
@@ -24,66 +26,67 @@
         names.iter().enumerate().rev().map(|(n, name)| (name.clone(), n)).collect()
     };
     let (classes, tenants) = (position(names.classes), position(names.tenants));
-    let mut seen = BTreeMap::new();
+    let mut rule_names = BTreeMap::new();
     let mut checked = Vec::new();
-    for (text, whole) in parsed.text.rules.iter().zip(&parsed.whole) {
+    for (text, is_complete) in parsed.text.rules.iter().zip(&parsed.complete_rules) {
         let (name, at) = (&text.name.node, text.name.span.start);
         if name.chars().count() > MAX_NAME_CHARS {
-            faults.add(at, || format!("a rule's name has {MAX_NAME_CHARS} characters at most"));
+            faults.add(at, || format!("a rule's name has at most {MAX_NAME_CHARS} characters"));
         }
-        if seen.insert(name, at).is_some() {
-            faults.add(at, || format!("a rule `{name}` stands above"));
+        if rule_names.insert(name, at).is_some() {
+            faults.add(at, || format!("rule `{name}` is already defined above"));
         }
-        let mut maker = Maker { names, classes: &classes, tenants: &tenants, faults, whole: *whole };
-        checked.push(maker.rule(text));
+        let mut compiler =
+            RuleCompiler { names, classes: &classes, tenants: &tenants, faults, is_complete: *is_complete };
+        checked.push(compiler.rule(text));
     }
-    too_many(&checked, faults);
-    tables(checked, names, faults)
+    check_rule_count(&checked, faults);
+    build_table(checked, names, faults)
 }
 
-fn too_many(checked: &[Checked], faults: &mut Faults) {
-    let added = usize::from(checked.iter().all(|rule| rule.subjects.is_some()));
-    if checked.len() + added > MAX_RULES
-        && let Some(first) = checked.get(MAX_RULES - added)
+fn check_rule_count(checked: &[Checked], faults: &mut Faults) {
+    let default_count = usize::from(checked.iter().all(|rule| rule.subjects.is_some()));
+    if checked.len() + default_count > MAX_RULES
+        && let Some(first) = checked.get(MAX_RULES - default_count)
     {
-        faults.add(first.at, || format!("{MAX_RULES} rules at most, with the one for all others"));
+        faults.add(first.at, || format!("at most {MAX_RULES} rules are allowed, including the default rule"));
     }
 }
 
-/// Which rule is for whom.
-fn tables(checked: Vec<Checked>, names: &Names<'_>, faults: &mut Faults) -> Rules {
+/// Assigns a rule to each class and tenant.
+fn build_table(checked: Vec<Checked>, names: &Names<'_>, faults: &mut Faults) -> Rules {
     let (classes, tenants) = (names.classes.len().max(1), names.tenants.len().max(1));
     let (mut rules, mut default): (Vec<Rule>, Option<Rule>) = (Vec::new(), None);
     let mut table: Vec<Option<usize>> = vec![None; classes * tenants];
-    // One that has lost a clause to a fault would take what is not its own.
-    for checked in checked.into_iter().filter(|rule| rule.whole) {
+    // An incomplete rule is skipped: without a dropped clause it might match requests of other rules.
+    for checked in checked.into_iter().filter(|rule| rule.is_complete) {
         let Some((by_class, by_tenant)) = checked.subjects else {
             if let Some(Rule { name: other, .. }) = &default {
                 faults.add(checked.at, || {
-                    format!("two rules without `for`: `{other}` is for all others already")
+                    format!("two rules without `for`: `{other}` is the default rule already")
                 });
             }
             default.get_or_insert(checked.rule);
             continue;
         };
         let fits = |set: &BTreeSet<usize>, n| set.is_empty() || set.contains(&n);
-        let (mut any, mut before) = (false, BTreeSet::new());
+        let (mut is_used, mut earlier_rules) = (false, BTreeSet::new());
         for class in (0..classes).filter(|class| fits(&by_class, *class)) {
             for tenant in (0..tenants).filter(|tenant| fits(&by_tenant, *tenant)) {
                 let cell = &mut table[class * tenants + tenant];
                 match cell {
-                    Some(other) => drop(before.insert(*other)),
-                    None => (*cell, any) = (Some(rules.len()), true),
+                    Some(other) => drop(earlier_rules.insert(*other)),
+                    None => (*cell, is_used) = (Some(rules.len()), true),
                 }
             }
         }
-        if !any {
-            let before: Vec<&str> = before.iter().map(|n| rules[*n].name.as_str()).collect();
+        if !is_used {
+            let earlier_rules: Vec<&str> = earlier_rules.iter().map(|n| rules[*n].name.as_str()).collect();
             let name = &checked.rule.name;
             faults.add(checked.at, || {
-                let more = if before.len() > 3 { ", ..." } else { "" };
-                let before = before[..before.len().min(3)].join(", ");
-                format!("rule `{name}` is never used: all that it is for goes by {before}{more}")
+                let more = if earlier_rules.len() > 3 { ", ..." } else { "" };
+                let earlier_rules = earlier_rules[..earlier_rules.len().min(3)].join(", ");
+                format!("rule `{name}` is never used: earlier rules match all of its requests: {earlier_rules}{more}")
             });
         }
         rules.push(checked.rule);
@@ -93,15 +96,15 @@
     Rules::new(rules, classes, tenants, |class, tenant| table[class * tenants + tenant].unwrap_or(last))
 }
 
-struct Maker<'a, 'f> {
+struct RuleCompiler<'a, 'f> {
     names: &'a Names<'a>,
     classes: &'a BTreeMap<String, usize>,
     tenants: &'a BTreeMap<String, usize>,
     faults: &'f mut Faults,
-    whole: bool,
+    is_complete: bool,
 }
 
-impl Maker<'_, '_> {
+impl RuleCompiler<'_, '_> {
     fn rule(&mut self, text: &RuleSyntax) -> Checked {
         let mut rule = Rule {
             name: text.name.node.clone(),
@@ -125,7 +128,7 @@
                     if over.back.node >= over.over.node {
                         let (back, over) = (&over.back, over.over.node);
                         self.faults.add(back.span.start, || {
-                            format!("back under {} is not under the {over} over which it spills", back.node)
+                            format!("`back under {}` is not less than `spill over {over}`", back.node)
                         });
                     }
                     rule.spill = Spill {
@@ -135,8 +138,8 @@
                         back_for: over.back_for.node,
                     };
                 }
-                Clause::SpillBelow(least) => rule.usable_least = least.node.share(),
-                Clause::Beyond(most) => rule.beyond_region_most = most.node.share(),
+                Clause::SpillBelow(min_usable) => rule.usable_least = min_usable.node.share(),
+                Clause::Beyond(max_share) => rule.beyond_region_most = max_share.node.share(),
                 Clause::Never(list) => {
                     rule.never = self.never(list);
                     never = Some(clause.clause.span.clone());
@@ -147,20 +150,19 @@
             }
         }
         let at = text.name.span.start;
-        if self.whole && steps.is_empty() {
+        if self.is_complete && steps.is_empty() {
             self.faults.add(at, || format!("rule `{}` has no `prefer`", text.name.node));
         }
         if let Some(first) = steps.get(MAX_STEPS) {
-            self.faults.add(first.span.start, || format!("{MAX_STEPS} steps at most"));
+            self.faults.add(first.span.start, || format!("at most {MAX_STEPS} steps are allowed"));
         }
         if subjects.is_some() && text.name.node == "default" {
-            self.faults
-                .add(at, || "`default` is the name of the rule for all others, which has no `for`".into());
+            self.faults.add(at, || "the name `default` is reserved for the rule without `for`".into());
         }
         if rule.steps.len() == steps.len() {
             reach::check(&rule, steps, never, self.names.topology, self.faults);
         }
-        Checked { rule, subjects, at, whole: self.whole }
+        Checked { rule, subjects, at, is_complete: self.is_complete }
     }
 
     fn subjects(&mut self, list: &[Spanned<Subject>]) -> (BTreeSet<usize>, BTreeSet<usize>) {
@@ -173,34 +175,36 @@
             let at = subject.span.start;
             match known.get(name) {
                 Some(n) if !chosen.insert(*n) => {
-                    self.faults.add(at, || format!("{} is named twice", subject.node));
+                    self.faults.add(at, || format!("{} is listed twice", subject.node));
                 }
                 Some(_) => {}
                 None => {
-                    // Without it the rule would be for everybody.
-                    self.whole = false;
-                    self.faults.add(at, || unknown(kind, name, known.keys().map(String::as_str)));
+                    // Without the unknown name, the rule might apply to all classes or all tenants.
+                    self.is_complete = false;
+                    self.faults.add(at, || unknown_name_error(kind, name, known.keys().map(String::as_str)));
                 }
             }
         }
         (classes, tenants)
     }
 
-    fn named(&mut self, named: &NamedLocality, at: usize) -> Option<StepTarget> {
+    fn resolve(&mut self, name: &NamedLocality, at: usize) -> Option<StepTarget> {
         let topology = self.names.topology;
-        let place = match named {
+        let target = match name {
             NamedLocality::Zone(name) => topology.zone(name).map(StepTarget::Zone),
             NamedLocality::Region(name) => topology.region(name).map(StepTarget::Region),
         };
-        if place.is_none() {
-            self.faults.add(at, || match named {
-                NamedLocality::Zone(name) => unknown("zone", name, zone_names(topology)),
-                NamedLocality::Region(name) => {
-                    unknown("region", name, topology.regions().map(|region| topology.region_name(region)))
-                }
+        if target.is_none() {
+            self.faults.add(at, || match name {
+                NamedLocality::Zone(name) => unknown_name_error("zone", name, zone_names(topology)),
+                NamedLocality::Region(name) => unknown_name_error(
+                    "region",
+                    name,
+                    topology.regions().map(|region| topology.region_name(region)),
+                ),
             });
         }
-        place
+        target
     }
 
     fn step(&mut self, step: &StepSyntax, span: &Range<usize>) -> Option<Step> {
@@ -208,18 +212,18 @@
             TargetSyntax::OwnZone => StepTarget::OwnZone,
             TargetSyntax::OwnRegion => StepTarget::OwnRegion,
             TargetSyntax::Anywhere => StepTarget::Anywhere,
-            TargetSyntax::Named(named) => self.named(named, span.start)?,
+            TargetSyntax::Named(named) => self.resolve(named, span.start)?,
         };
         Some(Step { target, within: step.within.as_ref().map(|within| within.node) })
     }
 
     fn never(&mut self, list: &[Spanned<NamedLocality>]) -> Vec<Zone> {
-        let (mut zones, mut seen) = (BTreeSet::new(), BTreeSet::new());
+        let (mut zones, mut listed_names) = (BTreeSet::new(), BTreeSet::new());
         for named in list {
-            if !seen.insert(&named.node) {
-                self.faults.add(named.span.start, || format!("{} is named twice", named.node));
+            if !listed_names.insert(&named.node) {
+                self.faults.add(named.span.start, || format!("{} is listed twice", named.node));
             }
-            match self.named(&named.node, named.span.start) {
+            match self.resolve(&named.node, named.span.start) {
                 Some(StepTarget::Zone(zone)) => drop(zones.insert(zone)),
                 Some(StepTarget::Region(region)) => zones.extend(self.names.topology.zones_of(region)),
                 _ => {}
@@ -233,7 +237,7 @@
     topology.zones().map(|zone| topology.zone_name(zone))
 }
 
-fn unknown<'a>(kind: &str, name: &str, known: impl IntoIterator<Item = &'a str>) -> String {
-    let short: String = name.chars().take(40).flat_map(char::escape_debug).collect();
-    format!("no {kind} is named \"{short}\"{}", nearest(name, known))
+fn unknown_name_error<'a>(kind: &str, name: &str, known: impl IntoIterator<Item = &'a str>) -> String {
+    let shown_name: String = name.chars().take(40).flat_map(char::escape_debug).collect();
+    format!("no {kind} is named \"{shown_name}\"{}", suggestion(name, known))
 }
--- a/crates/locality/src/language/clauses.rs
+++ b/crates/locality/src/language/clauses.rs
@@ -1,4 +1,4 @@
-//! Clauses and the figures in them.
+//! Parser for clauses, percentages and durations.
 
 use super::ast::{
     Clause, NamedLocality, Percent, Spanned, SpillThresholds, StepSyntax, Subject, TargetSyntax,
@@ -7,16 +7,16 @@
 use super::parser::{Parse, Parser};
 use std::time::Duration;
 
-/// The longest time of `for`.
+/// Longest time that `for` accepts in a `spill over` clause.
 pub const MAX_SPILL_DWELL: Duration = Duration::from_secs(3600);
-/// The longest time of `within`.
+/// Longest time that `within` accepts.
 pub const MAX_WITHIN: Duration = Duration::from_secs(60);
 
-/// Units of time and how many microseconds they have, the longest first.
+/// Units of time with their length in microseconds, the longest first.
 pub(super) const UNITS: [(&str, u64); 4] = [("m", 60_000_000), ("s", 1_000_000), ("ms", 1_000), ("us", 1)];
 
 impl Parser<'_, '_> {
-    /// A clause without its `;`. It takes one piece at least.
+    /// Parses a clause without its `;`. Consumes at min_usable one token, also on an error.
     pub(super) fn clause(&mut self) -> Parse<Clause> {
         if self.take_word("for") {
             self.list(Self::subject).map(Clause::For)
@@ -24,11 +24,11 @@
             self.steps().map(Clause::Prefer)
         } else if self.take_word("spill") {
             if self.take_word("over") {
-                self.over().map(Clause::SpillOver)
+                self.spill_thresholds().map(Clause::SpillOver)
             } else if self.take_word("below") {
-                let least = self.percent()?;
+                let min_usable = self.percent()?;
                 self.need_word("usable")?;
-                Ok(Clause::SpillBelow(least))
+                Ok(Clause::SpillBelow(min_usable))
             } else {
                 Err(self.expected(&["over", "below"]))
             }
@@ -38,7 +38,7 @@
             self.need_word("most")?;
             self.percent().map(Clause::Beyond)
         } else if self.take_word("never") {
-            self.list(Self::named).map(Clause::Never)
+            self.list(Self::named_locality).map(Clause::Never)
         } else if self.take_word("when") {
             self.need_word("lost")?;
             if self.take_word("refuse") {
@@ -50,7 +50,7 @@
             }
         } else {
             let skip = self.expected(&["for", "prefer", "spill", "beyond", "never", "when", "}"]);
-            self.step();
+            self.advance();
             Err(skip)
         }
     }
@@ -58,20 +58,20 @@
     fn list<T>(&mut self, item: impl Fn(&mut Self) -> Parse<T>) -> Parse<Vec<Spanned<T>>> {
         let mut items = Vec::new();
         loop {
-            let start = self.span().start;
+            let start = self.next_span().start;
             let node = item(self)?;
-            items.push(Spanned { node, span: self.since(start) });
+            items.push(Spanned { node, span: self.span_from(start) });
             if !self.take_sign(',') {
                 return Ok(items);
             }
         }
     }
 
-    fn name(&mut self, whose: &str) -> Parse<String> {
+    fn name(&mut self, owner: &str) -> Parse<String> {
         let Some(Kind::Name(inner)) = self.next_kind() else {
-            return Err(self.expected_some(&format!("the {whose}'s name in quotes")));
+            return Err(self.expected_description(&format!("the {owner}'s name in quotes")));
         };
-        self.step();
+        self.advance();
         Ok(unquoted(inner))
     }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    fn named(&mut self) -> Parse<NamedLocality> {
+    fn named_locality(&mut self) -> Parse<NamedLocality> {
         if self.take_word("zone") {
             self.name("zone").map(NamedLocality::Zone)
         } else if self.take_word("region") {
@@ -98,19 +98,19 @@
     fn steps(&mut self) -> Parse<Vec<Spanned<StepSyntax>>> {
         let mut steps = Vec::new();
         loop {
-            let start = self.span().start;
+            let start = self.next_span().start;
             let target = self.target()?;
             let within = if self.take_word("within") { Some(self.duration(MAX_WITHIN)?) } else { None };
             if let (TargetSyntax::OwnZone, Some(within)) = (&target, &within) {
-                self.faults.add(within.span.start, || "the own zone is always within".into());
+                self.faults.add(within.span.start, || "`within` has no effect on `own zone`".into());
             }
-            let nothing_said = within.is_none();
-            steps.push(Spanned { node: StepSyntax { target, within }, span: self.since(start) });
+            let has_no_within = within.is_none();
+            steps.push(Spanned { node: StepSyntax { target, within }, span: self.span_from(start) });
             if self.take_sign('>') {
                 continue;
             }
-            let ends = matches!(self.next_kind(), Some(Kind::Sign(';')));
-            return match (ends, nothing_said) {
+            let is_end = matches!(self.next_kind(), Some(Kind::Sign(';')));
+            return match (is_end, has_no_within) {
                 (true, _) => Ok(steps),
                 (false, true) => Err(self.expected(&["within", ">", ";"])),
                 (false, false) => Err(self.expected(&[">", ";"])),
@@ -130,13 +130,13 @@
         } else if self.take_word("anywhere") {
             Ok(TargetSyntax::Anywhere)
         } else if self.at_word("zone") || self.at_word("region") {
-            self.named().map(TargetSyntax::Named)
+            self.named_locality().map(TargetSyntax::Named)
         } else {
             Err(self.expected(&["own", "zone", "region", "anywhere"]))
         }
     }
 
-    fn over(&mut self) -> Parse<SpillThresholds> {
+    fn spill_thresholds(&mut self) -> Parse<SpillThresholds> {
         let over = self.percent()?;
         self.need_word("for")?;
         let over_for = self.duration(MAX_SPILL_DWELL)?;
@@ -150,59 +150,62 @@
     }
 
     fn percent(&mut self) -> Parse<Spanned<Percent>> {
-        let span = self.span();
-        let Some(Kind::Figure(number, "%")) = self.next_kind() else {
-            return Err(self.expected_some("a percentage such as `80%`"));
+        let span = self.next_span();
+        let Some(Kind::Number(number, "%")) = self.next_kind() else {
+            return Err(self.expected_description("a percentage such as `80%`"));
         };
-        self.step();
+        self.advance();
         match scaled(number, 10_000) {
             Some(millionths) if millionths <= u64::from(Percent::HUNDRED.0) => {
                 Ok(Spanned { node: Percent(millionths as u32), span })
             }
-            Some(_) => Err(self.wrong(span.start, "a percentage lies from 0% to 100%")),
-            None => {
-                Err(self.wrong(span.start, "a percentage lies from 0% to 100%, with four places at most"))
-            }
+            Some(_) => Err(self.error(span.start, "a percentage has to be from 0% to 100%")),
+            None => Err(self.error(
+                span.start,
+                "a percentage has to be from 0% to 100%, with at most four decimal places",
+            )),
         }
     }
 
-    fn duration(&mut self, most: Duration) -> Parse<Spanned<Duration>> {
-        let span = self.span();
+    fn duration(&mut self, max: Duration) -> Parse<Spanned<Duration>> {
+        let span = self.next_span();
         let unit = |unit: &str| UNITS.iter().find(|(name, _)| *name == unit).map(|(_, micros)| *micros);
         let (number, micros) = match self.next_kind() {
-            Some(Kind::Figure(number, name)) if unit(name).is_some() => (number, unit(name).unwrap_or(1)),
-            _ => return Err(self.expected_some("a time such as `5s` (units: us, ms, s, m)")),
+            Some(Kind::Number(number, name)) if unit(name).is_some() => (number, unit(name).unwrap_or(1)),
+            _ => return Err(self.expected_description("a time such as `5s` (units: us, ms, s, m)")),
         };
-        self.step();
+        self.advance();
         match scaled(number, micros) {
-            Some(micros) if (1..=most.as_micros() as u64).contains(&micros) => {
+            Some(micros) if (1..=max.as_micros() as u64).contains(&micros) => {
                 Ok(Spanned { node: Duration::from_micros(micros), span })
             }
             _ => {
-                let what =
-                    format!("this time lies from 1us to {}, in whole microseconds", super::print::time(most));
-                Err(self.wrong(span.start, &what))
+                let message = format!(
+                    "the time has to be from 1us to {}, in whole microseconds",
+                    super::print::time(max)
+                );
+                Err(self.error(span.start, &message))
             }
         }
     }
 
-    fn wrong(&mut self, at: usize, what: &str) -> super::parser::Skip {
-        self.faults.add(at, || what.into());
+    fn error(&mut self, at: usize, message: &str) -> super::parser::Skip {
+        self.faults.add(at, || message.into());
         super::parser::Skip
     }
 }
 
-/// Digits with perhaps a point, times `unit`; `None` if that is no whole number or too large.
+/// Multiplies a decimal number by `unit`. Returns `None` if the product is not an integer or overflows.
 fn scaled(number: &str, unit: u64) -> Option<u64> {
-    let (whole, part) = number.split_once('.').unwrap_or((number, ""));
-    let part = part.trim_end_matches('0');
-    let whole = whole.parse::<u64>().ok()?.checked_mul(unit)?;
-    if part.is_empty() {
-        return Some(whole);
+    let (integer, fraction) = number.split_once('.').unwrap_or((number, ""));
+    let fraction = fraction.trim_end_matches('0');
+    let integer = integer.parse::<u64>().ok()?.checked_mul(unit)?;
+    if fraction.is_empty() {
+        return Some(integer);
     }
-    let tens = 10u64.checked_pow(u32::try_from(part.len()).ok()?)?;
-    let scaled = part.parse::<u64>().ok()?.checked_mul(unit)?;
-    (scaled % tens == 0).then(|| whole.checked_add(scaled / tens)).flatten()
+    let divisor = 10u64.checked_pow(u32::try_from(fraction.len()).ok()?)?;
+    let scaled = fraction.parse::<u64>().ok()?.checked_mul(unit)?;
+    (scaled % divisor == 0).then(|| integer.checked_add(scaled / divisor)).flatten()
 }
 
 #[cfg(test)]
@@ -210,7 +213,7 @@
     use super::scaled;
 
     #[test]
-    fn figures_are_exact_or_none() {
+    fn scales_exactly_or_returns_none() {
         assert_eq!(scaled("1.5", 1000), Some(1500));
         assert_eq!(scaled("0.10", 10), Some(1));
         assert_eq!(scaled("0.0001", 1000), None);
--- a/crates/locality/src/language/lexer.rs
+++ b/crates/locality/src/language/lexer.rs
@@ -1,4 +1,5 @@
-//! A text into words, names, figures and signs. It never fails: what it does not know is a token too, for the parser to name.
+//! Splits a text into tokens. The lexer never fails: an unexpected character becomes a token that the parser
+//! reports.
 
 use std::ops::Range;
 use winnow::ascii::multispace0;
@@ -7,26 +8,26 @@
 use winnow::stream::LocatingSlice;
 use winnow::token::{any, one_of, take_till, take_while};
 
-/// A piece of text.
+/// Kind of a token, with its content.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Kind<'a> {
-    /// `own`, `booking`.
+    /// Keyword or rule name, such as `own` or `booking`.
     Word(&'a str),
-    /// What stands between quotes, as written there.
+    /// Text between quotes, with its escapes.
     Name(&'a str),
-    /// A quote without its end on the same line.
-    Open,
-    /// Digits, perhaps a point and digits, and what stands against them: `%`, `ms`.
-    Figure(&'a str, &'a str),
+    /// Quoted name that is not closed on its line.
+    UnclosedName,
+    /// Number, with an optional fraction, and the unit that follows directly: `%` or letters such as `ms`.
+    Number(&'a str, &'a str),
     /// One of `{ } ; , >`.
     Sign(char),
     /// From `#` to the end of the line.
     Comment(&'a str),
-    /// What has no place in a text.
-    Bad(char),
+    /// Character that the language does not use.
+    Unexpected(char),
 }
 
-/// A piece and where it stands, in bytes.
+/// A token with its byte range in the text.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Token<'a> {
     pub(crate) kind: Kind<'a>,
@@ -44,29 +45,29 @@
 }
 
 fn name<'a>(input: &mut Input<'a>) -> ModalResult<Kind<'a>> {
-    // Never past the line: each line would be looked through again by the next.
+    // A name ends with its line. Otherwise each unclosed quote would scan the rest of the text again.
     let piece =
         alt((('\\', one_of(|c| c != '\n')).void(), one_of(|c| !matches!(c, '"' | '\\' | '\n')).void()));
-    let pieces = winnow::combinator::repeat::<_, _, (), _, _>(0.., piece).take();
-    let closed = delimited('"', pieces, '"').map(Kind::Name);
-    alt((closed, ('"', take_till(0.., '\n')).map(|_| Kind::Open))).parse_next(input)
+    let content = winnow::combinator::repeat::<_, _, (), _, _>(0.., piece).take();
+    let closed = delimited('"', content, '"').map(Kind::Name);
+    alt((closed, ('"', take_till(0.., '\n')).map(|_| Kind::UnclosedName))).parse_next(input)
 }
 
-fn figure<'a>(input: &mut Input<'a>) -> ModalResult<Kind<'a>> {
+fn number<'a>(input: &mut Input<'a>) -> ModalResult<Kind<'a>> {
     let digits = || take_while(1.., |c: char| c.is_ascii_digit());
-    let number = (digits(), opt(preceded('.', digits()))).take();
+    let value = (digits(), opt(preceded('.', digits()))).take();
     let unit = alt(("%", take_while(0.., |c: char| c.is_ascii_alphanumeric() || c == '_')));
-    (number, unit).map(|(number, unit)| Kind::Figure(number, unit)).parse_next(input)
+    (value, unit).map(|(number, unit)| Kind::Number(number, unit)).parse_next(input)
 }
 
 fn token<'a>(input: &mut Input<'a>) -> ModalResult<Token<'a>> {
     let comment = preceded('#', take_till(0.., '\n')).map(|text: &str| Kind::Comment(text.trim_end()));
     let sign = one_of(['{', '}', ';', ',', '>']).map(Kind::Sign);
-    let piece = alt((word, name, figure, sign, comment, any.map(Kind::Bad)));
+    let piece = alt((word, name, number, sign, comment, any.map(Kind::Unexpected)));
     preceded(multispace0, piece.with_span()).map(|(kind, span)| Token { kind, span }).parse_next(input)
 }
 
-/// All pieces of a text.
+/// Returns all tokens of a text, including comments.
 pub(crate) fn tokens(text: &str) -> Vec<Token<'_>> {
     let (mut input, mut tokens) = (LocatingSlice::new(text), Vec::new());
     while let Ok(token) = token(&mut input) {
@@ -75,7 +76,7 @@
     tokens
 }
 
-/// A name as meant: a backslash before a character stands for that character.
+/// Removes the escapes of a name: a backslash and a character stand for the character.
 pub(crate) fn unquoted(inner: &str) -> String {
     let (mut name, mut chars) = (String::with_capacity(inner.len()), inner.chars());
     while let Some(c) = chars.next() {
@@ -84,7 +85,7 @@
     name
 }
 
-/// A name as written.
+/// Returns a name with quotes and escapes.
 pub(crate) fn quoted(name: &str) -> String {
     format!("\"{}\"", name.replace('\\', "\\\\").replace('"', "\\\""))
 }
@@ -94,21 +95,21 @@
     use super::*;
 
     #[test]
-    fn pieces_are_told_apart() {
+    fn distinguishes_all_kinds_of_tokens() {
         let kinds = tokens("own-x 3.5ms 80%>\"a\\\"b\";\n# no \r\n\"open ;\n é").into_iter();
         let kinds: Vec<_> = kinds.map(|token| token.kind).collect();
-        let want = [
+        let expected = [
             Kind::Word("own-x"),
-            Kind::Figure("3.5", "ms"),
-            Kind::Figure("80", "%"),
+            Kind::Number("3.5", "ms"),
+            Kind::Number("80", "%"),
             Kind::Sign('>'),
             Kind::Name("a\\\"b"),
             Kind::Sign(';'),
             Kind::Comment(" no"),
-            Kind::Open,
-            Kind::Bad('é'),
+            Kind::UnclosedName,
+            Kind::Unexpected('é'),
         ];
-        assert_eq!(kinds, want);
+        assert_eq!(kinds, expected);
         assert_eq!(unquoted("a\\\"b"), "a\"b");
         assert_eq!(unquoted(quoted("a\\\"b").trim_matches('"')), "a\\\"b");
     }
--- a/crates/locality/src/language/mod.rs
+++ b/crates/locality/src/language/mod.rs
@@ -1,4 +1,4 @@
-//! The language of rules: text to tables, with every fault told by its place.
+//! Rule language: compiles a text to [`Rules`] and reports each error with its line and column.
 //!
 //! ```text
 //! rule booking {
@@ -12,27 +12,35 @@
 //! }
 //! ```
 //!
-//! What the example does not say:
+//! Further rules of the language:
 //!
-//! - Clauses stand in any order, each once at most. Only `prefer` is needed; the others are as in [`Rule`]'s parts where they are not
-//!   written: [`Spill::default`], 50 % usable, all beyond the region, no `never`, `when lost refuse`.
-//! - `for class A, class B, tenant T` fits a request of A or B (any class if none is listed) that is T's (anybody's if none is).
-//! - The rule without `for` is for whomever no other fits, wherever it stands, and is the last of [`Rules`]; there is one at most.
-//!   If none is written, [`Rule::near_first`] is added by the name `default`, which no rule with a `for` may bear. It is never
-//!   unreachable: it is also for classes and tenants that a request names and nobody knows.
-//! - [`MAX_RULES`] counts it, written or added; a rule has [`MAX_STEPS`] steps at the most.
-//! - Where a deployment has no class or no tenant by name, the tables have one each.
-//! - `own region` has the own zone too if no step before it led there; a step never leads to a zone twice.
-//! - A way whose time is not known when a text is compiled may turn out near: no step is called unreachable for it.
-//! - A rule's name is a word: a letter or `_`, then letters, digits, `-`, `_`; [`MAX_NAME_CHARS`] at the most. Other names stand in
-//!   quotes; in them a backslash stands before a quote or a backslash.
-//! - Percentages have four places at most. Times are whole microseconds, in `us`, `ms`, `s` or `m` (minutes): up to
-//!   [`MAX_WITHIN`] with `within`, [`MAX_SPILL_DWELL`] with `for`.
-//! - `beyond region` and `spill` are no faults where they have nothing to act on: they are bounds, and a zone may come later.
-//! - Comments go from `#` to the end of the line. [`format()`] keeps them: one inside a clause moves before it.
+//! - Clauses appear in any order, each at most once. Only `prefer` is required. Defaults of the others:
+//!   [`Spill::default`], 50 % usable, no limit beyond the region, no `never`, `when lost refuse`.
+//! - `for class A, class B, tenant T` matches requests of class A or B and of tenant T. Without a listed
+//!   class, all classes match; without a listed tenant, all tenants match. The first rule that matches a
+//!   request applies.
+//! - The rule without `for` is the default rule. It applies to requests that no other rule matches, may stand
+//!   anywhere in the text, and is the last of [`Rules`]. A text has at most one. If it has none,
+//!   [`Rule::near_first`] is added under the name `default`, which no rule with a `for` may have. The default
+//!   rule is never reported as unused, because it also applies to requests with an unknown class or tenant.
+//! - [`MAX_RULES`] counts the default rule, also an added one. A rule has at most [`MAX_STEPS`] steps.
+//! - If a deployment has no classes or no tenants, the table has a single row or column for them.
+//! - `own region` includes the own zone unless an earlier step uses it. No step uses a zone that an earlier
+//!   one uses.
+//! - A zone whose round-trip time is unknown at compile time may turn out to be near, so that no step is
+//!   reported as unreachable because of such a zone.
+//! - A rule's name consists of a letter or `_`, then letters, digits, `-` and `_`, with at most
+//!   [`MAX_NAME_CHARS`] characters. Other names are quoted; in quotes, a backslash escapes a quote or a
+//!   backslash.
+//! - Percentages have at most four decimal places. Times are whole microseconds in `us`, `ms`, `s` or `m`
+//!   (minutes), up to [`MAX_WITHIN`] after `within` and [`MAX_SPILL_DWELL`] after `for`.
+//! - `beyond region` and `spill` are accepted where they have no effect: they are limits, and zones may be
+//!   added later.
+//! - A comment extends from `#` to the end of the line. [`format()`] preserves comments and moves those
+//!   inside a clause before it.
 //!
-//! The pieces are cut by `winnow`; the grammar above them is by hand, since after a fault it goes on at the next clause, and all
-//! faults are to be told at once.
+//! Tokens are split with `winnow`. The grammar is a hand-written parser, because after an error the parser
+//! has to go on at the next clause and report all errors at once.
 
 pub mod ast;
 mod check;
@@ -52,55 +60,58 @@
 use crate::topology::Topology;
 use fault::Faults;
 
-/// The most bytes of a text.
+/// Maximum length of a text, in bytes.
 pub const MAX_TEXT_BYTES: usize = 64 * 1024;
-/// The most characters of a rule's name.
+/// Maximum length of a rule's name, in characters.
 pub const MAX_NAME_CHARS: usize = 64;
-/// The most steps of one rule.
+/// Maximum number of steps in one rule.
 pub const MAX_STEPS: usize = 64;
 
-/// The names that a text may use, by position as in the tables.
+/// Names that a text may use. Their order determines the indices in [`Rules`].
 #[derive(Clone, Copy, Debug)]
 pub struct Names<'a> {
-    /// Zones and regions. Ways that stand in it are taken as they are: of ways that change, state none.
+    /// Zones and regions. Their round-trip times are treated as fixed, so leave out those that change.
     pub topology: &'a Topology,
-    /// Classes of requests.
+    /// Names of the request classes.
     pub classes: &'a [String],
-    /// Tenants.
+    /// Names of the tenants.
     pub tenants: &'a [String],
 }
 
-/// A text as tables, or all of its faults in the order of the text.
+/// Compiles a text to rules, or returns all of its errors in the order of the text.
 pub fn compile(text: &str, names: &Names<'_>) -> Result<Rules, Vec<Fault>> {
     let mut faults = Faults::default();
-    let rules = bounded(text, &mut faults).then(|| {
+    let rules = check_length(text, &mut faults).then(|| {
         let parsed = parser::parse(text, &mut faults);
         check::check(&parsed, names, &mut faults)
     });
     match rules {
         Some(rules) if faults.is_empty() => Ok(rules),
-        _ => Err(faults.told(text)),
+        _ => Err(faults.into_list(text)),
     }
 }
 
-/// A text as it is written, or its faults as far as they need no names.
+/// Parses a text to its syntax tree, or returns its syntax errors. Names are not resolved.
 pub fn parse(text: &str) -> Result<ast::Text, Vec<Fault>> {
     let mut faults = Faults::default();
-    let parsed = bounded(text, &mut faults).then(|| parser::parse(text, &mut faults).text);
+    let parsed = check_length(text, &mut faults).then(|| parser::parse(text, &mut faults).text);
     match parsed {
         Some(parsed) if faults.is_empty() => Ok(parsed),
-        _ => Err(faults.told(text)),
+        _ => Err(faults.into_list(text)),
     }
 }
 
-/// A text in the one way to write it; again, it stays as it is. Names need not exist.
+/// Formats a text in the standard layout. Formatting the result again does not change it. Names are not
+/// resolved.
 pub fn format(text: &str) -> Result<String, Vec<Fault>> {
     parse(text).map(|parsed| parsed.to_string())
 }
 
-fn bounded(text: &str, faults: &mut Faults) -> bool {
+fn check_length(text: &str, faults: &mut Faults) -> bool {
     if text.len() > MAX_TEXT_BYTES {
-        faults.add(MAX_TEXT_BYTES, || format!("the text has {} bytes; {MAX_TEXT_BYTES} at most", text.len()));
+        faults.add(MAX_TEXT_BYTES, || {
+            format!("the text has {} bytes, but at most {MAX_TEXT_BYTES} are allowed", text.len())
+        });
     }
     text.len() <= MAX_TEXT_BYTES
 }
--- a/crates/locality/src/language/parser.rs
+++ b/crates/locality/src/language/parser.rs
@@ -1,35 +1,36 @@
-//! From pieces to a tree. After a fault it goes on at the next clause or rule, so that all faults of a text are told at once.
+//! Parses tokens to a syntax tree. After an error, the parser goes on at the next clause or rule, so that all
+//! errors of a text are reported at once.
 
 use super::ast::{Clause, ClauseSyntax, RuleSyntax, Spanned, Text};
-use super::fault::{Faults, nearest};
+use super::fault::{Faults, suggestion};
 use super::lexer::{Kind, Token, tokens};
 use std::ops::Range;
 
-/// A fault has been told; what follows up to the next clause is not looked at.
+/// Marker for an error that was already reported. The parser then skips to the next clause.
 pub(super) struct Skip;
 
 pub(super) type Parse<T> = Result<T, Skip>;
 
-/// What was read of a text.
+/// Result of parsing a text.
 pub(super) struct Parsed {
     pub(super) text: Text,
-    /// By rule: nothing of it is missing for a fault.
-    pub(super) whole: Vec<bool>,
+    /// For each rule: true if no part of the rule was dropped because of an error.
+    pub(super) complete_rules: Vec<bool>,
 }
 
 pub(super) struct Parser<'a, 'f> {
     source: &'a str,
     tokens: Vec<Token<'a>>,
     at: usize,
-    /// Comments passed and not yet kept with anything.
-    passed: Vec<String>,
+    /// Comments that are not yet attached to a syntax node.
+    pending_comments: Vec<String>,
     pub(super) faults: &'f mut Faults,
 }
 
-/// Reads a text; what is wrong with it goes to `faults`.
+/// Parses a text and adds its syntax errors to `faults`.
 pub(super) fn parse(source: &str, faults: &mut Faults) -> Parsed {
-    let mut parser = Parser { source, tokens: tokens(source), at: 0, passed: Vec::new(), faults };
-    let (mut text, mut whole) = (Text::default(), Vec::new());
+    let mut parser = Parser { source, tokens: tokens(source), at: 0, pending_comments: Vec::new(), faults };
+    let (mut text, mut complete_rules) = (Text::default(), Vec::new());
     while parser.peek().is_some() {
         if !parser.at_word("rule") {
             parser.expected(&["rule"]);
@@ -37,20 +38,20 @@
             while parser.peek().is_some() && !parser.at_rule() {
                 parser.at += 1;
             }
-        } else if let Ok((rule, is_whole)) = parser.rule() {
+        } else if let Ok((rule, is_complete)) = parser.rule() {
             text.rules.push(rule);
-            whole.push(is_whole);
+            complete_rules.push(is_complete);
         }
     }
-    text.end = std::mem::take(&mut parser.passed);
-    Parsed { text, whole }
+    text.end = std::mem::take(&mut parser.pending_comments);
+    Parsed { text, complete_rules }
 }
 
 impl<'a> Parser<'a, '_> {
-    /// The next piece that is no comment.
+    /// Returns the next token that is not a comment.
     pub(super) fn peek(&mut self) -> Option<&Token<'a>> {
         while let Some(Token { kind: Kind::Comment(text), .. }) = self.tokens.get(self.at) {
-            self.passed.push((*text).to_owned());
+            self.pending_comments.push((*text).to_owned());
             self.at += 1;
         }
         self.tokens.get(self.at)
@@ -60,18 +61,18 @@
         self.peek().map(|token| token.kind.clone())
     }
 
-    pub(super) fn step(&mut self) {
+    pub(super) fn advance(&mut self) {
         self.at += 1;
     }
 
-    /// Where the next piece stands, or the end.
-    pub(super) fn span(&mut self) -> Range<usize> {
+    /// Returns the byte range of the next token, or of the end of the text.
+    pub(super) fn next_span(&mut self) -> Range<usize> {
         let end = self.source.len();
         self.peek().map_or(end..end, |token| token.span.clone())
     }
 
-    /// From a place to the end of the last piece taken.
-    pub(super) fn since(&self, start: usize) -> Range<usize> {
+    /// Returns the byte range from `start` to the end of the last consumed token.
+    pub(super) fn span_from(&self, start: usize) -> Range<usize> {
         let last = self.at.checked_sub(1).and_then(|n| self.tokens.get(n));
         start..last.map_or(start, |token| token.span.end.max(start))
     }
@@ -84,7 +85,7 @@
         matches!(self.peek(), Some(Token { kind: Kind::Sign(found), .. }) if *found == sign)
     }
 
-    /// Where a rule begins: `rule NAME {`, as far as it goes.
+    /// Returns true if the next tokens are `rule NAME {`.
     fn at_rule(&mut self) -> bool {
         self.at_word("rule") && {
             let kind = |n: usize| self.tokens.get(self.at + n).map(|token| &token.kind);
@@ -112,30 +113,30 @@
         if self.take_sign(sign) { Ok(()) } else { Err(self.expected(&[sign.encode_utf8(&mut [0; 4])])) }
     }
 
-    /// Tells what could stand here, and what does.
-    pub(super) fn expected(&mut self, what: &[&str]) -> Skip {
-        let (at, kind) = (self.span().start, self.next_kind());
+    /// Reports an error that names the expected keywords or signs, and the token found.
+    pub(super) fn expected(&mut self, alternatives: &[&str]) -> Skip {
+        let (at, kind) = (self.next_span().start, self.next_kind());
         self.faults.add(at, || {
-            let (last, rest) = what.split_last().unwrap_or((&"", &[]));
+            let (last, rest) = alternatives.split_last().unwrap_or((&"", &[]));
             let rest: Vec<String> = rest.iter().map(|word| format!("`{word}`")).collect();
             let or = if rest.is_empty() { "" } else { " or " };
-            let near = match &kind {
-                Some(Kind::Word(word)) => nearest(word, what.iter().copied()),
+            let hint = match &kind {
+                Some(Kind::Word(word)) => suggestion(word, alternatives.iter().copied()),
                 _ => String::new(),
             };
-            format!("expected {}{or}`{last}`, found {}{near}", rest.join(", "), described(kind.as_ref()))
+            format!("expected {}{or}`{last}`, found {}{hint}", rest.join(", "), describe(kind.as_ref()))
         });
         Skip
     }
 
-    /// The same where what is expected is no fixed word.
-    pub(super) fn expected_some(&mut self, what: &str) -> Skip {
-        let (at, kind) = (self.span().start, self.next_kind());
-        self.faults.add(at, || format!("expected {what}, found {}", described(kind.as_ref())));
+    /// Reports an error whose expected token is described in words.
+    pub(super) fn expected_description(&mut self, description: &str) -> Skip {
+        let (at, kind) = (self.next_span().start, self.next_kind());
+        self.faults.add(at, || format!("expected {description}, found {}", describe(kind.as_ref())));
         Skip
     }
 
-    fn comment_on_line(&mut self) -> Option<String> {
+    fn comment_on_same_line(&mut self) -> Option<String> {
         let end = self.at.checked_sub(1).and_then(|n| self.tokens.get(n))?.span.end;
         let Token { kind: Kind::Comment(text), span } = self.tokens.get(self.at)? else { return None };
         if self.source[end..span.start].contains('\n') {
@@ -146,17 +147,19 @@
     }
 
     fn rule(&mut self) -> Parse<(RuleSyntax, bool)> {
-        let before = std::mem::take(&mut self.passed);
-        self.step();
-        let span = self.span();
+        let before = std::mem::take(&mut self.pending_comments);
+        self.advance();
+        let span = self.next_span();
         let Some(Kind::Word(name)) = self.next_kind() else {
-            return Err(self.expected_some("the rule's name (a letter, then letters, digits, `-`, `_`)"));
+            return Err(
+                self.expected_description("the rule's name (a letter, then letters, digits, `-`, `_`)")
+            );
         };
-        self.step();
+        self.advance();
         self.need_sign('{')?;
         let name = Spanned { node: name.to_owned(), span };
-        let head = self.comment_on_line();
-        let (mut clauses, mut whole) = (Vec::<ClauseSyntax>::new(), true);
+        let head = self.comment_on_same_line();
+        let (mut clauses, mut is_complete) = (Vec::<ClauseSyntax>::new(), true);
         let closed = loop {
             if self.take_sign('}') {
                 break true;
@@ -164,42 +167,43 @@
             if self.peek().is_none() || self.at_rule() {
                 break false;
             }
-            let before = std::mem::take(&mut self.passed);
-            match self.whole_clause(before) {
+            let before = std::mem::take(&mut self.pending_comments);
+            match self.clause_with_comments(before) {
                 Ok(clause) => {
                     if clauses.iter().any(|other| other.clause.node.kind() == clause.clause.node.kind()) {
-                        let word = Clause::KEYWORDS[clause.clause.node.kind()];
-                        self.faults.add(clause.clause.span.start, || format!("`{word}` stands twice"));
-                        whole = false;
+                        let keyword = Clause::KEYWORDS[clause.clause.node.kind()];
+                        self.faults.add(clause.clause.span.start, || format!("duplicate `{keyword}` clause"));
+                        is_complete = false;
                     } else {
                         clauses.push(clause);
                     }
                 }
                 Err(Skip) => {
-                    whole = false;
+                    is_complete = false;
                     self.recover();
                 }
             }
         };
         if !closed {
-            self.expected_some("a clause or `}`");
-            whole = false;
+            self.expected_description("a clause or `}`");
+            is_complete = false;
         }
-        let end = std::mem::take(&mut self.passed);
-        let after = if closed { self.comment_on_line() } else { None };
-        Ok((RuleSyntax { before, name, head, clauses, end, after }, whole))
+        let end = std::mem::take(&mut self.pending_comments);
+        let after = if closed { self.comment_on_same_line() } else { None };
+        Ok((RuleSyntax { before, name, head, clauses, end, after }, is_complete))
     }
 
-    fn whole_clause(&mut self, mut before: Vec<String>) -> Parse<ClauseSyntax> {
-        let start = self.span().start;
+    fn clause_with_comments(&mut self, mut before: Vec<String>) -> Parse<ClauseSyntax> {
+        let start = self.next_span().start;
         let clause = self.clause()?;
         self.need_sign(';')?;
-        let clause = Spanned { node: clause, span: self.since(start) };
-        before.append(&mut self.passed);
-        Ok(ClauseSyntax { before, clause, after: self.comment_on_line() })
+        let clause = Spanned { node: clause, span: self.span_from(start) };
+        before.append(&mut self.pending_comments);
+        Ok(ClauseSyntax { before, clause, after: self.comment_on_same_line() })
     }
 
-    /// Behind the clause's `;`, or at the next clause, rule or brace. Any clause has taken its first piece.
+    /// Skips to the end of the clause: after its `;`, or before the next clause, rule or brace. The failed
+    /// clause has consumed its first token, so that parsing always advances.
     fn recover(&mut self) {
         while self.peek().is_some() && !self.at_rule() && !self.at_sign('}') {
             if self.take_sign(';') {
@@ -208,21 +212,21 @@
             if ["prefer", "spill", "beyond", "never", "when"].iter().any(|word| self.at_word(word)) {
                 return;
             }
-            self.step();
+            self.advance();
         }
     }
 }
 
-/// What stands there, in words, cut short and without what a terminal would act on.
-fn described(kind: Option<&Kind<'_>>) -> String {
-    let short = |text: &str| text.chars().take(40).flat_map(char::escape_debug).collect::<String>();
+/// What stands there, in words, cut shown_text and without description a terminal would act on.
+fn describe(kind: Option<&Kind<'_>>) -> String {
+    let shown_text = |text: &str| text.chars().take(40).flat_map(char::escape_debug).collect::<String>();
     match kind {
-        None => "the end".into(),
-        Some(Kind::Word(word)) => format!("`{}`", short(word)),
-        Some(Kind::Name(name)) => format!("\"{}\"", short(name)),
-        Some(Kind::Open) => "a quote that does not end on its line".into(),
-        Some(Kind::Figure(number, unit)) => format!("`{}{}`", short(number), short(unit)),
-        Some(Kind::Sign(sign) | Kind::Bad(sign)) => format!("`{}`", sign.escape_debug()),
+        None => "the end of the text".into(),
+        Some(Kind::Word(word)) => format!("`{}`", shown_text(word)),
+        Some(Kind::Name(name)) => format!("\"{}\"", shown_text(name)),
+        Some(Kind::UnclosedName) => "a quote that is not closed on its line".into(),
+        Some(Kind::Number(number, unit)) => format!("`{}{}`", shown_text(number), shown_text(unit)),
+        Some(Kind::Sign(sign) | Kind::Unexpected(sign)) => format!("`{}`", sign.escape_debug()),
         Some(Kind::Comment(_)) => "a comment".into(),
     }
 }
--- a/crates/locality/src/language/print.rs
+++ b/crates/locality/src/language/print.rs
@@ -1,4 +1,5 @@
-//! The one way in which a text is printed: clauses in a fixed order, two spaces in, an empty line between rules.
+//! Prints a syntax tree in the standard layout: clauses in a fixed order, indented by two spaces, and an
+//! empty line between rules.
 
 use super::ast::{Clause, NamedLocality, Percent, RuleSyntax, StepSyntax, Subject, TargetSyntax, Text};
 use super::clauses::UNITS;
@@ -17,15 +18,15 @@
         if !self.rules.is_empty() && !self.end.is_empty() {
             f.write_char('\n')?;
         }
-        comments(f, "", &self.end)
+        write_comments(f, "", &self.end)
     }
 }
 
-fn comments(f: &mut fmt::Formatter<'_>, indent: &str, comments: &[String]) -> fmt::Result {
+fn write_comments(f: &mut fmt::Formatter<'_>, indent: &str, comments: &[String]) -> fmt::Result {
     comments.iter().try_for_each(|comment| writeln!(f, "{indent}#{comment}"))
 }
 
-fn line_end(f: &mut fmt::Formatter<'_>, comment: Option<&String>) -> fmt::Result {
+fn end_line(f: &mut fmt::Formatter<'_>, comment: Option<&String>) -> fmt::Result {
     match comment {
         Some(comment) => writeln!(f, " #{comment}"),
         None => f.write_char('\n'),
@@ -34,24 +35,24 @@
 
 impl fmt::Display for RuleSyntax {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        comments(f, "", &self.before)?;
+        write_comments(f, "", &self.before)?;
         write!(f, "rule {} {{", self.name.node)?;
-        line_end(f, self.head.as_ref())?;
+        end_line(f, self.head.as_ref())?;
         let mut clauses: Vec<_> = self.clauses.iter().collect();
         clauses.sort_by_key(|clause| clause.clause.node.kind());
         for clause in clauses {
-            comments(f, "  ", &clause.before)?;
+            write_comments(f, "  ", &clause.before)?;
             write!(f, "  {};", clause.clause.node)?;
-            line_end(f, clause.after.as_ref())?;
+            end_line(f, clause.after.as_ref())?;
         }
-        comments(f, "  ", &self.end)?;
+        write_comments(f, "  ", &self.end)?;
         f.write_char('}')?;
-        line_end(f, self.after.as_ref())
+        end_line(f, self.after.as_ref())
     }
 }
 
-fn joined<T: fmt::Display>(items: impl IntoIterator<Item = T>, between: &str) -> String {
-    items.into_iter().map(|item| item.to_string()).collect::<Vec<_>>().join(between)
+fn joined<T: fmt::Display>(items: impl IntoIterator<Item = T>, separator: &str) -> String {
+    items.into_iter().map(|item| item.to_string()).collect::<Vec<_>>().join(separator)
 }
 
 impl fmt::Display for Clause {
@@ -59,13 +60,15 @@
         match self {
             Self::For(subjects) => write!(f, "for {}", joined(subjects.iter().map(|at| &at.node), ", ")),
             Self::Prefer(steps) => write!(f, "prefer {}", joined(steps.iter().map(|at| &at.node), " > ")),
-            Self::SpillOver(o) => {
-                write!(f, "spill over {} for {}", o.over.node, time(o.over_for.node))?;
-                write!(f, ", back under {} for {}", o.back.node, time(o.back_for.node))
+            Self::SpillOver(thresholds) => {
+                write!(f, "spill over {} for {}", thresholds.over.node, time(thresholds.over_for.node))?;
+                write!(f, ", back under {} for {}", thresholds.back.node, time(thresholds.back_for.node))
+            }
+            Self::SpillBelow(min_usable) => write!(f, "spill below {} usable", min_usable.node),
+            Self::Beyond(max_share) => write!(f, "beyond region at most {}", max_share.node),
+            Self::Never(localities) => {
+                write!(f, "never {}", joined(localities.iter().map(|at| &at.node), ", "))
             }
-            Self::SpillBelow(least) => write!(f, "spill below {} usable", least.node),
-            Self::Beyond(most) => write!(f, "beyond region at most {}", most.node),
-            Self::Never(places) => write!(f, "never {}", joined(places.iter().map(|at| &at.node), ", ")),
             Self::WhenLost(anywhere) => {
                 write!(f, "when lost {}", if *anywhere { "anywhere" } else { "refuse" })
             }
@@ -105,17 +108,17 @@
 
 impl fmt::Display for Percent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (whole, part) = (self.0 / 10_000, self.0 % 10_000);
-        if part == 0 {
-            return write!(f, "{whole}%");
+        let (integer, fraction) = (self.0 / 10_000, self.0 % 10_000);
+        if fraction == 0 {
+            return write!(f, "{integer}%");
         }
-        write!(f, "{whole}.{}%", format!("{part:04}").trim_end_matches('0'))
+        write!(f, "{integer}.{}%", format!("{fraction:04}").trim_end_matches('0'))
     }
 }
 
-/// A time in the longest unit of which it is a whole number.
+/// Formats a time in the longest unit that represents it as a whole number.
 pub(crate) fn time(time: Duration) -> String {
     let micros = time.as_micros() as u64;
-    let fits = UNITS.iter().find(|(_, unit)| micros.is_multiple_of(*unit)).unwrap_or(&UNITS[3]);
-    format!("{}{}", micros / fits.1, fits.0)
+    let unit = UNITS.iter().find(|(_, unit_micros)| micros.is_multiple_of(*unit_micros)).unwrap_or(&UNITS[3]);
+    format!("{}{}", micros / unit.1, unit.0)
 }
--- a/crates/locality/src/language/reach.rs
+++ b/crates/locality/src/language/reach.rs
@@ -1,4 +1,5 @@
-//! Steps that lead nowhere, whichever zone a request came into, and a `never` that leaves a rule nothing.
+//! Reports steps that no request can use, whichever zone receives it, and `never` clauses that exclude all
+//! zones of a rule.
 
 use super::ast::{Spanned, StepSyntax};
 use super::fault::Faults;
@@ -7,23 +8,24 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// How far a step comes: the best of all zones that a request may come into.
+/// Reachability of a step: the best case over all zones that may receive a request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Comes {
-    /// It names no zone.
-    Nowhere,
-    /// All that it names is forbidden.
-    Forbidden,
-    /// None of that is near enough.
+enum Reach {
+    /// The target includes no zone.
+    NoZones,
+    /// A `never` clause excludes all zones of the target.
+    Excluded,
+    /// The other zones of the target exceed `within`.
     TooFar,
-    /// Steps before it lead there.
-    Taken,
-    /// It leads to a zone that none before it does.
-    New,
+    /// Earlier steps use the zones that are near enough.
+    UsedEarlier,
+    /// The step uses a zone that no earlier step uses.
+    Reachable,
 }
 
-/// What of a zone is taken by steps before: all, or only if its way, which is not known, is within a time.
-type Taken = Option<Duration>;
+/// Largest round-trip time up to which earlier steps use a zone; `Duration::MAX` means always. `None`: no
+/// step uses it.
+type UsedUpTo = Option<Duration>;
 
 pub(super) fn check(
     rule: &Rule,
@@ -36,47 +38,47 @@
     if let Some(never) = &never
         && rule.never.len() == zones
     {
-        return faults.add(never.start, || "`never` forbids all zones".into());
+        return faults.add(never.start, || "`never` excludes all zones".into());
     }
-    let mut comes = vec![Comes::Nowhere; rule.steps.len()];
+    let mut reaches = vec![Reach::NoZones; rule.steps.len()];
     for from in topology.zones() {
-        let mut taken: Vec<Taken> = vec![None; zones];
-        for (step, comes) in rule.steps.iter().zip(&mut comes) {
-            // No bound is further than any that can be written.
+        let mut used_up_to: Vec<UsedUpTo> = vec![None; zones];
+        for (step, best) in rule.steps.iter().zip(&mut reaches) {
+            // A step without `within` accepts any round-trip time.
             let within = step.within.unwrap_or(Duration::MAX);
             for zone in step.target.zones(topology, from) {
                 let rtt = topology.rtt(from, zone);
-                let place = &mut taken[usize::from(zone.0)];
-                // A known way is as good as any longer bound once it is within one.
-                let reach = if rtt.is_some_and(|rtt| rtt <= within) { Duration::MAX } else { within };
+                let used = &mut used_up_to[usize::from(zone.0)];
+                // A known round-trip time within the limit is also within any larger limit.
+                let limit = if rtt.is_some_and(|rtt| rtt <= within) { Duration::MAX } else { within };
                 let here = if rule.never.binary_search(&zone).is_ok() {
-                    Comes::Forbidden
+                    Reach::Excluded
                 } else if rtt.is_some_and(|rtt| rtt > within) {
-                    Comes::TooFar
-                } else if place.is_some_and(|place| place >= reach) {
-                    Comes::Taken
+                    Reach::TooFar
+                } else if used.is_some_and(|used| used >= limit) {
+                    Reach::UsedEarlier
                 } else {
-                    *place = Some(reach);
-                    Comes::New
+                    *used = Some(limit);
+                    Reach::Reachable
                 };
-                *comes = here.max(*comes);
+                *best = here.max(*best);
             }
         }
     }
     if let Some(never) = &never
-        && !comes.is_empty()
-        && comes.iter().all(|comes| *comes <= Comes::Forbidden)
+        && !reaches.is_empty()
+        && reaches.iter().all(|reach| *reach <= Reach::Excluded)
     {
-        return faults.add(never.start, || "`never` forbids all that this rule prefers".into());
+        return faults.add(never.start, || "`never` excludes all zones that this rule prefers".into());
     }
-    for (step, comes) in steps.iter().zip(comes) {
-        let why = match comes {
-            Comes::New => continue,
-            Comes::Nowhere => "there is no such zone",
-            Comes::Forbidden => "`never` forbids all of its zones",
-            Comes::TooFar => "no zone is as near as that",
-            Comes::Taken => "steps before it lead to all of its zones",
+    for (step, reach) in steps.iter().zip(reaches) {
+        let why = match reach {
+            Reach::Reachable => continue,
+            Reach::NoZones => "its target has no zones",
+            Reach::Excluded => "`never` excludes all of its zones",
+            Reach::TooFar => "no zone has so short a round-trip time",
+            Reach::UsedEarlier => "earlier steps use all of its zones",
         };
-        faults.add(step.span.start, || format!("step `{}` leads nowhere: {why}", step.node));
+        faults.add(step.span.start, || format!("step `{}` has no effect: {why}", step.node));
     }
 }
--- a/crates/locality/src/lib.rs
+++ b/crates/locality/src/lib.rs
@@ -1,8 +1,9 @@
-//! Zones in regions, and rules that say which zones serve whom: no I/O, no clock.
+//! Zones grouped in regions, and rules that select the zones which serve a request. The crate does no I/O and
+//! reads no clock.
 //!
-//! [`topology`] has the places, [`language`] the text of rules, [`rules`] what it comes to, [`health`] how a step stands at an
-//! instant, [`mod@explain`] why a request goes where it goes, [`contradict`] what of two texts can't stand side by side.
-//! `docs/design/places.md` has the reasons.
+//! [`topology`] holds zones and regions, [`language`] compiles the text of rules, and [`rules`] holds the
+//! compiled rules. [`health`] combines the health of zones, [`mod@explain`] explains the routing of a
+//! request, and [`contradict`] compares two sets of rules. `docs/design/places.md` gives the design reasons.
 
 pub mod contradict;
 pub mod explain;
--- a/crates/locality/src/rules.rs
+++ b/crates/locality/src/rules.rs
@@ -1,29 +1,29 @@
-//! Rules as they are acted on: tables, no text.
+//! Compiled rules, and the table that assigns a rule to each class and tenant.
 
 use crate::topology::{Region, Topology, Zone};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The most rules.
+/// Maximum number of rules, including the default rule.
 pub const MAX_RULES: usize = 256;
 
-/// Where a step leads.
+/// Set of zones that a step sends requests to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum StepTarget {
-    /// The zone that the request came into.
+    /// The zone that received the request.
     OwnZone,
-    /// The other zones of its region.
+    /// The zones of the region that received the request.
     OwnRegion,
-    /// A zone by name.
+    /// One given zone.
     Zone(Zone),
-    /// All zones of a region by name.
+    /// All zones of one given region.
     Region(Region),
-    /// All zones there are.
+    /// All zones of the topology.
     Anywhere,
 }
 
 impl StepTarget {
-    /// The zones that it names for requests that came into a zone.
+    /// Returns the target zones for requests that zone `from` received.
     pub fn zones(self, topology: &Topology, from: Zone) -> Vec<Zone> {
         match self {
             Self::OwnZone => vec![from],
@@ -38,23 +38,23 @@
 /// One step of `prefer`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Step {
-    /// Where it leads.
+    /// Zones that the step sends requests to.
     #[serde(rename = "place")]
     pub target: StepTarget,
-    /// Only to zones within this time, there and back; a zone of which it is not known is not within.
+    /// Maximum round-trip time to a zone. A zone with unknown round-trip time is excluded.
     pub within: Option<Duration>,
 }
 
-/// When requests go on to the next step for want of room.
+/// Load thresholds that open the next step and close it again.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Spill {
-    /// Load of the step before, as a share of its room, over which it begins. 0 to 1.
+    /// Load of the previous step, as a share of its capacity (0 to 1), above which spilling begins.
     pub over: f64,
-    /// For how long it has to be over.
+    /// Time for which the load has to stay above `over`.
     pub over_for: Duration,
-    /// Load under which it ends; less than `over`.
+    /// Load below which spilling ends; less than `over`.
     pub back: f64,
-    /// For how long it has to be under.
+    /// Time for which the load has to stay below `back`.
     pub back_for: Duration,
 }
 
@@ -64,37 +64,38 @@
     }
 }
 
-/// What becomes of requests for which no step is left.
+/// Handling of requests for which no step has a usable zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum WhenLost {
-    /// They are refused.
+    /// The requests are rejected.
     #[default]
     Refuse,
-    /// They go wherever something answers, but where `never` forbids it.
+    /// The requests go to any usable zone that `never` does not exclude.
     Anywhere,
 }
 
-/// One rule.
+/// Routing rule for a set of classes and tenants.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rule {
-    /// Its name.
+    /// Name of the rule, unique within its [`Rules`].
     pub name: String,
-    /// Where requests go, the first first.
+    /// Steps in order of preference.
     pub steps: Vec<Step>,
-    /// When the next step is opened for want of room.
+    /// Load thresholds that open the next step.
     pub spill: Spill,
-    /// Share of a step's capacity that has to be usable: under it the next step is opened. 0: never for that.
+    /// Usable share of a step's capacity, below which the next step is opened. With 0, low capacity opens no
+    /// step.
     pub usable_least: f64,
-    /// The most of the rule's requests that may leave the region, as a share. 1: all.
+    /// Maximum share of the rule's requests that may leave the region, 0 to 1.
     pub beyond_region_most: f64,
-    /// Zones that it never uses, in order.
+    /// Zones that the rule never uses, sorted.
     pub never: Vec<Zone>,
-    /// What becomes of what has no step left.
+    /// Handling of requests for which no step has a usable zone.
     pub when_lost: WhenLost,
 }
 
 impl Rule {
-    /// What holds where nothing is written: near first, and everywhere in the end.
+    /// Returns the default rule: own zone, then own region, then anywhere.
     pub fn near_first() -> Self {
         let step = |target| Step { target, within: None };
         Self {
@@ -108,18 +109,20 @@
         }
     }
 
-    /// The zones of each step for requests that came into this zone: none twice, none forbidden, no step empty.
+    /// Returns the zones of each step for requests that zone `from` received. No zone appears twice, excluded
+    /// zones are left out, and empty steps are dropped.
     pub fn priority_list(&self, topology: &Topology, from: Zone) -> Vec<Vec<Zone>> {
-        let (mut taken, mut priority_list) = (Vec::new(), Vec::new());
+        let (mut used_zones, mut priority_list) = (Vec::new(), Vec::new());
         for step in &self.steps {
             let zones = step.target.zones(topology, from);
-            let near = |zone: &Zone| {
-                step.within.is_none_or(|most| topology.rtt(from, *zone).is_some_and(|rtt| rtt <= most))
+            let is_near = |zone: &Zone| {
+                step.within.is_none_or(|max_rtt| topology.rtt(from, *zone).is_some_and(|rtt| rtt <= max_rtt))
             };
-            let fits =
-                |zone: &Zone| near(zone) && !taken.contains(zone) && self.never.binary_search(zone).is_err();
-            let zones: Vec<Zone> = zones.into_iter().filter(fits).collect();
-            taken.extend(&zones);
+            let is_usable = |zone: &Zone| {
+                is_near(zone) && !used_zones.contains(zone) && self.never.binary_search(zone).is_err()
+            };
+            let zones: Vec<Zone> = zones.into_iter().filter(is_usable).collect();
+            used_zones.extend(&zones);
             if !zones.is_empty() {
                 priority_list.push(zones);
             }
@@ -128,17 +131,18 @@
     }
 }
 
-/// All rules of a deployment, and which requests each is for.
+/// All rules of a deployment, and the rule of each class and tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
     rules: Vec<Rule>,
-    /// Positions of rules, by class and then by tenant.
+    /// Indices into `rules`, row by row: one row for each class, one column for each tenant.
     table: Vec<u16>,
     tenants: usize,
 }
 
 impl Rules {
-    /// `rule_of` says which of `rules` is for a class and a tenant; what it says wrongly is the last one.
+    /// Builds the table from `rule_of`, which returns the index of the rule for a class and a tenant. An
+    /// index out of range selects the last rule. Without any rule, the default rule applies to all requests.
     pub fn new(
         rules: Vec<Rule>,
         classes: usize,
@@ -152,23 +156,24 @@
         Self { rules, table, tenants }
     }
 
-    /// One rule for everybody.
+    /// Returns rules that consist of the default rule only.
     pub fn near_first(classes: usize, tenants: usize) -> Self {
         Self::new(Vec::new(), classes, tenants, |_, _| 0)
     }
 
-    /// All rules.
+    /// Returns all rules; the last one applies to unknown classes and tenants.
     pub fn all(&self) -> &[Rule] {
         &self.rules
     }
 
-    /// The rule for a class and a tenant, as a position in [`Self::all`]; the last one for what there is not.
+    /// Returns the index into [`Self::all`] of the rule for a class and a tenant. For an unknown class or
+    /// tenant, this is the last rule.
     pub fn rule_index(&self, class: usize, tenant: usize) -> usize {
-        let known = (tenant < self.tenants).then(|| self.table.get(class * self.tenants + tenant)).flatten();
-        known.map_or(self.rules.len() - 1, |n| usize::from(*n))
+        let cell = (tenant < self.tenants).then(|| self.table.get(class * self.tenants + tenant)).flatten();
+        cell.map_or(self.rules.len() - 1, |n| usize::from(*n))
     }
 
-    /// The table, row by row a class's, and how many tenants a row has.
+    /// Returns the table, one row for each class, and the number of tenants in a row.
     pub fn table(&self) -> (&[u16], usize) {
         (&self.table, self.tenants)
     }
@@ -186,7 +191,7 @@
     }
 
     #[test]
-    fn a_ladder_names_each_zone_once_and_none_that_is_forbidden() {
+    fn priority_list_has_each_zone_once_and_no_excluded_zone() {
         let topology = topology();
         let mut rule = Rule::near_first();
         assert_eq!(
@@ -200,7 +205,7 @@
     }
 
     #[test]
-    fn whoever_no_rule_names_has_the_last() {
+    fn unknown_classes_and_tenants_have_the_last_rule() {
         let mut other = Rule::near_first();
         other.name = "other".into();
         let rules = Rules::new(vec![Rule::near_first(), other], 2, 2, |class, _| class);
--- a/crates/locality/tests/common/mod.rs
+++ b/crates/locality/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! What tests over drawn cases have in common.
+//! Configuration shared by the property tests.
 
 use proptest::prelude::ProptestConfig;
 use proptest::test_runner::RngSeed;
 
-/// So many cases, the same at each run.
-pub fn fixed(cases: u32) -> ProptestConfig {
+/// Returns a configuration with a fixed seed, so that each run tests the same cases.
+pub fn fixed_seed_config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
         rng_seed: RngSeed::Fixed(34),
--- a/crates/locality/tests/golden.rs
+++ b/crates/locality/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
+//! Serialized forms and texts compared with golden files, which an earlier version of the program wrote.
 
 use maplehook_golden::{assert_text, golden_types};
 use maplehook_locality::language::{Names, compile, format};
@@ -9,7 +9,7 @@
     seen: Json LocalityHealth;
 }
 
-const GOOD: &str = r#"
+const VALID_RULE: &str = r#"
 rule booking {
   for class "confirm", class "hold-day", tenant "lodge";   # none: all others
   prefer own zone > own region within 3ms > region "south" > anywhere;
@@ -21,8 +21,8 @@
 }
 "#;
 
-/// What the compiler says of a text, or the text in its standard form.
-fn said(text: &str) -> String {
+/// Returns the compiler's errors for a text on one line, or `good`.
+fn compile_result(text: &str) -> String {
     let topology =
         Topology::new([("north", vec!["giza", "luxor"]), ("south", vec!["aswan", "edfu"])]).unwrap();
     let classes = ["browse", "confirm", "hold-day"].map(String::from);
@@ -36,30 +36,30 @@
     }
 }
 
-/// Every token of a good text is left out, doubled, or replaced by another one.
+/// Guards the error messages: each token of a valid text is removed, repeated, or replaced by another one.
 #[test]
-fn errors_of_the_rule_language_are_as_they_were() {
-    let tokens: Vec<&str> = GOOD.split_inclusive([' ', '\n']).collect();
+fn error_messages_of_the_rule_language_match_the_golden_files() {
+    let tokens: Vec<&str> = VALID_RULE.split_inclusive([' ', '\n']).collect();
     let mut lines = String::new();
     for at in 0..tokens.len() {
         for other in ["", "\"", "x ", "; ", "} ", "200% ", "7 ", "\"nowhere\" ", "2h "] {
             let mut changed = tokens.clone();
             changed[at] = other;
-            lines += &format!("{at} {other:?}: {}\n", said(&changed.concat()));
+            lines += &format!("{at} {other:?}: {}\n", compile_result(&changed.concat()));
         }
         let doubled: String = tokens
             .iter()
             .enumerate()
             .map(|(n, token)| if n == at { token.repeat(2) } else { (*token).to_owned() })
             .collect();
-        lines += &format!("{at} twice: {}\n", said(&doubled));
+        lines += &format!("{at} twice: {}\n", compile_result(&doubled));
     }
     assert_text("errors.txt", &lines);
     assert_text(
         "formatted.txt",
         &format!(
             "{:?}\n",
-            format(GOOD).map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>())
+            format(VALID_RULE).map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>())
         ),
     );
 }
