--- a/crates/endpoints/src/fleet.rs
+++ b/crates/endpoints/src/fleet.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Limits on how far missing instances stay available and how long a source's data counts.
+/// Limits on holds of missing instances, on the age of a source's data and on the number of records.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// Largest share of a source's up instances that may go missing at once without a hold, 0 to 1.
@@ -39,7 +39,7 @@
     }
 }
 
-/// Source and replica that sent an update.
+/// Source of an update, and the replica of the source that sent the update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Origin {
     /// Precedence of the source; 0 is the highest.
@@ -48,7 +48,7 @@
     pub replica: u32,
 }
 
-/// Whether an instance takes new requests.
+/// Availability of an instance for new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MemberState {
     /// The instance takes new requests.
@@ -64,7 +64,7 @@
 pub struct Hold {
     /// Time at which the instance was first missing.
     pub since: Duration,
-    /// Latest end of the hold.
+    /// Time at which the hold ends at the latest.
     pub until: Duration,
 }
 
@@ -73,7 +73,7 @@
 pub struct Member {
     /// Data of the instance from the source's last update.
     pub instance: Instance,
-    /// Whether the instance takes new requests.
+    /// Availability of the instance for new requests.
     pub state: MemberState,
     /// Precedence of the deciding source.
     pub source: usize,
@@ -115,7 +115,7 @@
     replica: Option<(u32, Duration)>,
 }
 
-/// Fleet membership merged from several sources.
+/// Fleet membership: one record for each source and instance, merged by the precedence of the sources.
 #[derive(Debug)]
 pub struct Membership {
     bounds: Bounds,
@@ -235,7 +235,7 @@
     pub fn record_answer(&mut self, now: Duration, key: &str) {
         self.now = self.now.max(now);
         let now = self.now;
-        for missing in self.missing_of(key) {
+        for missing in self.missing_records(key) {
             (missing.answered, missing.is_unreachable) = (Some(now), false);
         }
     }
@@ -243,20 +243,20 @@
     /// Records that a connection to an instance failed.
     pub fn record_unreachable(&mut self, now: Duration, key: &str) {
         self.now = self.now.max(now);
-        for missing in self.missing_of(key) {
+        for missing in self.missing_records(key) {
             (missing.answered, missing.is_unreachable) = (None, true);
         }
-        // Without its last answer, the hold may be past its end already.
+        // The failure cancels the extension by earlier answers, so the hold may have ended already.
         self.advance(now);
     }
 
-    fn missing_of<'a>(&'a mut self, key: &'a str) -> impl Iterator<Item = &'a mut Missing> {
+    fn missing_records<'a>(&'a mut self, key: &'a str) -> impl Iterator<Item = &'a mut Missing> {
         let records = self.sources.iter_mut().filter_map(move |source| source.records.get_mut(key));
         records.filter_map(|record| record.missing.as_mut())
     }
 
-    /// Advances the time and expires holds. A `now` before the last one is ignored. A failed query of a
-    /// source is no update of that source.
+    /// Advances the time and expires holds. A `now` before the last one is ignored. After a failed query of a
+    /// source, call only this method.
     pub fn advance(&mut self, now: Duration) {
         self.now = self.now.max(now);
         for source in 0..self.sources.len() {
@@ -280,7 +280,7 @@
             (self.now, self.bounds.max_replica_lag, self.len() < self.bounds.max_instances);
         let Some(source) = self.sources.get_mut(origin.source) else { return };
         let since = source.replica.map_or(now, |(_, since)| since);
-        // A source's new replica may lag behind the previous one.
+        // The new replica may lag behind the one that the source used before.
         let may_lag = now < since + max_replica_lag;
         if let Some((version, _)) = source.deleted.get(&instance.key) {
             if may_lag && instance.version <= *version && instance.version > 0 {
@@ -316,7 +316,7 @@
             let bound = missing.until(&bounds);
             missing.is_held &=
                 now < bound && !(missing.is_unreachable && missing.lists >= bounds.confirming_lists);
-            // An instance without a hold is removed once enough lists confirm the loss.
+            // An instance that is not held is removed once `confirming_lists` lists in a row lack it.
             missing.is_held || missing.lists < bounds.confirming_lists
         });
         let is_expired = |(at, _): &(Duration, String)| now > *at + bounds.max_replica_lag;
--- a/crates/locality/src/contradict.rs
+++ b/crates/locality/src/contradict.rs
@@ -3,9 +3,9 @@
 //!
 //! | clause | contradiction | strictest set |
 //! | --- | --- | --- |
-//! | `never` | the excluded zones differing | zones that either excludes |
-//! | `beyond region at most` | the values differing | the smaller value |
-//! | `when lost` | the values differing | `refuse` |
+//! | `never` | the excluded zones differ | zones that either excludes |
+//! | `beyond region at most` | the values differ | the smaller value |
+//! | `when lost` | the values differ | `refuse` |
 //! | `prefer`, `spill`, names | none: they set preferences, not permissions | those of the second set |
 //!
 //! The sets are compared for each class and tenant, since a rule may have another name, position or scope in
@@ -18,10 +18,11 @@
 /// Maximum number of contradictions listed; one more entry reports that there are others.
 pub const MAX_CONTRADICTIONS: usize = 64;
 
-/// Describes each contradiction between two sets of rules. If the result is empty, both sets may be in force
-/// at the same time, at different balancers.
+/// Describes each contradiction between two sets of rules. An empty result means that some balancers may use
+/// one set while others use the other set.
 pub fn contradictions(a: &Rules, b: &Rules, classes: &[String], tenants: &[String]) -> Vec<String> {
-    // All cells with the same pair of rules differing alike; the description names the first cell.
+    // All cells with the same pair of rules have the same contradictions; the description names the first
+    // cell.
     let mut pairs = BTreeMap::new();
     for (cell, pair) in cells(a, b) {
         pairs.entry(pair).or_insert((cell, 0usize)).1 += 1;
@@ -165,8 +166,8 @@
     merged
 }
 
-/// Returns a rule as strict as `a` and `b`, with the steps of `b`. The rule keeps the name of `b` if `b` is
-/// strict enough already, so that no name appears twice.
+/// Returns a rule as strict as `a` and `b`, with the steps of `b`. If `b` is already as strict as `a`, the
+/// result is `b` with its name, so that no name appears twice.
 fn merge_rules(a: &Rule, b: &Rule) -> Rule {
     let mut rule = tighten(a, b);
     if rule != *b {
--- a/crates/locality/src/explain.rs
+++ b/crates/locality/src/explain.rs
@@ -17,7 +17,7 @@
     OtherClass,
     /// The rule applies to no request of the tenant.
     OtherTenant,
-    /// The rule applies to the class and to the tenant, but only in combination with others.
+    /// The rule applies to the class with other tenants, and to the tenant with other classes.
     OtherPair,
 }
 
@@ -37,13 +37,13 @@
 /// Result of evaluating a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StepOutcome {
-    /// The step has no zones after exclusions.
+    /// All zones of the step are excluded.
     Empty,
     /// No zone of the step has usable capacity.
     Unusable,
     /// The load of the step has reached the `spill over` threshold.
     Full,
-    /// The usable capacity is less than `spill below`, so the next step takes requests as healthy.
+    /// The usable capacity is less than `spill below`, so the next step takes requests as well.
     LowCapacity,
     /// The step takes the requests.
     Chosen,
@@ -60,13 +60,13 @@
     pub zones: Vec<String>,
     /// Names of the target's zones that the step does not use, with the reason.
     pub excluded_zones: Vec<(String, ZoneExclusion)>,
-    /// Combined health of the zones that the step uses.
+    /// Load and usable capacity of the used zones combined.
     pub health: LocalityHealth,
     /// Result of evaluating the step.
     pub outcome: StepOutcome,
 }
 
-/// Explanation of the routing of one request.
+/// Rule and step that apply to one request, and the reasons against the earlier ones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
     /// Class and tenant of the request, and the zone that received it.
@@ -75,7 +75,7 @@
     pub rule: Rule,
     /// Names of the earlier rules, with the reason why each does not apply.
     pub mismatches: Vec<(String, RuleMismatch)>,
-    /// Steps of the rule, in order of preference.
+    /// All steps of the rule, in order of preference.
     pub steps: Vec<StepExplanation>,
     /// Index of the step that takes the request. `None` if no step can; [`Rule::when_lost`] then applies.
     pub chosen: Option<usize>,
@@ -214,9 +214,7 @@
             let why = match why {
                 RuleMismatch::OtherClass => "applies to no request of this class",
                 RuleMismatch::OtherTenant => "applies to no request of this tenant",
-                RuleMismatch::OtherPair => {
-                    "applies to this class and to this tenant, but not to both together"
-                }
+                RuleMismatch::OtherPair => "applies to this class and to this tenant, but not in combination",
             };
             writeln!(f, "  rule {name}: {why}")?;
         }
@@ -252,7 +250,7 @@
         let (load, usable) = (percent(step.health.load), percent(step.health.usable));
         let (over, min_usable) = (percent(self.rule.spill.over), percent(self.rule.usable_least));
         match step.outcome {
-            StepOutcome::Empty => f.write_str("no zones after exclusions"),
+            StepOutcome::Empty => f.write_str("all zones are excluded"),
             StepOutcome::Unusable => f.write_str("unusable: no zone has usable capacity"),
             StepOutcome::Full => write!(f, "full: load {load}%, spills over at {over}%"),
             StepOutcome::LowCapacity => write!(f, "{usable}% usable, spills below {min_usable}%"),
--- a/crates/locality/src/health.rs
+++ b/crates/locality/src/health.rs
@@ -1,6 +1,6 @@
 //! Load and usable capacity of a zone or of a step, at one instant.
 //!
-//! This module covers one step at one instant. The planner adds dwell times, hysteresis and gradual recovery.
+//! The planner adds dwell times, hysteresis and gradual recovery.
 
 use crate::rules::Rule;
 use serde::{Deserialize, Serialize};
@@ -15,8 +15,8 @@
 }
 
 impl LocalityHealth {
-    /// Combines pairs of zone health and weight. The usable share is averaged by weight, the load by weight
-    /// and usable share. The result is unusable if no zone is usable.
+    /// Combines pairs of zone health and weight. The usable share is averaged by weight. The load is
+    /// averaged by the product of weight and usable share. The result is unusable if no zone is usable.
     pub fn combine(parts: impl IntoIterator<Item = (Self, f64)>) -> Self {
         let (mut total, mut usable, mut load) = (0.0, 0.0, 0.0);
         for (health, weight) in parts {
@@ -43,7 +43,8 @@
         !self.is_unusable() && self.load < rule.spill.over
     }
 
-    /// Returns true if the rule's next step has to take requests as well.
+    /// Returns true if the rule's next step has to take requests as well, because the load is too high or the
+    /// usable share too low.
     pub fn needs_next_step(&self, rule: &Rule) -> bool {
         !self.accepts_more(rule) || self.usable < rule.usable_least
     }
@@ -59,11 +60,14 @@
 
     #[test]
     fn combines_zones_by_weight_and_usable_share() {
-        let both = LocalityHealth::combine([(health(0.5, 1.0), 2.0), (health(1.0, 0.5), 2.0)]);
-        assert!((both.usable - 0.75).abs() < 1e-12 && (both.load - 2.0 / 3.0).abs() < 1e-12, "{both:?}");
+        let combined = LocalityHealth::combine([(health(0.5, 1.0), 2.0), (health(1.0, 0.5), 2.0)]);
+        assert!(
+            (combined.usable - 0.75).abs() < 1e-12 && (combined.load - 2.0 / 3.0).abs() < 1e-12,
+            "{combined:?}"
+        );
         // An unusable zone adds no load.
-        let half = LocalityHealth::combine([(health(0.5, 1.0), 1.0), (health(9.0, 0.0), 1.0)]);
-        assert_eq!(half, health(0.5, 0.5));
+        let with_unusable = LocalityHealth::combine([(health(0.5, 1.0), 1.0), (health(9.0, 0.0), 1.0)]);
+        assert_eq!(with_unusable, health(0.5, 0.5));
         assert!(
             LocalityHealth::combine([]).is_unusable()
                 && LocalityHealth::combine([(health(0.0, f64::NAN), 1.0)]).is_unusable()
@@ -76,8 +80,8 @@
         assert!(!health(0.79, 0.5).needs_next_step(&rule) && health(0.79, 0.5).accepts_more(&rule));
         assert!(health(0.79, 0.49).needs_next_step(&rule) && health(0.79, 0.49).accepts_more(&rule));
         // A load that is not a number counts as full; a usable share that is not a number counts as 0.
-        for full in [health(0.8, 1.0), health(f64::NAN, 1.0), health(0.0, 0.0), health(0.0, f64::NAN)] {
-            assert!(full.needs_next_step(&rule) && !full.accepts_more(&rule), "{full:?}");
+        for health in [health(0.8, 1.0), health(f64::NAN, 1.0), health(0.0, 0.0), health(0.0, f64::NAN)] {
+            assert!(health.needs_next_step(&rule) && !health.accepts_more(&rule), "{health:?}");
         }
     }
 }
--- a/crates/locality/src/language/ast.rs
+++ b/crates/locality/src/language/ast.rs
@@ -38,35 +38,35 @@
     /// Rules in the order of the text.
     pub rules: Vec<RuleSyntax>,
     /// Comments after the last rule, without `#`.
-    pub end: Vec<String>,
+    pub comments_at_end: Vec<String>,
 }
 
 /// Syntax of one rule, with its comments.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuleSyntax {
     /// Comments before the rule.
-    pub before: Vec<String>,
+    pub comments_before: Vec<String>,
     /// Name of the rule.
     pub name: Spanned<String>,
     /// Comment on the line of the opening brace.
-    pub head: Option<String>,
+    pub opening_comment: Option<String>,
     /// Clauses in the order of the text, at most one of each kind.
     pub clauses: Vec<ClauseSyntax>,
     /// Comments between the last clause and the closing brace.
-    pub end: Vec<String>,
+    pub comments_at_end: Vec<String>,
     /// Comment on the line of the closing brace.
-    pub after: Option<String>,
+    pub comment_after: Option<String>,
 }
 
 /// Syntax of one clause, with its comments.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClauseSyntax {
     /// Comments before the clause, and comments moved out of it.
-    pub before: Vec<String>,
+    pub comments_before: Vec<String>,
     /// Content of the clause, without its comments.
     pub clause: Spanned<Clause>,
     /// Comment after the clause, on the same line.
-    pub after: Option<String>,
+    pub comment_after: Option<String>,
 }
 
 /// Content of a clause.
@@ -81,7 +81,7 @@
     /// `spill below 50% usable`
     SpillBelow(Spanned<Percent>),
     /// `beyond region at most 30%`
-    Beyond(Spanned<Percent>),
+    BeyondRegion(Spanned<Percent>),
     /// `never zone "a", region "b"`
     Never(Vec<Spanned<NamedLocality>>),
     /// `when lost refuse` (false) or `when lost anywhere` (true).
@@ -96,7 +96,7 @@
             Self::Prefer(_) => 1,
             Self::SpillOver(_) => 2,
             Self::SpillBelow(_) => 3,
-            Self::Beyond(_) => 4,
+            Self::BeyondRegion(_) => 4,
             Self::Never(_) => 5,
             Self::WhenLost(_) => 6,
         }
--- a/crates/locality/src/language/check.rs
+++ b/crates/locality/src/language/check.rs
@@ -10,14 +10,14 @@
 use std::ops::Range;
 
 /// A compiled rule with the data needed to check it against other rules.
-struct Checked {
+struct CompiledRule {
     rule: Rule,
     /// Indices of the listed classes and tenants; an empty set means all. `None` for the default rule.
     subjects: Option<(BTreeSet<usize>, BTreeSet<usize>)>,
     /// Byte position of the rule's name.
-    at: usize,
-    /// Set if no part of the rule was dropped because of an error, so that the rule can be checked against
-    /// others.
+    position: usize,
+    /// Set if no part of the rule was dropped because of an error. Only complete rules are checked against
+    /// each other.
     is_complete: bool,
 }
 
@@ -31,7 +31,7 @@
     for (text, is_complete) in parsed.text.rules.iter().zip(&parsed.complete_rules) {
         let (name, at) = (&text.name.node, text.name.span.start);
         if name.chars().count() > MAX_NAME_CHARS {
-            faults.add(at, || format!("a rule's name has at most {MAX_NAME_CHARS} characters"));
+            faults.add(at, || format!("the rule's name exceeds {MAX_NAME_CHARS} characters"));
         }
         if rule_names.insert(name, at).is_some() {
             faults.add(at, || format!("rule `{name}` is already defined above"));
@@ -44,17 +44,19 @@
     build_table(checked, names, faults)
 }
 
-fn check_rule_count(checked: &[Checked], faults: &mut Faults) {
+fn check_rule_count(checked: &[CompiledRule], faults: &mut Faults) {
     let default_count = usize::from(checked.iter().all(|rule| rule.subjects.is_some()));
     if checked.len() + default_count > MAX_RULES
         && let Some(first) = checked.get(MAX_RULES - default_count)
     {
-        faults.add(first.at, || format!("at most {MAX_RULES} rules are allowed, including the default rule"));
+        faults.add(first.position, || {
+            format!("at most {MAX_RULES} rules are allowed, including the default rule")
+        });
     }
 }
 
 /// Assigns a rule to each class and tenant.
-fn build_table(checked: Vec<Checked>, names: &Names<'_>, faults: &mut Faults) -> Rules {
+fn build_table(checked: Vec<CompiledRule>, names: &Names<'_>, faults: &mut Faults) -> Rules {
     let (classes, tenants) = (names.classes.len().max(1), names.tenants.len().max(1));
     let (mut rules, mut default): (Vec<Rule>, Option<Rule>) = (Vec::new(), None);
     let mut table: Vec<Option<usize>> = vec![None; classes * tenants];
@@ -62,8 +64,8 @@
     for checked in checked.into_iter().filter(|rule| rule.is_complete) {
         let Some((by_class, by_tenant)) = checked.subjects else {
             if let Some(Rule { name: other, .. }) = &default {
-                faults.add(checked.at, || {
-                    format!("two rules without `for`: `{other}` is the default rule already")
+                faults.add(checked.position, || {
+                    format!("a second rule without `for`: `{other}` is already the default rule")
                 });
             }
             default.get_or_insert(checked.rule);
@@ -83,7 +85,7 @@
         if !is_used {
             let earlier_rules: Vec<&str> = earlier_rules.iter().map(|n| rules[*n].name.as_str()).collect();
             let name = &checked.rule.name;
-            faults.add(checked.at, || {
+            faults.add(checked.position, || {
                 let more = if earlier_rules.len() > 3 { ", ..." } else { "" };
                 let earlier_rules = earlier_rules[..earlier_rules.len().min(3)].join(", ");
                 format!("rule `{name}` is never used: earlier rules match all of its requests: {earlier_rules}{more}")
@@ -105,7 +107,7 @@
 }
 
 impl RuleCompiler<'_, '_> {
-    fn rule(&mut self, text: &RuleSyntax) -> Checked {
+    fn rule(&mut self, text: &RuleSyntax) -> CompiledRule {
         let mut rule = Rule {
             name: text.name.node.clone(),
             steps: Vec::new(),
@@ -139,7 +141,7 @@
                     };
                 }
                 Clause::SpillBelow(min_usable) => rule.usable_least = min_usable.node.share(),
-                Clause::Beyond(max_share) => rule.beyond_region_most = max_share.node.share(),
+                Clause::BeyondRegion(max_share) => rule.beyond_region_most = max_share.node.share(),
                 Clause::Never(list) => {
                     rule.never = self.never(list);
                     never = Some(clause.clause.span.clone());
@@ -149,20 +151,20 @@
                 }
             }
         }
-        let at = text.name.span.start;
+        let position = text.name.span.start;
         if self.is_complete && steps.is_empty() {
-            self.faults.add(at, || format!("rule `{}` has no `prefer`", text.name.node));
+            self.faults.add(position, || format!("rule `{}` has no `prefer`", text.name.node));
         }
         if let Some(first) = steps.get(MAX_STEPS) {
             self.faults.add(first.span.start, || format!("at most {MAX_STEPS} steps are allowed"));
         }
         if subjects.is_some() && text.name.node == "default" {
-            self.faults.add(at, || "the name `default` is reserved for the rule without `for`".into());
+            self.faults.add(position, || "the name `default` is reserved for the rule without `for`".into());
         }
         if rule.steps.len() == steps.len() {
             reach::check(&rule, steps, never, self.names.topology, self.faults);
         }
-        Checked { rule, subjects, at, is_complete: self.is_complete }
+        CompiledRule { rule, subjects, position, is_complete: self.is_complete }
     }
 
     fn subjects(&mut self, list: &[Spanned<Subject>]) -> (BTreeSet<usize>, BTreeSet<usize>) {
--- a/crates/locality/src/language/clauses.rs
+++ b/crates/locality/src/language/clauses.rs
@@ -3,7 +3,7 @@
 use super::ast::{
     Clause, NamedLocality, Percent, Spanned, SpillThresholds, StepSyntax, Subject, TargetSyntax,
 };
-use super::lexer::{Kind, unquoted};
+use super::lexer::{TokenKind, unquoted};
 use super::parser::{Parse, Parser};
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 pub(super) const UNITS: [(&str, u64); 4] = [("m", 60_000_000), ("s", 1_000_000), ("ms", 1_000), ("us", 1)];
 
 impl Parser<'_, '_> {
-    /// Parses a clause without its `;`. Consumes at min_usable one token, also on an error.
+    /// Parses a clause without its `;`. Consumes at least one token, even on an error.
     pub(super) fn clause(&mut self) -> Parse<Clause> {
         if self.take_word("for") {
             self.list(Self::subject).map(Clause::For)
@@ -36,7 +36,7 @@
             self.need_word("region")?;
             self.need_word("at")?;
             self.need_word("most")?;
-            self.percent().map(Clause::Beyond)
+            self.percent().map(Clause::BeyondRegion)
         } else if self.take_word("never") {
             self.list(Self::named_locality).map(Clause::Never)
         } else if self.take_word("when") {
@@ -49,9 +49,9 @@
                 Err(self.expected(&["refuse", "anywhere"]))
             }
         } else {
-            let skip = self.expected(&["for", "prefer", "spill", "beyond", "never", "when", "}"]);
+            let reported = self.expected(&["for", "prefer", "spill", "beyond", "never", "when", "}"]);
             self.advance();
-            Err(skip)
+            Err(reported)
         }
     }
 
@@ -68,7 +68,7 @@
     }
 
     fn name(&mut self, owner: &str) -> Parse<String> {
-        let Some(Kind::Name(inner)) = self.next_kind() else {
+        let Some(TokenKind::Name(inner)) = self.next_kind() else {
             return Err(self.expected_description(&format!("the {owner}'s name in quotes")));
         };
         self.advance();
@@ -109,7 +109,7 @@
             if self.take_sign('>') {
                 continue;
             }
-            let is_end = matches!(self.next_kind(), Some(Kind::Sign(';')));
+            let is_end = matches!(self.next_kind(), Some(TokenKind::Sign(';')));
             return match (is_end, has_no_within) {
                 (true, _) => Ok(steps),
                 (false, true) => Err(self.expected(&["within", ">", ";"])),
@@ -129,7 +129,7 @@
             }
         } else if self.take_word("anywhere") {
             Ok(TargetSyntax::Anywhere)
-        } else if self.at_word("zone") || self.at_word("region") {
+        } else if self.next_is_word("zone") || self.next_is_word("region") {
             self.named_locality().map(TargetSyntax::Named)
         } else {
             Err(self.expected(&["own", "zone", "region", "anywhere"]))
@@ -151,7 +151,7 @@
 
     fn percent(&mut self) -> Parse<Spanned<Percent>> {
         let span = self.next_span();
-        let Some(Kind::Number(number, "%")) = self.next_kind() else {
+        let Some(TokenKind::Number(number, "%")) = self.next_kind() else {
             return Err(self.expected_description("a percentage such as `80%`"));
         };
         self.advance();
@@ -167,31 +167,33 @@
         }
     }
 
-    fn duration(&mut self, max: Duration) -> Parse<Spanned<Duration>> {
+    fn duration(&mut self, limit: Duration) -> Parse<Spanned<Duration>> {
         let span = self.next_span();
         let unit = |unit: &str| UNITS.iter().find(|(name, _)| *name == unit).map(|(_, micros)| *micros);
         let (number, micros) = match self.next_kind() {
-            Some(Kind::Number(number, name)) if unit(name).is_some() => (number, unit(name).unwrap_or(1)),
+            Some(TokenKind::Number(number, name)) if unit(name).is_some() => {
+                (number, unit(name).unwrap_or(1))
+            }
             _ => return Err(self.expected_description("a time such as `5s` (units: us, ms, s, m)")),
         };
         self.advance();
         match scaled(number, micros) {
-            Some(micros) if (1..=max.as_micros() as u64).contains(&micros) => {
+            Some(micros) if (1..=limit.as_micros() as u64).contains(&micros) => {
                 Ok(Spanned { node: Duration::from_micros(micros), span })
             }
             _ => {
                 let message = format!(
                     "the time has to be from 1us to {}, in whole microseconds",
-                    super::print::time(max)
+                    super::print::time(limit)
                 );
                 Err(self.error(span.start, &message))
             }
         }
     }
 
-    fn error(&mut self, at: usize, message: &str) -> super::parser::Skip {
+    fn error(&mut self, at: usize, message: &str) -> super::parser::ErrorReported {
         self.faults.add(at, || message.into());
-        super::parser::Skip
+        super::parser::ErrorReported
     }
 }
 
--- a/crates/locality/src/language/lexer.rs
+++ b/crates/locality/src/language/lexer.rs
@@ -10,7 +10,7 @@
 
 /// Kind of a token, with its content.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Kind<'a> {
+pub(crate) enum TokenKind<'a> {
     /// Keyword or rule name, such as `own` or `booking`.
     Word(&'a str),
     /// Text between quotes, with its escapes.
@@ -30,40 +30,40 @@
 /// A token with its byte range in the text.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Token<'a> {
-    pub(crate) kind: Kind<'a>,
+    pub(crate) kind: TokenKind<'a>,
     pub(crate) span: Range<usize>,
 }
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-fn word<'a>(input: &mut Input<'a>) -> ModalResult<Kind<'a>> {
+fn word<'a>(input: &mut Input<'a>) -> ModalResult<TokenKind<'a>> {
     let first = one_of(|c: char| c.is_ascii_alphabetic() || c == '_');
     (first, take_while(0.., |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-'))
         .take()
-        .map(Kind::Word)
+        .map(TokenKind::Word)
         .parse_next(input)
 }
 
-fn name<'a>(input: &mut Input<'a>) -> ModalResult<Kind<'a>> {
+fn name<'a>(input: &mut Input<'a>) -> ModalResult<TokenKind<'a>> {
     // A name ends with its line. Otherwise each unclosed quote would scan the rest of the text again.
     let piece =
         alt((('\\', one_of(|c| c != '\n')).void(), one_of(|c| !matches!(c, '"' | '\\' | '\n')).void()));
     let content = winnow::combinator::repeat::<_, _, (), _, _>(0.., piece).take();
-    let closed = delimited('"', content, '"').map(Kind::Name);
-    alt((closed, ('"', take_till(0.., '\n')).map(|_| Kind::UnclosedName))).parse_next(input)
+    let closed = delimited('"', content, '"').map(TokenKind::Name);
+    alt((closed, ('"', take_till(0.., '\n')).map(|_| TokenKind::UnclosedName))).parse_next(input)
 }
 
-fn number<'a>(input: &mut Input<'a>) -> ModalResult<Kind<'a>> {
+fn number<'a>(input: &mut Input<'a>) -> ModalResult<TokenKind<'a>> {
     let digits = || take_while(1.., |c: char| c.is_ascii_digit());
     let value = (digits(), opt(preceded('.', digits()))).take();
     let unit = alt(("%", take_while(0.., |c: char| c.is_ascii_alphanumeric() || c == '_')));
-    (value, unit).map(|(number, unit)| Kind::Number(number, unit)).parse_next(input)
+    (value, unit).map(|(number, unit)| TokenKind::Number(number, unit)).parse_next(input)
 }
 
 fn token<'a>(input: &mut Input<'a>) -> ModalResult<Token<'a>> {
-    let comment = preceded('#', take_till(0.., '\n')).map(|text: &str| Kind::Comment(text.trim_end()));
-    let sign = one_of(['{', '}', ';', ',', '>']).map(Kind::Sign);
-    let piece = alt((word, name, number, sign, comment, any.map(Kind::Unexpected)));
+    let comment = preceded('#', take_till(0.., '\n')).map(|text: &str| TokenKind::Comment(text.trim_end()));
+    let sign = one_of(['{', '}', ';', ',', '>']).map(TokenKind::Sign);
+    let piece = alt((word, name, number, sign, comment, any.map(TokenKind::Unexpected)));
     preceded(multispace0, piece.with_span()).map(|(kind, span)| Token { kind, span }).parse_next(input)
 }
 
@@ -99,15 +99,15 @@
         let kinds = tokens("own-x 3.5ms 80%>\"a\\\"b\";\n# no \r\n\"open ;\n é").into_iter();
         let kinds: Vec<_> = kinds.map(|token| token.kind).collect();
         let expected = [
-            Kind::Word("own-x"),
-            Kind::Number("3.5", "ms"),
-            Kind::Number("80", "%"),
-            Kind::Sign('>'),
-            Kind::Name("a\\\"b"),
-            Kind::Sign(';'),
-            Kind::Comment(" no"),
-            Kind::UnclosedName,
-            Kind::Unexpected('é'),
+            TokenKind::Word("own-x"),
+            TokenKind::Number("3.5", "ms"),
+            TokenKind::Number("80", "%"),
+            TokenKind::Sign('>'),
+            TokenKind::Name("a\\\"b"),
+            TokenKind::Sign(';'),
+            TokenKind::Comment(" no"),
+            TokenKind::UnclosedName,
+            TokenKind::Unexpected('é'),
         ];
         assert_eq!(kinds, expected);
         assert_eq!(unquoted("a\\\"b"), "a\"b");
--- a/crates/locality/src/language/mod.rs
+++ b/crates/locality/src/language/mod.rs
@@ -23,12 +23,13 @@
 //!   anywhere in the text, and is the last of [`Rules`]. A text has at most one. If it has none,
 //!   [`Rule::near_first`] is added under the name `default`, which no rule with a `for` may have. The default
 //!   rule is never reported as unused, because it also applies to requests with an unknown class or tenant.
-//! - [`MAX_RULES`] counts the default rule, also an added one. A rule has at most [`MAX_STEPS`] steps.
+//! - [`MAX_RULES`] includes the default rule, even one that was added. A rule has at most [`MAX_STEPS`]
+//!   steps.
 //! - If a deployment has no classes or no tenants, the table has a single row or column for them.
 //! - `own region` includes the own zone unless an earlier step uses it. No step uses a zone that an earlier
 //!   one uses.
-//! - A zone whose round-trip time is unknown at compile time may turn out to be near, so that no step is
-//!   reported as unreachable because of such a zone.
+//! - A zone whose round-trip time is unknown at compile time may turn out to be near, so a step with
+//!   such a zone is not reported as having no effect.
 //! - A rule's name consists of a letter or `_`, then letters, digits, `-` and `_`, with at most
 //!   [`MAX_NAME_CHARS`] characters. Other names are quoted; in quotes, a backslash escapes a quote or a
 //!   backslash.
@@ -70,7 +71,8 @@
 /// Names that a text may use. Their order determines the indices in [`Rules`].
 #[derive(Clone, Copy, Debug)]
 pub struct Names<'a> {
-    /// Zones and regions. Their round-trip times are treated as fixed, so leave out those that change.
+    /// Zones and regions. Include only round-trip times that do not change later: the compiler uses them
+    /// to find steps without effect.
     pub topology: &'a Topology,
     /// Names of the request classes.
     pub classes: &'a [String],
--- a/crates/locality/src/language/print.rs
+++ b/crates/locality/src/language/print.rs
@@ -15,10 +15,10 @@
             }
             rule.fmt(f)?;
         }
-        if !self.rules.is_empty() && !self.end.is_empty() {
+        if !self.rules.is_empty() && !self.comments_at_end.is_empty() {
             f.write_char('\n')?;
         }
-        write_comments(f, "", &self.end)
+        write_comments(f, "", &self.comments_at_end)
     }
 }
 
@@ -35,19 +35,19 @@
 
 impl fmt::Display for RuleSyntax {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write_comments(f, "", &self.before)?;
+        write_comments(f, "", &self.comments_before)?;
         write!(f, "rule {} {{", self.name.node)?;
-        end_line(f, self.head.as_ref())?;
+        end_line(f, self.opening_comment.as_ref())?;
         let mut clauses: Vec<_> = self.clauses.iter().collect();
         clauses.sort_by_key(|clause| clause.clause.node.kind());
         for clause in clauses {
-            write_comments(f, "  ", &clause.before)?;
+            write_comments(f, "  ", &clause.comments_before)?;
             write!(f, "  {};", clause.clause.node)?;
-            end_line(f, clause.after.as_ref())?;
+            end_line(f, clause.comment_after.as_ref())?;
         }
-        write_comments(f, "  ", &self.end)?;
+        write_comments(f, "  ", &self.comments_at_end)?;
         f.write_char('}')?;
-        end_line(f, self.after.as_ref())
+        end_line(f, self.comment_after.as_ref())
     }
 }
 
@@ -65,7 +65,7 @@
                 write!(f, ", back under {} for {}", thresholds.back.node, time(thresholds.back_for.node))
             }
             Self::SpillBelow(min_usable) => write!(f, "spill below {} usable", min_usable.node),
-            Self::Beyond(max_share) => write!(f, "beyond region at most {}", max_share.node),
+            Self::BeyondRegion(max_share) => write!(f, "beyond region at most {}", max_share.node),
             Self::Never(localities) => {
                 write!(f, "never {}", joined(localities.iter().map(|at| &at.node), ", "))
             }
--- a/crates/locality/src/language/reach.rs
+++ b/crates/locality/src/language/reach.rs
@@ -8,23 +8,23 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Reachability of a step: the best case over all zones that may receive a request.
+/// Result of a step for the receiving zone with the best result. Later variants are better.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Reach {
     /// The target includes no zone.
     NoZones,
     /// A `never` clause excludes all zones of the target.
     Excluded,
-    /// The other zones of the target exceed `within`.
+    /// Each zone that is not excluded has a round-trip time above `within`.
     TooFar,
-    /// Earlier steps use the zones that are near enough.
+    /// Earlier steps use each zone whose round-trip time is within the limit.
     UsedEarlier,
     /// The step uses a zone that no earlier step uses.
     Reachable,
 }
 
-/// Largest round-trip time up to which earlier steps use a zone; `Duration::MAX` means always. `None`: no
-/// step uses it.
+/// Largest `within` of the earlier steps that use a zone; `Duration::MAX` if the zone is used at any
+/// round-trip time. `None` if no earlier step uses the zone.
 type UsedUpTo = Option<Duration>;
 
 pub(super) fn check(
@@ -76,7 +76,7 @@
             Reach::Reachable => continue,
             Reach::NoZones => "its target has no zones",
             Reach::Excluded => "`never` excludes all of its zones",
-            Reach::TooFar => "no zone has so short a round-trip time",
+            Reach::TooFar => "the round-trip times of all its zones exceed `within`",
             Reach::UsedEarlier => "earlier steps use all of its zones",
         };
         faults.add(step.span.start, || format!("step `{}` has no effect: {why}", step.node));
--- a/crates/locality/src/rules.rs
+++ b/crates/locality/src/rules.rs
@@ -14,9 +14,9 @@
     OwnZone,
     /// The zones of the region that received the request.
     OwnRegion,
-    /// One given zone.
+    /// A given zone, whichever zone received the request.
     Zone(Zone),
-    /// All zones of one given region.
+    /// All zones of a given region, whichever region received the request.
     Region(Region),
     /// All zones of the topology.
     Anywhere,
@@ -35,7 +35,7 @@
     }
 }
 
-/// One step of `prefer`.
+/// One step of a `prefer` clause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Step {
     /// Zones that the step sends requests to.
@@ -90,7 +90,7 @@
     pub beyond_region_most: f64,
     /// Zones that the rule never uses, sorted.
     pub never: Vec<Zone>,
-    /// Handling of requests for which no step has a usable zone.
+    /// Handling of the rule's requests if no step has a usable zone.
     pub when_lost: WhenLost,
 }
 
@@ -131,7 +131,7 @@
     }
 }
 
-/// All rules of a deployment, and the rule of each class and tenant.
+/// Compiled rules of a deployment, with the rule for each combination of class and tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
     rules: Vec<Rule>,
@@ -142,7 +142,8 @@
 
 impl Rules {
     /// Builds the table from `rule_of`, which returns the index of the rule for a class and a tenant. An
-    /// index out of range selects the last rule. Without any rule, the default rule applies to all requests.
+    /// index out of range selects the last rule. If `rules` is empty, [`Rule::near_first`] applies to all
+    /// requests.
     pub fn new(
         rules: Vec<Rule>,
         classes: usize,
--- a/crates/locality/tests/language.rs
+++ b/crates/locality/tests/language.rs
@@ -199,7 +199,7 @@
     );
     let defaults = rule("a", "") + &rule("b", "");
     let errors = compile_errors(&defaults);
-    assert_eq!(errors, ["line 2, column 6: two rules without `for`: `a` is the default rule already"]);
+    assert_eq!(errors, ["line 2, column 6: a second rule without `for`: `a` is already the default rule"]);
     let twice = rule("a", "for tenant \"inn\";") + &rule("a", "for tenant \"lodge\";");
     assert_eq!(compile_errors(&twice), ["line 2, column 6: rule `a` is already defined above"]);
     // A rule with an error in its `for` clause hides no other rule and does not count as a second default
--- a/crates/locality/tests/round_trip.rs
+++ b/crates/locality/tests/round_trip.rs
@@ -63,16 +63,21 @@
             Clause::SpillOver(SpillThresholds { over, over_for, back, back_for })
         })),
         prop::option::of(percent().prop_map(Clause::SpillBelow)),
-        prop::option::of(percent().prop_map(Clause::Beyond)),
+        prop::option::of(percent().prop_map(Clause::BeyondRegion)),
         prop::option::of(prop::collection::vec(locality().prop_map(unspanned), 1..4).prop_map(Clause::Never)),
         prop::option::of(any::<bool>().prop_map(Clause::WhenLost)),
     );
     let around = prop::collection::vec((comments(), prop::option::of(comment())), 7);
     (kinds, around).prop_map(|((a, b, c, d, e, f, g), around)| {
         let clauses = [a, b, c, d, e, f, g].into_iter().zip(around);
-        let text = |(clause, (before, after)): (Option<Clause>, (Vec<String>, Option<String>))| {
-            clause.map(|clause| ClauseSyntax { before, clause: unspanned(clause), after })
-        };
+        let text =
+            |(clause, (comments_before, comment_after)): (Option<Clause>, (Vec<String>, Option<String>))| {
+                clause.map(|clause| ClauseSyntax {
+                    comments_before,
+                    clause: unspanned(clause),
+                    comment_after,
+                })
+            };
         clauses.filter_map(text).collect()
     })
 }
@@ -80,10 +85,18 @@
 fn any_text() -> impl Strategy<Value = Text> {
     let rule =
         (comments(), "[A-Za-z_][A-Za-z0-9_-]{0,9}", prop::option::of(comment()), clauses(), comments());
-    let rule = (rule, prop::option::of(comment())).prop_map(|((before, name, head, clauses, end), after)| {
-        RuleSyntax { before, name: unspanned(name), head, clauses, end, after }
-    });
-    (prop::collection::vec(rule, 0..4), comments()).prop_map(|(rules, end)| Text { rules, end })
+    let rule = (rule, prop::option::of(comment())).prop_map(
+        |((comments_before, name, opening_comment, clauses, comments_at_end), comment_after)| RuleSyntax {
+            comments_before,
+            name: unspanned(name),
+            opening_comment,
+            clauses,
+            comments_at_end,
+            comment_after,
+        },
+    );
+    (prop::collection::vec(rule, 0..4), comments())
+        .prop_map(|(rules, comments_at_end)| Text { rules, comments_at_end })
 }
 
 /// Draws keywords and tokens of the language, so that random texts get past the first token.
