--- a/crates/failover-agent/src/status.rs
+++ b/crates/failover-agent/src/status.rs
@@ -118,14 +118,14 @@
 /// Returns the known round-trip times; configured values take precedence over measured ones.
 pub(crate) fn rtt_statuses(topology: &Topology, measured: Option<&RttTable>) -> Vec<RttStatus> {
     let mut known = topology.clone();
-    known.set_measured(measured.into_iter().flat_map(|measured| measured.resolve(topology)));
+    known.set_measured_rtts(measured.into_iter().flat_map(|measured| measured.resolve(topology)));
     let pairs = topology.zones().flat_map(|a| topology.zones().filter(move |b| a < *b).map(move |b| (a, b)));
     let rtt_status = |(a, b)| {
         Some(RttStatus {
             a: topology.zone_name(a).to_owned(),
             b: topology.zone_name(b).to_owned(),
-            rtt_ms: known.trip(a, b)?.as_secs_f64() * 1e3,
-            stated: known.stated(a, b).is_some(),
+            rtt_ms: known.rtt(a, b)?.as_secs_f64() * 1e3,
+            stated: known.configured_rtt(a, b).is_some(),
         })
     };
     pairs.filter_map(rtt_status).collect()
--- a/crates/locality/src/language/ast.rs
+++ b/crates/locality/src/language/ast.rs
@@ -1,168 +1,168 @@
-//! A text as it is written: rules, clauses, comments, and where each stands.
+//! Syntax tree of the rule language: rules, clauses and comments, with their positions in the text.
 
 use std::ops::Range;
 use std::time::Duration;
 
-/// Something and the bytes where it stands. Two are the same if they say the same, wherever they stand.
+/// A syntax node with its byte range. Equality ignores the byte range.
 #[derive(Clone, Debug)]
-pub struct At<T> {
-    /// What is said.
+pub struct Spanned<T> {
+    /// Syntax node.
     pub node: T,
-    /// Where, in bytes of the text.
+    /// Byte range of the node in the text.
     pub span: Range<usize>,
 }
 
-impl<T: PartialEq> PartialEq for At<T> {
+impl<T: PartialEq> PartialEq for Spanned<T> {
     fn eq(&self, other: &Self) -> bool {
         self.node == other.node
     }
 }
 
-/// A share, in millionths: so that what is printed is what was written.
+/// A percentage in millionths of the total, so that the printed value equals the written one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Percent(pub u32);
 
 impl Percent {
-    /// All.
-    pub const WHOLE: Self = Self(1_000_000);
+    /// 100 %.
+    pub const HUNDRED: Self = Self(1_000_000);
 
-    /// As a share, 0 to 1.
+    /// Returns the percentage as a share, 0 to 1.
     pub fn share(self) -> f64 {
         f64::from(self.0) / 1e6
     }
 }
 
-/// A text.
+/// Syntax tree of a complete text.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Text {
-    /// Its rules.
-    pub rules: Vec<RuleText>,
-    /// Comments after the last one.
-    pub end: Vec<String>,
+    /// Rules in the order of the text.
+    pub rules: Vec<RuleSyntax>,
+    /// Comments after the last rule, without `#`.
+    pub comments_at_end: Vec<String>,
 }
 
-/// A rule.
+/// Syntax of one rule, with its comments.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RuleText {
-    /// Comments before it.
-    pub before: Vec<String>,
-    /// Its name.
-    pub name: At<String>,
-    /// A comment behind its opening brace.
-    pub head: Option<String>,
-    /// Its clauses; at most one of each kind.
-    pub clauses: Vec<ClauseText>,
-    /// Comments behind its last clause.
-    pub end: Vec<String>,
-    /// A comment behind its closing brace.
-    pub after: Option<String>,
+pub struct RuleSyntax {
+    /// Comments before the rule.
+    pub comments_before: Vec<String>,
+    /// Name of the rule.
+    pub name: Spanned<String>,
+    /// Comment on the line of the opening brace.
+    pub opening_comment: Option<String>,
+    /// Clauses in the order of the text, at most one of each kind.
+    pub clauses: Vec<ClauseSyntax>,
+    /// Comments between the last clause and the closing brace.
+    pub comments_at_end: Vec<String>,
+    /// Comment on the line of the closing brace.
+    pub comment_after: Option<String>,
 }
 
-/// A clause.
+/// Syntax of one clause, with its comments.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClauseText {
-    /// Comments before it, and those that stood inside it.
-    pub before: Vec<String>,
-    /// What it says.
-    pub clause: At<Clause>,
-    /// A comment behind it on the same line.
-    pub after: Option<String>,
+pub struct ClauseSyntax {
+    /// Comments before the clause, and comments moved out of it.
+    pub comments_before: Vec<String>,
+    /// Content of the clause, without its comments.
+    pub clause: Spanned<Clause>,
+    /// Comment after the clause, on the same line.
+    pub comment_after: Option<String>,
 }
 
-/// What a clause says.
+/// Content of a clause.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Clause {
     /// `for class "x", tenant "y"`
-    For(Vec<At<Subject>>),
+    For(Vec<Spanned<Subject>>),
     /// `prefer own zone > anywhere`
-    Prefer(Vec<At<StepText>>),
+    Prefer(Vec<Spanned<StepSyntax>>),
     /// `spill over 80% for 1s, back under 60% for 5s`
-    SpillOver(Over),
+    SpillOver(SpillThresholds),
     /// `spill below 50% usable`
-    SpillBelow(At<Percent>),
+    SpillBelow(Spanned<Percent>),
     /// `beyond region at most 30%`
-    Beyond(At<Percent>),
+    BeyondRegion(Spanned<Percent>),
     /// `never zone "a", region "b"`
-    Never(Vec<At<Named>>),
-    /// `when lost refuse`: whether anywhere is meant.
+    Never(Vec<Spanned<NamedLocality>>),
+    /// `when lost refuse` (false) or `when lost anywhere` (true).
     WhenLost(bool),
 }
 
 impl Clause {
-    /// Kinds are printed in the order of these numbers.
+    /// Returns the number of the clause's kind. Clauses are printed in this order.
     pub fn kind(&self) -> usize {
         match self {
             Self::For(_) => 0,
             Self::Prefer(_) => 1,
             Self::SpillOver(_) => 2,
             Self::SpillBelow(_) => 3,
-            Self::Beyond(_) => 4,
+            Self::BeyondRegion(_) => 4,
             Self::Never(_) => 5,
             Self::WhenLost(_) => 6,
         }
     }
 
-    /// By what words each kind begins.
-    pub const WORDS: [&str; 7] =
+    /// Leading keywords of each kind of clause, indexed by [`Self::kind`].
+    pub const KEYWORDS: [&str; 7] =
         ["for", "prefer", "spill over", "spill below", "beyond region", "never", "when lost"];
 }
 
-/// Whom a rule is for.
+/// Class or tenant that a rule applies to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
-    /// A class by name.
+    /// Name of a class.
     Class(String),
-    /// A tenant by name.
+    /// Name of a tenant.
     Tenant(String),
 }
 
-/// A place by name.
+/// Zone or region given by name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Named {
-    /// A zone.
+pub enum NamedLocality {
+    /// Name of a zone.
     Zone(String),
-    /// A region.
+    /// Name of a region.
     Region(String),
 }
 
-/// Where a step leads.
+/// Syntax of a step's target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PlaceText {
+pub enum TargetSyntax {
     /// `own zone`
     OwnZone,
     /// `own region`
     OwnRegion,
     /// `zone "a"`, `region "b"`
-    Named(Named),
+    Named(NamedLocality),
     /// `anywhere`
     Anywhere,
 }
 
-/// A step of `prefer`.
+/// Syntax of one step of a `prefer` clause.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StepText {
-    /// Where it leads.
-    pub place: PlaceText,
-    /// How far at the most, there and back.
-    pub within: Option<At<Duration>>,
+pub struct StepSyntax {
+    /// Zones that the step sends requests to.
+    pub target: TargetSyntax,
+    /// Maximum round-trip time to a zone.
+    pub within: Option<Spanned<Duration>>,
 }
 
-/// `spill over`.
+/// Content of a `spill over` clause.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Over {
-    /// Load over which it begins.
-    pub over: At<Percent>,
-    /// For how long.
-    pub over_for: At<Duration>,
-    /// Load under which it ends.
-    pub back: At<Percent>,
-    /// For how long.
-    pub back_for: At<Duration>,
+pub struct SpillThresholds {
+    /// Load above which spilling begins.
+    pub over: Spanned<Percent>,
+    /// Time for which the load has to stay above `over`.
+    pub over_for: Spanned<Duration>,
+    /// Load below which spilling ends.
+    pub back: Spanned<Percent>,
+    /// Time for which the load has to stay below `back`.
+    pub back_for: Spanned<Duration>,
 }
 
-impl<T> At<T> {
-    /// Something that stands nowhere, for texts that are made and not read.
-    pub fn nowhere(node: T) -> Self {
+impl<T> Spanned<T> {
+    /// Creates a node with an empty byte range, for syntax trees that are not parsed from a text.
+    pub fn unspanned(node: T) -> Self {
         Self { node, span: 0..0 }
     }
 }
