--- a/crates/engine/src/call.rs
+++ b/crates/engine/src/call.rs
@@ -158,12 +158,12 @@
     Buffered(Bytes),
     /// Body that is forwarded as it is received, with backpressure. Dropping it closes the upstream
     /// connection.
-    Stream(StreamedBody),
+    Stream(BodyStream),
 }
 
 /// Response body that the engine's thread streams to the caller.
 #[derive(Debug)]
-pub struct StreamedBody {
+pub struct BodyStream {
     pub(crate) frames: mpsc::Receiver<StreamItem>,
     pub(crate) size_hint: SizeHint,
     pub(crate) has_ended: bool,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -5,9 +5,7 @@
 
 mod forward_body;
 
-use forward_body::forward_body;
-
-use crate::call::{Call, CallBody, Outcome, Rejection, RejectionReason, Reply, ReplyBody, StreamedBody};
+use crate::call::BodyStream;
 use crate::endpoint_list::EndpointList;
 use crate::label::Label;
 use crate::ledger::{Bounds, Identity};
@@ -21,6 +19,8 @@
 use crate::parts::driver::{Answer, Driver, RequestContext, Trace};
 use crate::parts::upstream::{Lease, Upstreams};
 use crate::source::{EndpointUpdate, Entry, Fixed, Source};
+use crate::{Call, CallBody, Outcome, Rejection, RejectionReason as Reason, Reply, ReplyBody};
+use forward_body::forward_body;
 use hyper::Uri;
 use hyper::body::Body;
 use maplehook_core::{Balancer, Effect, Settings, TenantId, UpdateScope};
@@ -33,7 +33,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::{LocalSet, spawn_local};
-use tokio::time::{sleep_until, timeout, timeout_at};
+use tokio::time::{Instant as TokioInstant, sleep_until, timeout, timeout_at};
 
 /// Length of the command queue. Calls beyond it are rejected, which is safe because they have not run.
 const MAX_QUEUED_COMMANDS: usize = 1024;
@@ -97,15 +97,13 @@
         self
     }
 
-    /// Limits the memory for buffered bodies, in bytes. The default is 16 MiB. Bodies that do not fit are
-    /// streamed.
+    /// Limits the bytes of buffered bodies; 16 MiB by default. Bodies that do not fit are streamed.
     pub fn body_memory(mut self, bytes: usize) -> Self {
         self.body_memory = bytes;
         self
     }
 
-    /// Sets the forwarding rules of each class, in the order of the classes. The default is
-    /// [`Passage::general`].
+    /// Sets the forwarding rules of each class, in class order. The default is [`Passage::general`].
     pub fn passages(mut self, passages: Vec<Passage>) -> Self {
         self.passages = Some(passages);
         self
@@ -208,7 +206,6 @@
     }
 }
 
-/// Notifies waiters when the engine's thread ends.
 struct StopNotifier(watch::Sender<bool>);
 
 impl Drop for StopNotifier {
@@ -228,16 +225,14 @@
     pub passages: Vec<Passage>,
     /// Lease that limits how long the engine may act on this version.
     pub lease: Lease,
-    /// New endpoint list, if it changed. The engine's thread sets it and completes the adoption once the
-    /// balancer has received the list.
+    /// New endpoint list, if it changed. The adoption completes once the balancer has received it.
     pub list: Option<(EndpointList, Vec<Entry>)>,
 }
 
 /// Error that prevents an engine from adopting a version. The previous rules stay in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdoptError {
-    /// The version has fewer classes or tenants than before, so that indices of calls in flight would be
-    /// invalid.
+    /// The version drops classes or tenants, which would invalidate indices of calls in flight.
     ClassesOrTenantsRemoved,
     /// The number of passages differs from the number of classes.
     PassageCountMismatch,
@@ -312,20 +307,15 @@
 }
 
 impl Handle {
-    /// Sends a request to an upstream and returns its final answer. Dropping the future cancels the attempts
-    /// in flight, except for a request in the ledger, which continues so that a repeated call gets its
-    /// answer.
+    /// Sends a request to an upstream and returns its final answer. Dropping the future cancels the attempts,
+    /// except for a request in the ledger, which continues so that a repeated call gets its answer.
     pub async fn call(&self, call: Call) -> Outcome {
         let (reply, outcome) = oneshot::channel();
         let command = Command::Call { call: Box::new(call), sent: Instant::now(), reply };
         if let Err(e) = self.commands.try_send(command) {
             // The core never received the call, so a rejection is safe.
             let is_full = matches!(e, mpsc::error::TrySendError::Full(_));
-            return rejected(if is_full {
-                RejectionReason::QueueFull
-            } else {
-                RejectionReason::ShuttingDown
-            });
+            return rejected(if is_full { Reason::QueueFull } else { Reason::ShuttingDown });
         }
         // The core drops the sender without an answer only if it panics. The call may have run.
         outcome.await.unwrap_or(Outcome::Failed)
@@ -346,9 +336,8 @@
         let _ = self.commands.send(Command::Lease(lease)).await;
     }
 
-    /// Shuts the engine down and returns when it has stopped. New calls are rejected. Calls in flight have
-    /// the time `within` to complete; after that, they get their final answers at once. Several calls of this
-    /// function are one shutdown with the earliest deadline.
+    /// Rejects new calls, gives calls in flight the time `within` to complete, then sends their final answers
+    /// and returns when the engine has stopped. Repeated shutdowns are one, with the earliest deadline.
     pub async fn shutdown(&self, within: Duration) {
         let mut stopped = self.stopped.clone();
         let _ = self.commands.send(Command::Shutdown(Instant::now() + within)).await;
@@ -384,7 +373,6 @@
 }
 
 impl Core {
-    /// Adopts a version and replies once it is in force.
     fn adopt(self: &Rc<Self>, version: Version, reply: oneshot::Sender<Result<(), AdoptError>>) {
         let Version { mut settings, removed_tenants, passages, lease, list } = version;
         let has_removals = settings.classes.len() < self.classes.borrow().len()
@@ -418,41 +406,37 @@
     }
 
     async fn serve(self: Rc<Self>, mut commands: mpsc::Receiver<Command>) {
-        let mut shutdown_at: Option<Instant> = None;
+        let mut stop_at: Option<Instant> = None;
         loop {
-            let deadline = shutdown_at.map(tokio::time::Instant::from_std);
+            let deadline = stop_at.map(TokioInstant::from_std);
             tokio::select! {
                 biased;
                 command = commands.recv() => match command {
-                    Some(Command::Call { reply, .. }) if shutdown_at.is_some() => {
-                        let _ = reply.send(rejected(RejectionReason::ShuttingDown));
+                    Some(Command::Call { reply, .. }) if stop_at.is_some() => {
+                        let _ = reply.send(rejected(Reason::ShuttingDown));
                     }
                     Some(Command::Adopt { version, reply }) => self.adopt(*version, reply),
                     Some(Command::Lease(lease)) => self.upstreams.set_lease(lease),
-                    Some(Command::Call { call, sent, reply }) =>
-                        Rc::clone(&self).start_call(*call, sent, reply),
-                    Some(Command::Shutdown(at)) =>
-                        shutdown_at = Some(shutdown_at.map_or(at, |earlier| earlier.min(at))),
+                    Some(Command::Call { call, sent, reply }) => Rc::clone(&self).start(*call, sent, reply),
+                    Some(Command::Shutdown(at)) => stop_at = Some(stop_at.map_or(at, |first| first.min(at))),
                     // All handles are dropped.
                     None => break,
                 },
-                () = self.dispatcher.wait_until_idle(), if shutdown_at.is_some() => break,
-                () = sleep_until(deadline.unwrap_or_else(tokio::time::Instant::now)),
-                    if shutdown_at.is_some() => break,
+                () = self.dispatcher.wait_until_idle(), if stop_at.is_some() => break,
+                () = sleep_until(deadline.unwrap_or_else(TokioInstant::now)), if stop_at.is_some() => break,
             }
         }
         commands.close();
         while let Ok(command) = commands.try_recv() {
             if let Command::Call { reply, .. } = command {
-                let _ = reply.send(rejected(RejectionReason::ShuttingDown));
+                let _ = reply.send(rejected(Reason::ShuttingDown));
             }
         }
         self.dispatcher.driver().abort_attempts();
         let _ = timeout(FINAL_ANSWER_TIMEOUT, self.dispatcher.wait_until_idle()).await;
     }
 
-    /// Starts the task of a received call.
-    fn start_call(self: Rc<Self>, call: Call, sent: Instant, mut reply: oneshot::Sender<Outcome>) {
+    fn start(self: Rc<Self>, call: Call, sent: Instant, mut reply: oneshot::Sender<Outcome>) {
         let in_flight = self.dispatcher.track();
         spawn_local(async move {
             tokio::select! {
@@ -466,28 +450,26 @@
         });
     }
 
-    async fn run_call(&self, call: Call, sent: Instant) -> Result<(Answer, Trace), RejectionReason> {
+    async fn run_call(&self, call: Call, sent: Instant) -> Result<(Answer, Trace), Reason> {
         let Call { class, tenant, wait, id, method, target, mut headers, body, peer } = call;
-        let rules =
-            self.classes.borrow().get(usize::from(class.0)).cloned().ok_or(RejectionReason::InvalidCall)?;
+        let rules = self.classes.borrow().get(usize::from(class.0)).cloned().ok_or(Reason::InvalidCall)?;
         let wait = wait.min(rules.deadline);
-        let deadline = tokio::time::Instant::from_std(sent + wait);
+        let deadline = TokioInstant::from_std(sent + wait);
         let passage = Rc::clone(&rules.passage);
         let body = match body {
             CallBody::Buffered(body) if body.len() as u64 > passage.body_most => {
-                return Err(RejectionReason::BodyTooLong);
+                return Err(Reason::BodyTooLong);
             }
             CallBody::Buffered(body) => Payload::Buffered(body),
             CallBody::Stream(body) => {
-                let received =
-                    timeout_at(deadline, receive_body(body, &passage, &self.body_memory, wait)).await;
-                received.unwrap_or(Err(Fault::Slow)).map_err(|fault| match fault {
-                    Fault::TooLong => RejectionReason::BodyTooLong,
-                    Fault::BrokeOff | Fault::Slow => RejectionReason::BodyIncomplete,
+                let read = timeout_at(deadline, receive_body(body, &passage, &self.body_memory, wait)).await;
+                read.unwrap_or(Err(Fault::Slow)).map_err(|fault| match fault {
+                    Fault::TooLong => Reason::BodyTooLong,
+                    Fault::BrokeOff | Fault::Slow => Reason::BodyIncomplete,
                 })?
             }
         };
-        self.forwarding.request(&mut headers, &target, peer).map_err(|_| RejectionReason::InvalidCall)?;
+        self.forwarding.request(&mut headers, &target, peer).map_err(|_| Reason::InvalidCall)?;
         let target = target.path_and_query().map(|p| Uri::from(p.clone())).unwrap_or_default();
         let upload = body.upload();
         // A streamed body has its own time limit in addition to the deadline.
@@ -511,10 +493,9 @@
         let traced_answer = self.dispatcher.dispatch(context, identity).await;
         upload.iter().for_each(Upload::discard_rest);
         match (&traced_answer.0, upload.and_then(|upload| upload.fault())) {
-            // A request that is rejected after a body fault is idempotent, so it does not matter whether it
-            // ran.
-            (Answer::Rejected(_), Some(Fault::TooLong)) => Err(RejectionReason::BodyTooLong),
-            (Answer::Rejected(_), Some(_)) => Err(RejectionReason::BodyIncomplete),
+            // A request rejected after a body fault is idempotent, so it does not matter whether it ran.
+            (Answer::Rejected(_), Some(Fault::TooLong)) => Err(Reason::BodyTooLong),
+            (Answer::Rejected(_), Some(_)) => Err(Reason::BodyIncomplete),
             _ => Ok(traced_answer),
         }
     }
@@ -526,21 +507,17 @@
                 let body = match body {
                     ResponseBody::Buffered(body) => ReplyBody::Buffered(body),
                     ResponseBody::Stream(_) => {
-                        let (frames, frame_receiver) = mpsc::channel(1);
+                        let (frames, receiver) = mpsc::channel(1);
                         let size_hint = body.size_hint();
                         spawn_local(forward_body(body, frames, in_flight));
-                        ReplyBody::Stream(StreamedBody {
-                            frames: frame_receiver,
-                            size_hint,
-                            has_ended: false,
-                        })
+                        ReplyBody::Stream(BodyStream { frames: receiver, size_hint, has_ended: false })
                     }
                 };
                 let Trace { attempts, upstream } = trace;
                 Outcome::Served(Reply { status, headers, body, attempts, upstream })
             }
             Answer::Rejected(retry_after) => {
-                Outcome::Rejected(Rejection { reason: RejectionReason::NoCapacity, retry_after })
+                Outcome::Rejected(Rejection { reason: Reason::NoCapacity, retry_after })
             }
             Answer::Failed => Outcome::Failed,
         };
@@ -548,6 +525,6 @@
     }
 }
 
-fn rejected(reason: RejectionReason) -> Outcome {
+fn rejected(reason: Reason) -> Outcome {
     Outcome::Rejected(reason.into())
 }
