--- a/crates/failover-agent/src/config.rs
+++ b/crates/failover-agent/src/config.rs
@@ -35,13 +35,15 @@
     pub fn from_proxy(proxy: &Proxy) -> Option<Self> {
         let places = proxy.places.as_ref()?;
         let Places { topology, own, rules, bounds, addresses, .. } = places;
-        let room = |zone: Zone| {
-            let of_it = || proxy.upstreams.iter().filter(|of| self::zone(proxy, places, of) == Some(zone));
-            let room: Option<f64> = of_it().map(|of| of.room).sum();
-            let weight: f64 = of_it().map(|of| of.weight).sum();
-            room.filter(|_| weight > 0.0).map(|room| room / weight)
+        let zone_capacity = |zone: Zone| {
+            let zone_upstreams = || {
+                proxy.upstreams.iter().filter(|upstream| self::zone(proxy, places, upstream) == Some(zone))
+            };
+            let capacity: Option<f64> = zone_upstreams().map(|upstream| upstream.room).sum();
+            let weight: f64 = zone_upstreams().map(|upstream| upstream.weight).sum();
+            capacity.filter(|_| weight > 0.0).map(|capacity| capacity / weight)
         };
-        let capacity_per_weight = topology.zones().map(room).collect();
+        let capacity_per_weight = topology.zones().map(zone_capacity).collect();
         Some(Self {
             topology: topology.clone(),
             rules: rules.clone(),
@@ -61,6 +63,6 @@
     }
 }
 
-fn zone(proxy: &Proxy, places: &Places, of: &Upstream) -> Option<Zone> {
-    places.topology.zone(proxy.zones.get(usize::from(of.zone.0))?)
+fn zone(proxy: &Proxy, places: &Places, upstream: &Upstream) -> Option<Zone> {
+    places.topology.zone(proxy.zones.get(usize::from(upstream.zone.0))?)
 }
