--- a/crates/proxy/src/whom.rs
+++ b/crates/proxy/src/admin_target.rs
@@ -1,8 +1,8 @@
 //! Whom a command asks, and how an operator's wish is put to it.
 
+use crate::request_signing::sign_request;
 use crate::settings::Outcome;
-use crate::signed::signed;
-use crate::tier::{Answered, ask_with};
+use crate::tier::{AdminResponse, send_request};
 use hyper::StatusCode;
 use maplehook_config::Operator;
 use maplehook_transport::SecretKey;
@@ -13,7 +13,7 @@
 
 /// Whom to ask, and how.
 #[derive(Clone, Debug, clap::Args)]
-pub struct Whom {
+pub struct AdminTarget {
     /// The operators' address of a balancer; that of the file of --config if it is not named here.
     #[arg(long, value_name = "IP:PORT", global = true)]
     address: Option<SocketAddr>,
@@ -25,27 +25,27 @@
     pub json: bool,
 }
 
-impl Whom {
+impl AdminTarget {
     /// Whom to ask.
     pub fn address(&self, operator: &Operator) -> Result<SocketAddr, Box<dyn Error>> {
-        let named = self.address.or(operator.control);
-        named.ok_or_else(|| "which balancer? --address IP:PORT, or --config FILE".into())
+        let address = self.address.or(operator.control);
+        address.ok_or_else(|| "which balancer? --address IP:PORT, or --config FILE".into())
     }
 
     /// Puts a wish, signed: what was answered to it, or that it is refused.
-    pub fn wish(
+    pub fn send(
         &self,
         operator: &Operator,
         path: &str,
-        wish: &impl Serialize,
+        request: &impl Serialize,
     ) -> Result<Outcome, Box<dyn Error>> {
         let address = self.address(operator)?;
-        let of_file = operator.tier.as_ref().map(|tier| tier.secret_file.clone());
-        let file = self.secret_file.clone().or(of_file);
+        let default_file = operator.tier.as_ref().map(|tier| tier.secret_file.clone());
+        let file = self.secret_file.clone().or(default_file);
         let secret = SecretKey::read(&file.ok_or("whose secret? --secret-file FILE, or --config FILE")?)?;
-        let body = serde_json::to_vec(wish)?;
-        let mac = signed(&secret, &body);
-        let Answered { status, body } = ask_with(address, path, Some((&mac, body)))?;
+        let body = serde_json::to_vec(request)?;
+        let mac = sign_request(&secret, &body);
+        let AdminResponse { status, body } = send_request(address, path, Some((&mac, body)))?;
         let text = String::from_utf8_lossy(&body).into_owned();
         match status {
             StatusCode::OK => Ok(Outcome { text, code: 0 }),
--- a/crates/proxy/src/command.rs
+++ b/crates/proxy/src/command.rs
@@ -4,7 +4,7 @@
 use crate::places_command::{Addresses, Places};
 use crate::rollout_command::Rollout;
 use crate::settings::Settings;
-use crate::tier::{self, Shown};
+use crate::tier::{self, TierStatus};
 use clap::{Args, Parser, Subcommand};
 use maplehook_admission::token::TokenSigner;
 use maplehook_config::Operator;
@@ -17,7 +17,7 @@
 /// platform's configuration from the file that NODE_CONFIG names; `run` needs the operator's file alone.
 #[derive(Parser)]
 #[command(version, name = "maplehook-node")]
-pub struct Line {
+pub struct CommandLine {
     /// The operator's file, TOML; see deploy/maplehook.toml. Without one, the defaults hold.
     #[arg(long, value_name = "FILE", global = true)]
     pub config: Option<PathBuf>,
@@ -80,10 +80,10 @@
     /// What there is to show, and whether nobody is missing.
     pub fn run(&self) -> Result<(String, bool), Box<dyn Error>> {
         let Self::Status { address, json } = self;
-        let answer = tier::ask(*address, "/control/tier")?;
-        let shown: Shown = serde_json::from_slice(&answer)?;
+        let answer = tier::get(*address, "/control/tier")?;
+        let shown: TierStatus = serde_json::from_slice(&answer)?;
         let text = if *json { String::from_utf8_lossy(&answer).into_owned() } else { shown.table() };
-        Ok((text, shown.is_whole()))
+        Ok((text, shown.is_complete()))
     }
 }
 
@@ -103,52 +103,52 @@
 
 impl Sign {
     /// The word.
-    pub fn word(&self) -> Result<String, Box<dyn Error>> {
+    pub fn token(&self) -> Result<String, Box<dyn Error>> {
         let now = SystemTime::now().duration_since(UNIX_EPOCH)?.as_secs();
-        let word = signer(&self.secret)?.sign(&self.tenant, now + self.lasts);
-        word.ok_or_else(|| format!("the tenant's name {:?} can't stand in a word", self.tenant).into())
+        let token = token_signer(&self.secret)?.sign(&self.tenant, now + self.lasts);
+        token.ok_or_else(|| format!("the tenant's name {:?} can't stand in a word", self.tenant).into())
     }
 }
 
 /// Reads the secret that signs words.
-pub fn signer(path: &Path) -> Result<TokenSigner, Box<dyn Error>> {
+pub fn token_signer(path: &Path) -> Result<TokenSigner, Box<dyn Error>> {
     let secret = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
     TokenSigner::new(secret.trim_ascii())
         .ok_or_else(|| format!("{}: a secret has 16 bytes at least", path.display()).into())
 }
 
 /// Reads the operator's file, if there is one.
-pub fn operator(path: Option<&Path>) -> Result<Operator, Box<dyn Error>> {
-    path.map_or_else(|| Ok(Operator::default()), |path| Ok(with_text(path)?.0))
+pub fn load_operator(path: Option<&Path>) -> Result<Operator, Box<dyn Error>> {
+    path.map_or_else(|| Ok(Operator::default()), |path| Ok(load_operator_with_text(path)?.0))
 }
 
 /// Puts the text of the file that `locality.rules_file` names in its place, beside the operator's file: what balancers share must
 /// not depend on a disk.
-pub fn with_rules(path: &Path, text: String) -> Result<String, Box<dyn Error>> {
-    let read = |file: &str| {
+pub fn inline_rules_file(path: &Path, text: String) -> Result<String, Box<dyn Error>> {
+    let read_rules = |file: &str| {
         let file = path.parent().unwrap_or(Path::new("")).join(file);
         std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))
     };
     match maplehook_config::rules_file(&text) {
-        Some(file) => Ok(maplehook_config::with_rules(&text, &read(&file)?)),
+        Some(file) => Ok(maplehook_config::with_rules(&text, &read_rules(&file)?)),
         None => Ok(text),
     }
 }
 
 /// Reads a file of text; one that is none is named with the line where it ceases to be.
-pub fn text_of(path: &Path) -> Result<String, String> {
+pub fn read_utf8_file(path: &Path) -> Result<String, String> {
     let bytes = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
     String::from_utf8(bytes).map_err(|e| {
-        let good = &e.as_bytes()[..e.utf8_error().valid_up_to()];
-        let line = good.iter().filter(|byte| **byte == b'\n').count() + 1;
+        let valid_prefix = &e.as_bytes()[..e.utf8_error().valid_up_to()];
+        let line = valid_prefix.iter().filter(|byte| **byte == b'\n').count() + 1;
         format!("{}: line {line}: this is no text in UTF-8", path.display())
     })
 }
 
 /// Reads an operator's file, and keeps its text.
-pub fn with_text(path: &Path) -> Result<(Operator, String), Box<dyn Error>> {
-    let text = text_of(path)?;
-    let text = with_rules(path, text)?;
+pub fn load_operator_with_text(path: &Path) -> Result<(Operator, String), Box<dyn Error>> {
+    let text = read_utf8_file(path)?;
+    let text = inline_rules_file(path, text)?;
     let operator = maplehook_config::parse(&text).map_err(|e| format!("{}:\n{e}", path.display()))?;
     Ok((operator, text))
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,6 +1,6 @@
 //! What the platform tells a balancer at its start: the JSON file that `NODE_CONFIG` names.
 
-use crate::command::text_of;
+use crate::command::read_utf8_file;
 use maplehook_admission::descriptor_budget::{MIN_DESCRIPTORS, TooFewDescriptorsError};
 use maplehook_platform_settings::{ActiveSettings, SettingsParseError, check_required_keys};
 use serde::Deserialize;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// One part of so many of the memory may hold long answers; reading one takes it twice for a moment.
-const LONG_ANSWERS_PART: usize = 5;
+const RESPONSE_BUFFER_MEMORY_DIVISOR: usize = 5;
 
 /// A balancer's configuration.
 #[derive(Debug)]
@@ -30,11 +30,11 @@
     /// What the process may use.
     pub limits: Limits,
     /// The upstreams last known, in discovery's form; empty if none are.
-    pub known: String,
+    pub cached_endpoints: String,
     /// The settings of the site.
-    pub tuned: ActiveSettings,
+    pub settings_state: ActiveSettings,
     /// The keys that the file has to go on having.
-    like: Value,
+    required_shape: Value,
 }
 
 /// Why no balancer can start.
@@ -50,7 +50,7 @@
 impl std::error::Error for ConfigError {}
 
 #[derive(Deserialize)]
-struct Raw<'a> {
+struct RawConfig<'a> {
     #[serde(default)]
     name: String,
     listen: SocketAddr,
@@ -85,31 +85,31 @@
 }
 
 /// The file that `NODE_CONFIG` names: its name, and its text.
-fn read() -> Result<(String, String), ConfigError> {
+fn read_config_file() -> Result<(String, String), ConfigError> {
     let path = std::env::var_os("NODE_CONFIG")
         .ok_or_else(|| ConfigError("NODE_CONFIG names no configuration file".into()))?;
-    let text = text_of(Path::new(&path)).map_err(ConfigError)?;
+    let text = read_utf8_file(Path::new(&path)).map_err(ConfigError)?;
     Ok((path.to_string_lossy().into_owned(), text))
 }
 
 /// Reads JSON; what can't be read is named with its key, line and column.
-fn json<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, ConfigError> {
+fn parse_json<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, ConfigError> {
     let mut json = serde_json::Deserializer::from_str(text);
-    let read = serde_path_to_error::deserialize(&mut json).map_err(|e| {
+    let result = serde_path_to_error::deserialize(&mut json).map_err(|e| {
         let path = e.path().to_string();
         // Where no key has been read yet there is a question mark.
         let key = path.trim_end_matches(['.', '?']);
         ConfigError(if key.is_empty() { e.inner().to_string() } else { format!("{key}: {}", e.inner()) })
     })?;
     json.end().map_err(|e| ConfigError(e.to_string()))?;
-    Ok(read)
+    Ok(result)
 }
 
 impl Config {
     /// Reads the file that `NODE_CONFIG` names.
     pub fn from_env() -> Result<Self, ConfigError> {
-        let (shown, text) = read()?;
-        let mut config = Self::parse(&text).map_err(|e| ConfigError(format!("{shown}: {e}")))?;
+        let (path, text) = read_config_file()?;
+        let mut config = Self::parse(&text).map_err(|e| ConfigError(format!("{path}: {e}")))?;
         if let (None, Ok(operator)) = (config.operator, std::env::var("NODE_OPERATOR")) {
             let operator = operator.parse().map_err(|e| ConfigError(format!("NODE_OPERATOR: {e}")))?;
             config.operator = Some(operator);
@@ -119,33 +119,34 @@
 
     /// What of the file that `NODE_CONFIG` names now may be taken while this process runs: discovery's address and the
     /// settings, `now` since its start; whole, or not at all.
-    pub fn retuned(
+    pub fn reload(
         &self,
         now: Duration,
-        tuned: &ActiveSettings,
+        settings_state: &ActiveSettings,
     ) -> Result<(SocketAddr, ActiveSettings), ConfigError> {
-        let (shown, text) = read()?;
-        self.retuned_by(now, tuned, &text).map_err(|e| ConfigError(format!("{shown}: {e}")))
+        let (path, text) = read_config_file()?;
+        self.reload_from_text(now, settings_state, &text).map_err(|e| ConfigError(format!("{path}: {e}")))
     }
 
-    fn retuned_by(
+    fn reload_from_text(
         &self,
         now: Duration,
-        tuned: &ActiveSettings,
+        settings_state: &ActiveSettings,
         text: &str,
     ) -> Result<(SocketAddr, ActiveSettings), ConfigError> {
-        let wrong = |wrong: SettingsParseError| ConfigError(wrong.to_string());
-        let value: Value = json(text)?;
-        check_required_keys(&self.like, &value, "").map_err(wrong)?;
-        let raw: Raw<'_> = json(text)?;
-        let tuned = tuned.updated(now, raw.settings.get(), "settings").map_err(wrong)?;
-        Ok((raw.discovery, tuned))
+        let to_config_error = |to_config_error: SettingsParseError| ConfigError(to_config_error.to_string());
+        let value: Value = parse_json(text)?;
+        check_required_keys(&self.required_shape, &value, "").map_err(to_config_error)?;
+        let raw: RawConfig<'_> = parse_json(text)?;
+        let settings_state =
+            settings_state.updated(now, raw.settings.get(), "settings").map_err(to_config_error)?;
+        Ok((raw.discovery, settings_state))
     }
 
     /// Reads the text of that file.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
-        let mut like: Value = json(text)?;
-        let raw: Raw<'_> = json(text)?;
+        let mut required_shape: Value = parse_json(text)?;
+        let raw: RawConfig<'_> = parse_json(text)?;
         let seed = u64::from_str_radix(&raw.seed, 16).map_err(|e| ConfigError(format!("seed: {e}")))?;
         if raw.limits.sockets < MIN_DESCRIPTORS {
             return Err(ConfigError(format!(
@@ -153,12 +154,15 @@
                 TooFewDescriptorsError(raw.limits.sockets)
             )));
         }
-        let tuned =
+        let settings_state =
             ActiveSettings::new(raw.settings.get(), "settings").map_err(|e| ConfigError(e.to_string()))?;
-        if let Value::Object(like) = &mut like {
+        if let Value::Object(required_shape) = &mut required_shape {
             // What it knew of the list is of no use to a process that runs, and the settings know their own keys.
-            like.remove("known");
-            like.iter_mut().filter(|(key, _)| *key != "limits").for_each(|(_, value)| *value = Value::Null);
+            required_shape.remove("known");
+            required_shape
+                .iter_mut()
+                .filter(|(key, _)| *key != "limits")
+                .for_each(|(_, value)| *value = Value::Null);
         }
         Ok(Self {
             name: raw.name,
@@ -167,15 +171,15 @@
             discovery: raw.discovery,
             seed,
             limits: raw.limits,
-            known: raw.known.map_or_else(String::new, |k| k.get().to_owned()),
-            tuned,
-            like,
+            cached_endpoints: raw.known.map_or_else(String::new, |k| k.get().to_owned()),
+            settings_state,
+            required_shape,
         })
     }
 
     /// How many bytes the long answers in hand may hold.
-    pub fn long_answers(&self) -> usize {
-        (self.limits.memory_mb as usize).saturating_mul(1024 * 1024) / LONG_ANSWERS_PART
+    pub fn max_buffered_response_bytes(&self) -> usize {
+        (self.limits.memory_mb as usize).saturating_mul(1024 * 1024) / RESPONSE_BUFFER_MEMORY_DIVISOR
     }
 }
 
@@ -183,26 +187,26 @@
 mod tests {
     use super::*;
 
-    const GOOD: &str = r#"{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
+    const VALID: &str = r#"{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"rev": 4, "targets": []},
         "settings": {"classes": [{"name": "a", "aim_ms": 200, "effect": "idempotent"}]}}"#;
 
     #[test]
-    fn a_good_one_is_read() {
-        let config = Config::parse(GOOD).unwrap();
+    fn parses_a_valid_configuration() {
+        let config = Config::parse(VALID).unwrap();
         assert_eq!((config.seed, config.limits.sockets), (0x8c1f_30d2_7a5b_e964, 1024));
-        assert!(config.known.contains("targets"));
+        assert!(config.cached_endpoints.contains("targets"));
     }
 
     #[test]
-    fn what_is_wrong_is_named() {
-        for (from, to, named) in [
+    fn names_the_invalid_value_in_the_error() {
+        for (from, to, expected) in [
             ("127.0.0.1:9", "nowhere", "socket address"),
             ("8c1f", "zzzz", "seed"),
             ("idempotent", "maybe", "maybe"),
         ] {
-            let error = Config::parse(&GOOD.replace(from, to)).unwrap_err().to_string();
-            assert!(error.contains(named), "{error}");
+            let error = Config::parse(&VALID.replace(from, to)).unwrap_err().to_string();
+            assert!(error.contains(expected), "{error}");
         }
     }
 }
--- a/crates/proxy/src/retune.rs
+++ b/crates/proxy/src/config_reload.rs
@@ -17,11 +17,11 @@
 use tokio::time::Instant;
 
 /// How long a process stays after SIGTERM, by its settings.
-pub type Grace = Rc<Cell<Duration>>;
+pub type SharedGrace = Rc<Cell<Duration>>;
 
 /// From here on SIGHUP ends this process no more, and one that comes before [`Retuner::run`] listens is kept for it: the
 /// platform may send it as soon as the process is there, and while the configuration that it is about is being read.
-pub fn catch_hangups() -> io::Result<()> {
+pub fn install_hangup_handler() -> io::Result<()> {
     let runtime = Builder::new_current_thread().enable_io().build()?;
     let _entered = runtime.enter();
     // The handler stays for good. What it has noted is passed on by the runtime that serves.
@@ -29,7 +29,7 @@
 }
 
 /// Whom new settings concern.
-pub struct Retuner {
+pub struct ConfigReloader {
     /// What the process was started with.
     pub config: Config,
     /// The connections to the list.
@@ -41,24 +41,24 @@
     /// A descriptor for the file.
     pub descriptors: Rc<Descriptors>,
     /// How long a process stays after SIGTERM.
-    pub grace: Grace,
+    pub grace: SharedGrace,
     /// The same, by settings.
-    pub grace_by: fn(&ActiveSettings) -> Duration,
+    pub grace_from_settings: fn(&ActiveSettings) -> Duration,
 }
 
-impl Retuner {
+impl ConfigReloader {
     /// Reads the file at each SIGHUP, as long as the process lives.
     pub async fn run(self, mut hangup: Signal, driver: Rc<Driver>, counting: Rc<Counting>) {
-        let (start, mut tuned) = (Instant::now(), self.config.tuned.clone());
+        let (start, mut settings) = (Instant::now(), self.config.settings_state.clone());
         while hangup.recv().await.is_some() {
-            let read = self.descriptors.with_spare(|| self.config.retuned(start.elapsed(), &tuned));
-            match read {
-                Ok((discovery, new)) => {
+            let result = self.descriptors.with_spare(|| self.config.reload(start.elapsed(), &settings));
+            match result {
+                Ok((discovery, new_settings)) => {
                     counting.tally().conf_loaded.inc();
-                    tracing::info!(%discovery, retuned = new != tuned, "configuration read anew");
-                    if new != tuned {
-                        self.retune(&new, &driver, &counting);
-                        tuned = new;
+                    tracing::info!(%discovery, retuned = new_settings != settings, "configuration read anew");
+                    if new_settings != settings {
+                        self.apply_settings(&new_settings, &driver, &counting);
+                        settings = new_settings;
                     }
                     if self.discovery.set_address(discovery) {
                         driver.restart_watch();
@@ -73,14 +73,14 @@
     }
 
     /// The decisions come first: no request may come by a class or tenant that they do not know.
-    fn retune(&self, tuned: &ActiveSettings, driver: &Rc<Driver>, counting: &Counting) {
-        let site = tuned.current();
-        driver.update_settings(site.settings.clone(), tuned.removed_tenants());
+    fn apply_settings(&self, settings: &ActiveSettings, driver: &Rc<Driver>, counting: &Counting) {
+        let site = settings.current();
+        driver.update_settings(site.settings.clone(), settings.removed_tenants());
         counting.name(&site.names.classes);
         let guarantees: Vec<f64> = site.settings.tenants.iter().map(|t| t.allowance_per_s).collect();
         self.admission.set_tenant_guarantees(&guarantees);
         self.discovery.set_names(site.names.clone());
-        self.grace.set((self.grace_by)(tuned));
-        self.requests.update_settings(tuned);
+        self.grace.set((self.grace_from_settings)(settings));
+        self.requests.update_settings(settings);
     }
 }
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -4,12 +4,12 @@
 //! It has a thread of its own, so that no client, tick or body can keep an operator waiting: the counts are read where
 //! they stand. Callers that send nothing or half a call have so much time and so many places, and make room.
 
-use crate::places::{self, Desk};
+use crate::places::{self, PlacesApi};
 use crate::rejections::{MAX_DISCARDED_BYTES, linger};
+use crate::request_signing;
 use crate::rollout;
-use crate::signed;
-use crate::tier::Shown;
-use crate::wishes::{self, Guard};
+use crate::settings_api::{self, SettingsApi};
+use crate::tier::TierStatus;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
@@ -33,25 +33,25 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 /// Calls that may be open at once.
-const CALLS: usize = 16;
+const MAX_CONNECTIONS: usize = 16;
 /// Descriptors that it may hold: the calls, one that has just been accepted, the listener and its poller's.
-pub const DESCRIPTORS: usize = CALLS + 5;
+pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 5;
 /// How long a call may take to come whole.
-const HEAD_MOST: Duration = Duration::from_secs(5);
+const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long it may take to be answered after that: a wish may wait for a lease.
-const ANSWER_MOST: Duration = Duration::from_secs(20);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long a caller is left its place, whoever waits: any that means it has asked by then.
-const PROMPT: Duration = Duration::from_millis(200);
+const MIN_CONNECTION_TIME: Duration = Duration::from_millis(200);
 /// The longest head.
-const BUFFER: usize = 8 * 1024;
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// How long the tier's thread has for its part of an answer.
-const TIER_MOST: Duration = Duration::from_millis(800);
+const TIER_STATUS_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause after an accept that failed.
-const PAUSE: Duration = Duration::from_millis(10);
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What operators are told.
 #[derive(Clone, Default)]
-pub struct Board {
+pub struct AdminState {
     /// The figures.
     pub tally: Arc<Tally>,
     /// Whether this process takes clients.
@@ -59,38 +59,42 @@
     /// How it stands in its tier, if it is of one.
     pub tier: Option<StatusClient>,
     /// Whether it refuses everything, since it has lost touch with the others.
-    pub refuses: Arc<AtomicBool>,
+    pub rejects_all: Arc<AtomicBool>,
     /// The versions, if it agrees on some.
-    pub settings: Option<Arc<Guard>>,
+    pub settings: Option<Arc<SettingsApi>>,
     /// Places and addresses, if it takes part in them.
-    pub places: Option<Desk>,
+    pub places: Option<PlacesApi>,
     /// Changes in stages, if it agrees on some.
-    pub rollout: Option<rollout::Desk>,
+    pub rollout: Option<rollout::RolloutApi>,
 }
 
 /// A second address, which another process may still hold.
-pub struct Late {
+pub struct DeferredAddress {
     /// The address.
     pub address: SocketAddr,
     /// How it is told in the log.
-    pub told: &'static str,
+    pub log_key: &'static str,
     /// It is let go of when that is sent or dropped.
     pub release: oneshot::Receiver<()>,
 }
 
 /// Binds the address and answers there until the process ends, and at a later one. Returns the address.
-pub fn serve(address: SocketAddr, board: Board, late: Option<Late>) -> io::Result<SocketAddr> {
+pub fn serve(
+    address: SocketAddr,
+    state: AdminState,
+    deferred: Option<DeferredAddress>,
+) -> io::Result<SocketAddr> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     let bound = listener.local_addr()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     std::thread::Builder::new().name("operators".into()).stack_size(256 * 1024).spawn(move || {
         runtime.block_on(async move {
-            if let Some(late) = late {
-                spawn(answer_late(late, board.clone()));
+            if let Some(deferred) = deferred {
+                spawn(serve_deferred(deferred, state.clone()));
             }
             match TcpListener::from_std(listener) {
-                Ok(listener) => accept(listener, board).await,
+                Ok(listener) => accept(listener, state).await,
                 Err(e) => tracing::error!("the operators' address: {e}"),
             }
         });
@@ -98,47 +102,50 @@
     Ok(bound)
 }
 
-async fn answer_late(Late { address, told, mut release }: Late, board: Board) {
-    let mut waits = false;
+async fn serve_deferred(
+    DeferredAddress { address, log_key, mut release }: DeferredAddress,
+    state: AdminState,
+) {
+    let mut is_waiting = false;
     let listener = loop {
         match TcpListener::bind(address).await {
             Ok(listener) => break listener,
-            Err(e) if !std::mem::replace(&mut waits, true) => {
+            Err(e) if !std::mem::replace(&mut is_waiting, true) => {
                 tracing::info!("operators' calls on {address} wait: {e}");
             }
             Err(_) => {}
         }
-        if timeout(PAUSE, &mut release).await.is_ok() {
+        if timeout(RETRY_INTERVAL, &mut release).await.is_ok() {
             return;
         }
     };
     match listener.local_addr() {
-        Ok(bound) => tracing::info!("operators may call {told}={bound}"),
+        Ok(bound) => tracing::info!("operators may call {log_key}={bound}"),
         Err(e) => tracing::warn!("operators' calls on {address}: {e}"),
     }
     tokio::select! {
-        () = accept(listener, board) => {}
+        () = accept(listener, state) => {}
         _ = release => {}
     }
 }
 
 /// An open call.
-struct Call {
+struct OpenConnection {
     task: JoinHandle<()>,
     since: Instant,
 }
 
-async fn accept(listener: TcpListener, board: Board) {
-    let mut calls: VecDeque<Call> = VecDeque::new();
+async fn accept(listener: TcpListener, state: AdminState) {
+    let mut connections: VecDeque<OpenConnection> = VecDeque::new();
     loop {
-        calls.retain(|call| !call.task.is_finished());
-        if calls.len() >= CALLS
-            && let Some(mut oldest) = calls.pop_front()
+        connections.retain(|serve_connection| !serve_connection.task.is_finished());
+        if connections.len() >= MAX_CONNECTIONS
+            && let Some(mut oldest) = connections.pop_front()
         {
             // It makes room, once it has had its time.
             tokio::select! {
                 _ = &mut oldest.task => {}
-                () = sleep_until(oldest.since + PROMPT) => {
+                () = sleep_until(oldest.since + MIN_CONNECTION_TIME) => {
                     oldest.task.abort();
                     let _ = oldest.task.await;
                 }
@@ -147,76 +154,76 @@
         }
         match listener.accept().await {
             Ok((stream, _)) => {
-                let task = spawn(call(stream, board.clone()));
-                calls.push_back(Call { task, since: Instant::now() });
+                let task = spawn(serve_connection(stream, state.clone()));
+                connections.push_back(OpenConnection { task, since: Instant::now() });
             }
             Err(e) => {
                 tracing::debug!("the operators' address: {e}");
-                if let Some(oldest) = calls.pop_front() {
+                if let Some(oldest) = connections.pop_front() {
                     oldest.task.abort();
                 }
-                sleep(PAUSE).await;
+                sleep(RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-async fn call(stream: TcpStream, board: Board) {
+async fn serve_connection(stream: TcpStream, state: AdminState) {
     // An unset option costs time, not truth.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
-        let board = board.clone();
-        async move { Ok::<_, Infallible>(answer(request, &board).await) }
+        let state = state.clone();
+        async move { Ok::<_, Infallible>(respond(request, &state).await) }
     });
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new());
-    builder.keep_alive(false).max_buf_size(BUFFER).header_read_timeout(HEAD_MOST);
+    builder.keep_alive(false).max_buf_size(MAX_HEAD_BYTES).header_read_timeout(REQUEST_READ_TIMEOUT);
     let served = timeout(
-        HEAD_MOST + ANSWER_MOST,
+        REQUEST_READ_TIMEOUT + RESPONSE_TIMEOUT,
         builder.serve_connection(TokioIo::new(stream), service).without_shutdown(),
     );
     let Ok(Ok(parts)) = served.await else { return };
     linger(parts.io.into_inner(), MAX_DISCARDED_BYTES).await;
 }
 
-async fn answer(request: Request<Incoming>, board: &Board) -> Response<Full<Bytes>> {
+async fn respond(request: Request<Incoming>, state: &AdminState) -> Response<Full<Bytes>> {
     const TEXT: &str = "text/plain";
     let path = request.uri().path();
-    let there_is = match path {
+    let path_exists = match path {
         "/control/ready" | "/control/counters" => true,
-        "/control/tier" => board.tier.is_some(),
-        wishes::PATH => board.settings.is_some(),
-        rollout::PATH | rollout::OWN => board.rollout.is_some(),
-        places::PLACES | places::ADDRESSES => board.places.is_some(),
-        path => board.places.is_some() && path.starts_with(places::ANNOUNCE),
+        "/control/tier" => state.tier.is_some(),
+        settings_api::PATH => state.settings.is_some(),
+        rollout::PATH | rollout::OWN_TARGET_PATH => state.rollout.is_some(),
+        places::PLACES_PATH | places::ADDRESSES_PATH => state.places.is_some(),
+        path => state.places.is_some() && path.starts_with(places::ANNOUNCE_PREFIX),
     };
-    let posts =
-        matches!(path, wishes::PATH | places::PLACES | rollout::PATH) && *request.method() == Method::POST;
-    let (status, kind, text) = if !there_is {
-        let tier = if board.tier.is_some() { ", /control/tier" } else { "" };
-        let settings = if board.settings.is_some() { ", /control/settings" } else { "" };
+    let is_post = matches!(path, settings_api::PATH | places::PLACES_PATH | rollout::PATH)
+        && *request.method() == Method::POST;
+    let (status, content_type, text) = if !path_exists {
+        let tier = if state.tier.is_some() { ", /control/tier" } else { "" };
+        let settings = if state.settings.is_some() { ", /control/settings" } else { "" };
         let places =
-            if board.places.is_some() { ", /control/places, /control/addresses, /announce/NAME" } else { "" };
-        let rollout = if board.rollout.is_some() { ", /control/rollout, /control/rollout/own" } else { "" };
+            if state.places.is_some() { ", /control/places, /control/addresses, /announce/NAME" } else { "" };
+        let rollout = if state.rollout.is_some() { ", /control/rollout, /control/rollout/own" } else { "" };
         let text =
             format!("/control/ready, /control/counters{tier}{settings}{places}{rollout} are what there is\n");
         (StatusCode::NOT_FOUND, TEXT, text)
-    } else if !posts && !matches!(*request.method(), Method::GET | Method::HEAD) {
+    } else if !is_post && !matches!(*request.method(), Method::GET | Method::HEAD) {
         (StatusCode::METHOD_NOT_ALLOWED, TEXT, "GET alone\n".into())
-    } else if !posts && !request.body().is_end_stream() {
+    } else if !is_post && !request.body().is_end_stream() {
         (StatusCode::BAD_REQUEST, TEXT, "a call has no body\n".into())
     } else {
-        match (path, &board.settings, &board.places) {
-            (rollout::PATH | rollout::OWN, ..) => rollouts(request, board).await,
-            ("/control/counters", ..) => (StatusCode::OK, tally::CONTENT_TYPE, board.tally.text()),
-            ("/control/tier", ..) => shown(board).await,
-            (wishes::PATH, Some(guard), _) => settings(request, guard).await,
-            (places::PLACES, _, Some(desk)) => desk_of(request, desk).await,
-            (places::ADDRESSES, _, Some(desk)) => kind(desk.addresses()),
-            (path, _, Some(desk)) if path.starts_with(places::ANNOUNCE) => {
-                kind(desk.announce(&path[places::ANNOUNCE.len()..]))
+        match (path, &state.settings, &state.places) {
+            (rollout::PATH | rollout::OWN_TARGET_PATH, ..) => rollout_response(request, state).await,
+            ("/control/counters", ..) => (StatusCode::OK, tally::CONTENT_TYPE, state.tally.text()),
+            ("/control/tier", ..) => tier_response(state).await,
+            (settings_api::PATH, Some(api), _) => settings_response(request, api).await,
+            (places::PLACES_PATH, _, Some(api)) => places_response(request, api).await,
+            (places::ADDRESSES_PATH, _, Some(api)) => with_content_type(api.addresses()),
+            (path, _, Some(api)) if path.starts_with(places::ANNOUNCE_PREFIX) => {
+                with_content_type(api.announce(&path[places::ANNOUNCE_PREFIX.len()..]))
             }
-            _ if board.ready.load(Ordering::Acquire) && !board.refuses.load(Ordering::Acquire) => {
+            _ if state.ready.load(Ordering::Acquire) && !state.rejects_all.load(Ordering::Acquire) => {
                 (StatusCode::OK, TEXT, "yes\n".into())
             }
             _ => (StatusCode::SERVICE_UNAVAILABLE, TEXT, "no\n".into()),
@@ -225,7 +232,7 @@
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
     let headers = response.headers_mut();
-    headers.insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    headers.insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
     if status == StatusCode::METHOD_NOT_ALLOWED {
         headers.insert(ALLOW, HeaderValue::from_static("GET, HEAD"));
@@ -233,48 +240,57 @@
     response
 }
 
-async fn settings(request: Request<Incoming>, guard: &Guard) -> (StatusCode, &'static str, String) {
+async fn settings_response(
+    request: Request<Incoming>,
+    api: &SettingsApi,
+) -> (StatusCode, &'static str, String) {
     let query = request.uri().query().map(str::to_owned);
-    kind(match posted(request, wishes::BODY_MOST).await {
-        Some(Ok((mac, body))) => guard.wish(mac.as_deref(), &body).await,
-        Some(Err(too_long)) => too_long,
-        None => guard.show(query.as_deref()).await,
+    with_content_type(match read_post(request, settings_api::MAX_BODY_BYTES).await {
+        Some(Ok((mac, body))) => api.handle_post(mac.as_deref(), &body).await,
+        Some(Err(rejection)) => rejection,
+        None => api.handle_get(query.as_deref()).await,
     })
 }
 
-async fn rollouts(request: Request<Incoming>, board: &Board) -> (StatusCode, &'static str, String) {
-    let Some(desk) = &board.rollout else { return kind((StatusCode::NOT_FOUND, "nothing\n".into())) };
-    if request.uri().path() == rollout::OWN {
-        return kind(desk.own());
+async fn rollout_response(
+    request: Request<Incoming>,
+    state: &AdminState,
+) -> (StatusCode, &'static str, String) {
+    let Some(api) = &state.rollout else {
+        return with_content_type((StatusCode::NOT_FOUND, "nothing\n".into()));
+    };
+    if request.uri().path() == rollout::OWN_TARGET_PATH {
+        return with_content_type(api.own_target());
     }
     let query = request.uri().query().map(str::to_owned);
-    kind(match posted(request, rollout::BODY_MOST).await {
-        Some(Ok((mac, body))) => desk.wish(mac.as_deref(), &body).await,
-        Some(Err(too_long)) => too_long,
-        None => desk.show(query.as_deref()),
+    with_content_type(match read_post(request, rollout::MAX_BODY_BYTES).await {
+        Some(Ok((mac, body))) => api.handle_post(mac.as_deref(), &body).await,
+        Some(Err(rejection)) => rejection,
+        None => api.handle_get(query.as_deref()),
     })
 }
 
-async fn desk_of(request: Request<Incoming>, desk: &Desk) -> (StatusCode, &'static str, String) {
+async fn places_response(request: Request<Incoming>, api: &PlacesApi) -> (StatusCode, &'static str, String) {
     let query = request.uri().query().map(str::to_owned);
-    kind(match posted(request, places::BODY_MOST).await {
-        Some(Ok((mac, body))) => desk.wish(mac.as_deref(), &body).await,
-        Some(Err(too_long)) => too_long,
-        None => desk.places(query.as_deref()),
+    with_content_type(match read_post(request, places::MAX_BODY_BYTES).await {
+        Some(Ok((mac, body))) => api.handle_post(mac.as_deref(), &body).await,
+        Some(Err(rejection)) => rejection,
+        None => api.handle_get(query.as_deref()),
     })
 }
 
 /// The MAC and the body of a `POST`; `None` for what is none.
-async fn posted(
+async fn read_post(
     request: Request<Incoming>,
-    most: usize,
+    max_bytes: usize,
 ) -> Option<Result<(Option<String>, Bytes), (StatusCode, String)>> {
     let (parts, body) = request.into_parts();
     if parts.method != Method::POST {
         return None;
     }
-    let mac = parts.headers.get(signed::MAC).and_then(|mac| mac.to_str().ok()).map(str::to_owned);
-    Some(match timeout(HEAD_MOST, Limited::new(body, most).collect()).await {
+    let mac =
+        parts.headers.get(request_signing::MAC_HEADER).and_then(|mac| mac.to_str().ok()).map(str::to_owned);
+    Some(match timeout(REQUEST_READ_TIMEOUT, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => Ok((mac, body.to_bytes())),
         Ok(Err(_)) | Err(_) => {
             Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is too long, or broke off\n".into()))
@@ -283,17 +299,17 @@
 }
 
 /// What is well is JSON, and so are the reasons that begin as such.
-fn kind((status, text): (StatusCode, String)) -> (StatusCode, &'static str, String) {
+fn with_content_type((status, text): (StatusCode, String)) -> (StatusCode, &'static str, String) {
     let json = status == StatusCode::OK || text.starts_with('{');
     (status, if json { "application/json" } else { "text/plain" }, text)
 }
 
-async fn shown(board: &Board) -> (StatusCode, &'static str, String) {
-    let status = match &board.tier {
-        Some(asks) => timeout(TIER_MOST, asks.status()).await.ok().flatten(),
+async fn tier_response(state: &AdminState) -> (StatusCode, &'static str, String) {
+    let status = match &state.tier {
+        Some(client) => timeout(TIER_STATUS_TIMEOUT, client.status()).await.ok().flatten(),
         None => None,
     };
-    let json = status.and_then(|status| serde_json::to_string(&Shown::of(&status)).ok());
+    let json = status.and_then(|status| serde_json::to_string(&TierStatus::of(&status)).ok());
     match json {
         Some(json) => (StatusCode::OK, "application/json", json + "\n"),
         None => (StatusCode::SERVICE_UNAVAILABLE, "text/plain", "the tier's thread does not answer\n".into()),
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -1,7 +1,7 @@
 //! A balancer on a thread of another program.
 
 use crate::config::Config;
-use crate::serve::{self, Told};
+use crate::serve::{self, ServingHooks};
 use maplehook_config::Operator;
 use std::error::Error;
 use std::net::SocketAddr;
@@ -19,27 +19,27 @@
 impl Daemon {
     /// Starts one as an operator's file says.
     pub fn start(operator: Operator) -> Result<Self, Box<dyn Error>> {
-        Self::spawn(move |told| serve::by_file(operator, None, None, None, Some(told)))
+        Self::spawn(move |hooks| serve::run_from_file(operator, None, None, None, Some(hooks)))
     }
 
     /// Starts one as the platform says.
     pub fn on_platform(config: Config, operator: Operator) -> Result<Self, Box<dyn Error>> {
-        Self::spawn(move |told| serve::on_platform(config, operator, None, Some(told)))
+        Self::spawn(move |hooks| serve::run_on_platform(config, operator, None, Some(hooks)))
     }
 
     fn spawn(
-        run: impl FnOnce(Told) -> Result<(), Box<dyn Error>> + Send + 'static,
+        run: impl FnOnce(ServingHooks) -> Result<(), Box<dyn Error>> + Send + 'static,
     ) -> Result<Self, Box<dyn Error>> {
         let (stop, stopped) = oneshot::channel();
-        let (tell, told) = std::sync::mpsc::channel();
+        let (result_sender, start_result) = std::sync::mpsc::channel();
         let thread = std::thread::Builder::new().name("maplehook-daemon".into()).spawn(move || {
-            let serving = tell.clone();
-            let ready = Box::new(move |address| drop(serving.send(Ok(address))));
-            if let Err(e) = run(Told { ready, stop: stopped }) {
-                let _ = tell.send(Err(e.to_string()));
+            let ready_sender = result_sender.clone();
+            let ready = Box::new(move |address| drop(ready_sender.send(Ok(address))));
+            if let Err(e) = run(ServingHooks { on_ready: ready, stop: stopped }) {
+                let _ = result_sender.send(Err(e.to_string()));
             }
         })?;
-        let address = told.recv()??;
+        let address = start_result.recv()??;
         Ok(Self { address, stop: Some(stop), thread: Some(thread) })
     }
 }
--- a/crates/proxy/src/failover.rs
+++ b/crates/proxy/src/failover.rs
@@ -2,7 +2,7 @@
 //! split that the agent returns. Classes, tenants and zones have ids of this process, which may differ from
 //! those of a version.
 
-use crate::versions::PlacesOf;
+use crate::versions::LocalityNotifier;
 use maplehook::parts::driver::Driver;
 use maplehook_config::Proxy;
 use maplehook_consensus::ConsensusService;
@@ -62,7 +62,7 @@
     /// The agent's thread, which stops when this is dropped.
     pub agent: Taking,
     /// Notifies the agent of the active configuration and its names.
-    pub notifier: PlacesOf,
+    pub notifier: LocalityNotifier,
     /// The part that runs on the serving thread.
     pub serving: ServingSide,
 }
@@ -101,9 +101,9 @@
         let (config, configs) = watch::channel(None);
         let (names_sender, names) = watch::channel(NamesById::default());
         let (observations, observation_updates) = watch::channel(Seen::default());
-        let notifier = PlacesOf { config, names: names_sender };
+        let notifier = LocalityNotifier { config, names: names_sender };
         // Assigns ids from the start, because later versions extend them.
-        notifier.tell(proxy, &StableIds::default().assign(proxy));
+        notifier.notify(proxy, &StableIds::default().assign(proxy));
         let link = consensus.and_then(|consensus| {
             let places = consensus.failover.take()?;
             let (standing, acts) = (consensus.failover_status.clone(), consensus.applied_document.clone());
--- a/crates/proxy/src/golden_tests.rs
+++ b/crates/proxy/src/golden_tests.rs
@@ -1,29 +1,29 @@
 //! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
 
 use crate::client::ConnectionState;
-use crate::tier::{Shown as Tier, ShownLink, ShownMember as TierMember};
-use crate::wishes::{Done, Shown, ShownMember};
+use crate::settings_api::{SettingsMember, SettingsStatus, VersionReply};
+use crate::tier::{LinkCounters, TierMember, TierStatus};
 use maplehook_admission::RejectionReason;
 use maplehook_golden::{Format, assert_type};
 
 #[test]
-fn operators_answers_on_the_tier_are_as_they_were() {
-    assert_type::<Tier>(Format::Json, "tier.Json", maplehook_golden::TEXTS);
+fn tier_status_json_matches_the_golden_files() {
+    assert_type::<TierStatus>(Format::Json, "tier.Json", maplehook_golden::TEXTS);
     assert_type::<TierMember>(Format::Json, "tier-member.Json", maplehook_golden::TEXTS);
-    assert_type::<ShownLink>(Format::Json, "tier-link.Json", maplehook_golden::TEXTS);
+    assert_type::<LinkCounters>(Format::Json, "tier-link.Json", maplehook_golden::TEXTS);
 }
 
 #[test]
-fn operators_answers_on_settings_are_as_they_were() {
-    assert_type::<Shown>(Format::Json, "settings.Json", maplehook_golden::TEXTS);
-    assert_type::<ShownMember>(Format::Json, "settings-member.Json", maplehook_golden::TEXTS);
+fn settings_status_json_matches_the_golden_files() {
+    assert_type::<SettingsStatus>(Format::Json, "settings.Json", maplehook_golden::TEXTS);
+    assert_type::<SettingsMember>(Format::Json, "settings-member.Json", maplehook_golden::TEXTS);
     let lines = maplehook_golden::recorded("settings-done.Json", || "{\"version\":7}\n".into());
-    maplehook_golden::compare::<Done>(Format::Json, &lines).unwrap();
+    maplehook_golden::compare::<VersionReply>(Format::Json, &lines).unwrap();
 }
 
 /// Operators search the log for these debug texts.
 #[test]
-fn reasons_and_states_in_the_log_are_as_they_were() {
+fn debug_texts_of_rejection_reasons_and_connection_states_are_stable() {
     let reasons = [RejectionReason::Rate, RejectionReason::Share, RejectionReason::Full];
     assert_eq!(format!("{reasons:?}"), "[Rate, Share, Full]");
     let states =
--- /dev/null
+++ b/crates/proxy/src/gossip_source.rs
@@ -0,0 +1,327 @@
+//! What other balancers say of upstreams, laid over what the own discovery says: a source round a source.
+//!
+//! What it comes to, `maplehook_cluster::merge_policy` decides. Here it is taken to and fro: the own list goes to the tier as claims,
+//! the words of others come back as news of entries that are treated with more care than the own list asks for.
+
+use maplehook::source::{EndpointUpdate, Entry, Reachability, Source, Task};
+use maplehook_cluster::endpoint_gossip::EndpointClaim;
+use maplehook_cluster::merge_policy::{LocalEndpoint, MergePolicy, MergedEndpoint};
+use maplehook_core::{Availability, UpdateScope, UpstreamId};
+use maplehook_transport::{ClusterNode, GossipSnapshot, unix_ms};
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::sync::watch;
+use tokio::time::{MissedTickBehavior, interval};
+
+/// For how long a start is told to others.
+const STARTUP_CLAIM_MS: u64 = 20_000;
+/// How often it is seen whether the own source has been read, and which starts are still new.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(500);
+
+/// A source with the words of others laid over it.
+pub struct GossipSource {
+    inner: Rc<dyn Source>,
+    policy: RefCell<MergePolicy>,
+    entries: RefCell<BTreeMap<UpstreamId, Entry>>,
+    claims: watch::Sender<Arc<Vec<EndpointClaim>>>,
+    gossip: RefCell<watch::Receiver<GossipSnapshot>>,
+    suppressed: Cell<usize>,
+}
+
+impl GossipSource {
+    /// Over this source, which knew this list before it was read. Drains by hearsay take at most this share of it.
+    pub fn new(
+        inner: Rc<dyn Source>,
+        known: &EndpointUpdate,
+        node: &ClusterNode,
+        max_drain_share: f64,
+    ) -> Rc<Self> {
+        Self::with_channels(inner, known, node.claims.clone(), node.gossip.clone(), max_drain_share)
+    }
+
+    fn with_channels(
+        inner: Rc<dyn Source>,
+        known: &EndpointUpdate,
+        claims: watch::Sender<Arc<Vec<EndpointClaim>>>,
+        gossip: watch::Receiver<GossipSnapshot>,
+        max_drain_share: f64,
+    ) -> Rc<Self> {
+        let source = Self {
+            inner,
+            policy: RefCell::new(MergePolicy::new(max_drain_share)),
+            entries: RefCell::default(),
+            claims,
+            gossip: RefCell::new(gossip),
+            suppressed: Cell::new(0),
+        };
+        source.merge_update(known.clone());
+        Rc::new(source)
+    }
+
+    /// The own source has said something; returns it with the words of others laid over it.
+    fn merge_update(&self, update: EndpointUpdate) -> EndpointUpdate {
+        if update.scope == UpdateScope::Failed {
+            return update;
+        }
+        let is_complete = matches!(update.scope, UpdateScope::Full | UpdateScope::Cached);
+        {
+            let entries = &mut *self.entries.borrow_mut();
+            if is_complete {
+                entries.clear();
+            }
+            for entry in &update.entries {
+                match entry.state.availability {
+                    Availability::Removed => entries.remove(&entry.id),
+                    _ => entries.insert(entry.id, entry.clone()),
+                };
+            }
+        }
+        let local = update.entries.iter().map(|entry| {
+            let ready = match entry.state.availability {
+                Availability::Ready => Some(true),
+                Availability::Draining => Some(false),
+                Availability::Removed => None,
+            };
+            (entry.id.0, ready.map(|ready| LocalEndpoint { is_ready: ready, boot_ms: entry.state.boot_ms }))
+        });
+        self.policy.borrow_mut().update_local(is_complete, local);
+        self.merge_gossip();
+        self.publish_claims();
+        let changes = self.policy.borrow_mut().take_changes();
+        let mut entries: Vec<Entry> = update.entries.iter().map(|entry| self.merged_entry(entry)).collect();
+        if !is_complete {
+            let named: Vec<UpstreamId> = update.entries.iter().map(|entry| entry.id).collect();
+            entries.extend(
+                self.changed_entries(&changes).into_iter().filter(|entry| !named.contains(&entry.id)),
+            );
+        }
+        EndpointUpdate { scope: update.scope, entries }
+    }
+
+    /// An entry of the own list, as it is to be treated.
+    fn merged_entry(&self, entry: &Entry) -> Entry {
+        let mut entry = entry.clone();
+        if let Some(MergedEndpoint { is_draining, boot_ms }) = self.policy.borrow().published(entry.id.0) {
+            if is_draining && entry.state.availability == Availability::Ready {
+                entry.state.availability = Availability::Draining;
+            }
+            entry.state.boot_ms = boot_ms;
+        }
+        entry
+    }
+
+    fn changed_entries(&self, changes: &[(u64, Option<MergedEndpoint>)]) -> Vec<Entry> {
+        let entries = self.entries.borrow();
+        let find_entry =
+            |(id, view): &(u64, Option<MergedEndpoint>)| view.and_then(|_| entries.get(&UpstreamId(*id)));
+        changes.iter().filter_map(find_entry).map(|entry| self.merged_entry(entry)).collect()
+    }
+
+    fn merge_gossip(&self) {
+        let gossip = self.gossip.borrow_mut().borrow_and_update().clone();
+        let mut policy = self.policy.borrow_mut();
+        policy.merge_gossip(&gossip.endpoints, unix_ms());
+        let confirmed = self.inner.confirmed().and_then(|at| at.checked_duration_since(gossip.epoch));
+        if let Some(confirmed) = confirmed {
+            policy.confirm_local(confirmed);
+        }
+        let counts = policy.gossip_drain_counts();
+        let (known, suppressed) = (counts.known, counts.suppressed);
+        if self.suppressed.replace(suppressed) != suppressed && suppressed > 0 {
+            tracing::warn!(
+                known,
+                suppressed,
+                "others tell more drains than tier.drains_most lets act; the first ones told act"
+            );
+        }
+    }
+
+    /// Tells the tier what the own list says.
+    fn publish_claims(&self) {
+        let startup_after = unix_ms().saturating_sub(STARTUP_CLAIM_MS);
+        let claim = |entry: &Entry| {
+            let boot_ms = entry.state.boot_ms;
+            let is_draining = entry.state.availability == Availability::Draining;
+            (is_draining || boot_ms > startup_after).then_some(EndpointClaim {
+                upstream: entry.id.0,
+                boot_ms,
+                is_draining,
+            })
+        };
+        let claims: Vec<EndpointClaim> = self.entries.borrow().values().filter_map(claim).collect();
+        self.claims.send_if_modified(|current| {
+            let changed = **current != claims;
+            if changed {
+                *current = Arc::new(claims);
+            }
+            changed
+        });
+    }
+
+    /// Follows the words of others, for good.
+    async fn follow_gossip(&self, notify: &RefCell<&mut dyn FnMut(EndpointUpdate)>) {
+        let mut gossip = self.gossip.borrow().clone();
+        let mut publish_tick = interval(PUBLISH_INTERVAL);
+        publish_tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut is_gossip_closed = false;
+        loop {
+            tokio::select! {
+                changed = gossip.changed(), if !is_gossip_closed => is_gossip_closed = changed.is_err(),
+                _ = publish_tick.tick() => self.publish_claims(),
+            }
+            self.merge_gossip();
+            let changes = self.policy.borrow_mut().take_changes();
+            let entries = self.changed_entries(&changes);
+            if !entries.is_empty() {
+                (notify.borrow_mut())(EndpointUpdate { scope: UpdateScope::Changes, entries });
+            }
+        }
+    }
+}
+
+impl Source for GossipSource {
+    fn fetch(&self) -> Task<'_, EndpointUpdate> {
+        Box::pin(async { self.merge_update(self.inner.fetch().await) })
+    }
+
+    fn watch<'a>(&'a self, notify: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
+        Box::pin(async move {
+            let notify = RefCell::new(notify);
+            let mut forward = |update| {
+                let update = self.merge_update(update);
+                (notify.borrow_mut())(update);
+            };
+            tokio::select! {
+                () = self.inner.watch(&mut forward) => {}
+                () = self.follow_gossip(&notify) => {}
+            }
+        })
+    }
+
+    fn record_reachability(&self, upstream: UpstreamId, reachability: Reachability) {
+        self.inner.record_reachability(upstream, reachability);
+    }
+
+    fn confirmed(&self) -> Option<Instant> {
+        self.inner.confirmed()
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+    use maplehook::source::EndpointState;
+    use maplehook_cluster::endpoint_gossip::GossipedEndpoint;
+    use maplehook_core::{CellId, KindId, ZoneId};
+
+    /// A source that says what it is told to.
+    #[derive(Default)]
+    struct ScriptedSource {
+        update: RefCell<Vec<EndpointUpdate>>,
+        confirmed: Cell<Option<Instant>>,
+    }
+
+    impl Source for ScriptedSource {
+        fn fetch(&self) -> Task<'_, EndpointUpdate> {
+            Box::pin(std::future::ready(EndpointUpdate::failed()))
+        }
+
+        fn watch<'a>(&'a self, notify: &'a mut dyn FnMut(EndpointUpdate)) -> Task<'a, ()> {
+            Box::pin(async move {
+                loop {
+                    let update = std::mem::take(&mut *self.update.borrow_mut());
+                    update.into_iter().for_each(&mut *notify);
+                    tokio::time::sleep(Duration::from_millis(1)).await;
+                }
+            })
+        }
+
+        fn confirmed(&self) -> Option<Instant> {
+            self.confirmed.get()
+        }
+    }
+
+    fn entry(id: u64, availability: Availability, boot_ms: u64) -> Entry {
+        let state = EndpointState { endpoint: Some(([127, 0, 0, 1], 9).into()), availability, boot_ms };
+        Entry { id: UpstreamId(id), zone: ZoneId(0), kind: KindId(0), cell: CellId(0), weight: 1.0, state }
+    }
+
+    fn drained_by_gossip(upstream: u64, until: Duration) -> GossipedEndpoint {
+        GossipedEndpoint { upstream, drained_until: Some((until, 0)), boot_ms: 0 }
+    }
+
+    /// What others say becomes news, what the own source says becomes claims, and neither lifts the other's drain.
+    #[tokio::test(start_paused = true)]
+    async fn gossip_updates_endpoints_and_local_drains_become_claims() {
+        let epoch = Instant::now();
+        let snapshot =
+            |endpoints: Vec<GossipedEndpoint>| GossipSnapshot { epoch, endpoints: Arc::new(endpoints) };
+        let (gossip_sender, gossip_receiver) = watch::channel(snapshot(Vec::new()));
+        let (claims, published) = watch::channel(Arc::default());
+        let scripted = Rc::new(ScriptedSource::default());
+        let ready = |id| entry(id, Availability::Ready, 5);
+        let known = EndpointUpdate {
+            scope: UpdateScope::Cached,
+            entries: vec![ready(1), ready(2), ready(3), ready(4)],
+        };
+        let source = GossipSource::with_channels(scripted.clone(), &known, claims, gossip_receiver, 0.5);
+        assert!(published.borrow().is_empty(), "nothing drains, and nothing has started lately");
+        let received: RefCell<Vec<EndpointUpdate>> = RefCell::default();
+        let mut notify = |update| received.borrow_mut().push(update);
+        let scenario = async {
+            let pause = || tokio::time::sleep(Duration::from_secs(2));
+            let last = |id: u64| {
+                let received = received.borrow();
+                let mut entries = received.iter().flat_map(|n| &n.entries).filter(|e| e.id.0 == id);
+                entries.next_back().map(|e| (e.state.availability, e.state.boot_ms))
+            };
+            // Another one says that 1 drains and that 2 has started.
+            let started = GossipedEndpoint { upstream: 2, drained_until: None, boot_ms: 9 };
+            gossip_sender
+                .send_replace(snapshot(vec![drained_by_gossip(1, Duration::from_secs(3600)), started]));
+            pause().await;
+            assert_eq!(last(1), Some((Availability::Draining, 5)));
+            assert_eq!(last(2), Some((Availability::Ready, 9)), "cold from then on");
+            assert_eq!(last(3), None, "what has not changed is not told again");
+            // The own source goes on calling it ready: it drains all the same.
+            scripted
+                .update
+                .borrow_mut()
+                .push(EndpointUpdate { scope: UpdateScope::Full, entries: known.entries.clone() });
+            pause().await;
+            assert_eq!(last(1), Some((Availability::Draining, 5)));
+            assert!(published.borrow().is_empty(), "hearsay is not passed on as if one knew it");
+            // It says itself that 3 drains: others are told.
+            let draining = entry(3, Availability::Draining, 5);
+            scripted
+                .update
+                .borrow_mut()
+                .push(EndpointUpdate { scope: UpdateScope::Changes, entries: vec![draining] });
+            pause().await;
+            assert_eq!(
+                published.borrow().iter().map(|c| (c.upstream, c.is_draining)).collect::<Vec<_>>(),
+                [(3, true)]
+            );
+            // No word is good any more, and the own source was read since.
+            gossip_sender.send_replace(snapshot(vec![drained_by_gossip(1, Duration::ZERO)]));
+            pause().await;
+            assert_eq!(last(1), Some((Availability::Draining, 5)), "it was not read since");
+        };
+        tokio::select! {
+            () = source.watch(&mut notify) => unreachable!(),
+            () = scenario => {}
+        }
+        // A drain whose words are over, with a source that was read since: a fresh look at the same state.
+        let (gossip_sender, gossip_receiver) =
+            watch::channel(snapshot(vec![drained_by_gossip(1, Duration::from_nanos(1))]));
+        let (claims, _published) = watch::channel(Arc::default());
+        let source = GossipSource::with_channels(scripted.clone(), &known, claims, gossip_receiver, 0.5);
+        gossip_sender.send_replace(snapshot(Vec::new()));
+        scripted.confirmed.set(Some(Instant::now() + Duration::from_millis(1)));
+        let update = source.merge_update(known.clone());
+        assert!(update.entries.iter().all(|e| e.state.availability == Availability::Ready));
+    }
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -19,10 +19,12 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
+pub mod admin_target;
 mod admission;
 mod client;
 pub mod command;
 pub mod config;
+pub mod config_reload;
 mod control;
 mod counts;
 mod daemon;
@@ -30,28 +32,26 @@
 mod framing;
 #[cfg(test)]
 mod golden_tests;
+mod gossip_source;
 mod handover;
-mod hearsay;
 mod inbound;
 pub mod inherited;
 pub mod locality_command;
 pub mod places;
 pub mod places_command;
 mod rejections;
+mod request_signing;
 mod requests;
 mod responses;
-pub mod retune;
 pub mod rollout;
 pub mod rollout_command;
 pub mod serve;
 mod server;
 pub mod settings;
-mod signed;
+pub mod settings_api;
 pub mod supervise_command;
 pub mod supervised;
 pub mod tier;
 mod versions;
-pub mod whom;
-pub mod wishes;
 
 pub use daemon::Daemon;
--- a/crates/proxy/src/locality_command.rs
+++ b/crates/proxy/src/locality_command.rs
@@ -1,8 +1,8 @@
 //! The command line of rules of nearness: `maplehook locality check | fmt | explain`.
 
-use crate::places::PLACES;
+use crate::places::PLACES_PATH;
 use crate::settings::Outcome;
-use crate::tier::ask;
+use crate::tier::get;
 use maplehook_config::{Operator, Places};
 use maplehook_failover_agent::shown::Shown;
 use maplehook_locality::explain::explain;
@@ -57,12 +57,14 @@
     action: LocalityAction,
 }
 
-fn read(path: &Path) -> Result<String, Box<dyn Error>> {
+fn read_file(path: &Path) -> Result<String, Box<dyn Error>> {
     Ok(std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?)
 }
 
-fn faults(of: &str, faults: &[language::Fault]) -> Outcome {
-    let lines = faults.iter().fold(String::new(), |text, fault| text + &format!("{of}: {fault}\n"));
+fn fault_outcome(rules_config_of: &str, fault_outcome: &[language::Fault]) -> Outcome {
+    let lines = fault_outcome
+        .iter()
+        .fold(String::new(), |text, fault| text + &format!("{rules_config_of}: {fault}\n"));
     Outcome { text: lines, code: 3 }
 }
 
@@ -71,10 +73,10 @@
     pub fn run(&self, operator: &Operator) -> Result<Outcome, Box<dyn Error>> {
         match &self.action {
             LocalityAction::Fmt { file, write } => {
-                let before = read(file)?;
+                let before = read_file(file)?;
                 let text = match language::format(&before) {
                     Ok(text) => text,
-                    Err(wrong) => return Ok(faults(&file.display().to_string(), &wrong)),
+                    Err(faults) => return Ok(fault_outcome(&file.display().to_string(), &faults)),
                 };
                 if !write {
                     return Ok(Outcome { text, code: 0 });
@@ -85,26 +87,26 @@
                 Ok(Outcome { text: String::new(), code: 0 })
             }
             LocalityAction::Check { file } => {
-                let (places, proxy) = of(operator)?;
+                let (places, proxy) = rules_config_of(operator)?;
                 let Some(file) = file else {
                     return Ok(Outcome { text: "the rules are good\n".into(), code: 0 });
                 };
                 let tenants = tenants(&proxy.tenants);
                 let names = Names { topology: &places.topology, classes: &proxy.classes, tenants: &tenants };
-                match language::compile(&read(file)?, &names) {
+                match language::compile(&read_file(file)?, &names) {
                     Ok(rules) => {
                         let text = format!("the rules are good: {}\n", rules.all().len());
                         Ok(Outcome { text, code: 0 })
                     }
-                    Err(wrong) => Ok(faults(&file.display().to_string(), &wrong)),
+                    Err(faults) => Ok(fault_outcome(&file.display().to_string(), &faults)),
                 }
             }
             LocalityAction::Explain { class, tenant, zone, state, address } => {
-                let (places, proxy) = of(operator)?;
+                let (places, proxy) = rules_config_of(operator)?;
                 let tenants = tenants(&proxy.tenants);
                 let position = |names: &[String], name: &str, what: &str| {
-                    let found = names.iter().position(|known| known == name);
-                    found
+                    let index = names.iter().position(|known| known == name);
+                    index
                         .ok_or_else(|| format!("there is no {what} {name:?}; there are {}", names.join(", ")))
                 };
                 let class = position(&proxy.classes, class, "class")?;
@@ -114,44 +116,51 @@
                     Some(name) => topology.zone(name).ok_or_else(|| format!("there is no zone {name:?}"))?,
                     None => places.own,
                 };
-                let shown: Option<Shown> = match (state, address) {
-                    (Some(path), _) => Some(serde_json::from_str(&read(path)?)?),
-                    (None, Some(address)) => Some(serde_json::from_slice(&ask(*address, PLACES)?)?),
+                let status: Option<Shown> = match (state, address) {
+                    (Some(path), _) => Some(serde_json::from_str(&read_file(path)?)?),
+                    (None, Some(address)) => Some(serde_json::from_slice(&get(*address, PLACES_PATH)?)?),
                     (None, None) => None,
                 };
                 // What is measured stands in what a balancer shows; what the file states stands before it.
                 let mut topology = topology.clone();
-                let measured = shown.iter().flat_map(|shown| &shown.trips).filter(|trip| !trip.stated);
-                let ways: Vec<_> = measured
+                let measured = status.iter().flat_map(|status| &status.trips).filter(|trip| !trip.stated);
+                let measured_rtts: Vec<_> = measured
                     .filter_map(|trip| {
-                        let took = Duration::try_from_secs_f64(trip.ms / 1e3).ok()?;
-                        Some((topology.zone(&trip.a)?, topology.zone(&trip.b)?, took))
+                        let rtt = Duration::try_from_secs_f64(trip.ms / 1e3).ok()?;
+                        Some((topology.zone(&trip.a)?, topology.zone(&trip.b)?, rtt))
                     })
                     .collect();
-                topology.set_measured(ways);
+                topology.set_measured(measured_rtts);
                 let topology = &topology;
-                let seen = topology.zones().map(|zone| seen(shown.as_ref(), topology.zone_name(zone)));
+                let zone_observation =
+                    topology.zones().map(|zone| zone_observation(status.as_ref(), topology.zone_name(zone)));
                 let names = Names { topology, classes: &proxy.classes, tenants: &tenants };
-                let explained =
-                    explain(&places.rules, &names, class, tenant, from, &seen.collect::<Vec<_>>());
+                let explained = explain(
+                    &places.rules,
+                    &names,
+                    class,
+                    tenant,
+                    from,
+                    &zone_observation.collect::<Vec<_>>(),
+                );
                 let mut text = format!("{explained}\n");
-                if let Some(shown) = shown.filter(|shown| shown.in_common) {
-                    let row = shown
+                if let Some(status) = status.filter(|status| status.in_common) {
+                    let row = status
                         .plan
                         .iter()
                         .find(|row| row.rule == explained.rule.name && row.from == topology.zone_name(from));
-                    let to = row.map(|row| {
+                    let shares = row.map(|row| {
                         row.to.iter().map(|share| format!("{} {:.1} %", share.zone, 100.0 * share.share))
                     });
                     // Writing to a string can't fail.
-                    let _ = match to {
-                        Some(to) => writeln!(
+                    let _ = match shares {
+                        Some(shares) => writeln!(
                             text,
                             "plan {} sends it to {}",
-                            shown.epoch,
-                            to.collect::<Vec<_>>().join(", ")
+                            status.epoch,
+                            shares.collect::<Vec<_>>().join(", ")
                         ),
-                        None => writeln!(text, "plan {} leaves it at the first step", shown.epoch),
+                        None => writeln!(text, "plan {} leaves it at the first step", status.epoch),
                     };
                 }
                 Ok(Outcome { text, code: 0 })
@@ -160,7 +169,7 @@
     }
 }
 
-fn of(operator: &Operator) -> Result<(&Places, &maplehook_config::Proxy), Box<dyn Error>> {
+fn rules_config_of(operator: &Operator) -> Result<(&Places, &maplehook_config::Proxy), Box<dyn Error>> {
     let proxy = operator.proxy.as_ref().ok_or("which file? maplehook --config FILE locality ...")?;
     let places = proxy.places.as_ref().ok_or("the file of --config has no [locality]")?;
     Ok((places, proxy))
@@ -171,12 +180,12 @@
 }
 
 /// How a zone stands, by what is shown; well and empty where nothing is.
-fn seen(shown: Option<&Shown>, zone: &str) -> Seen {
-    let place = shown.and_then(|shown| shown.places.iter().find(|place| place.zone == zone));
-    let Some(place) = place else { return Seen { load: 0.0, usable: 1.0 } };
-    let usable = match place.state.as_str() {
+fn zone_observation(status: Option<&Shown>, zone: &str) -> Seen {
+    let locality = status.and_then(|status| status.places.iter().find(|locality| locality.zone == zone));
+    let Some(locality) = locality else { return Seen { load: 0.0, usable: 1.0 } };
+    let usable = match locality.state.as_str() {
         "lost" | "evacuated" => 0.0,
-        _ => f64::from(u8::from(place.usable > 0.0)),
+        _ => f64::from(u8::from(locality.usable > 0.0)),
     };
-    Seen { load: f64::from(place.load), usable }
+    Seen { load: f64::from(locality.load), usable }
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,11 +1,11 @@
 //! `maplehook`: a load balancer on real sockets. See the library of this crate.
 
 use clap::Parser;
-use maplehook_proxy::command::{self, Command, Line};
+use maplehook_proxy::command::{self, Command, CommandLine};
 use maplehook_proxy::config::Config;
 use maplehook_proxy::settings::Outcome;
-use maplehook_proxy::supervised::Supervised;
-use maplehook_proxy::{inherited, retune, serve, supervise_command};
+use maplehook_proxy::supervised::SupervisorEnvironment;
+use maplehook_proxy::{config_reload, inherited, serve, supervise_command};
 use std::error::Error;
 use std::io;
 use std::net::TcpListener;
@@ -15,7 +15,7 @@
 fn main() -> ExitCode {
     // Before anything is opened.
     let inherited = inherited::take();
-    let line = Line::parse();
+    let line = CommandLine::parse();
     let level = std::env::var("NODE_LOG").ok().and_then(|level| level.parse().ok());
     tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
@@ -31,22 +31,22 @@
     }
 }
 
-fn said(outcome: Outcome) -> ExitCode {
+fn finish(outcome: Outcome) -> ExitCode {
     print!("{}", outcome.text);
     ExitCode::from(outcome.code)
 }
 
-fn run(line: &Line, inherited: Option<io::Result<TcpListener>>) -> Result<ExitCode, Box<dyn Error>> {
+fn run(line: &CommandLine, inherited: Option<io::Result<TcpListener>>) -> Result<ExitCode, Box<dyn Error>> {
     match &line.command {
         Some(Command::Check { file }) => {
-            let named = file.as_deref().or(line.config.as_deref());
-            command::operator(Some(named.ok_or("which file? maplehook check FILE")?))?;
+            let path = file.as_deref().or(line.config.as_deref());
+            command::load_operator(Some(path.ok_or("which file? maplehook check FILE")?))?;
             println!("the operator's file is good");
         }
         Some(Command::Run) => {
             let file = line.config.as_deref().ok_or("which file? maplehook run --config FILE")?;
-            let (operator, text) = command::with_text(file)?;
-            serve::by_file(operator, Some(text), inherited, Supervised::from_env(), None)
+            let (operator, text) = command::load_operator_with_text(file)?;
+            serve::run_from_file(operator, Some(text), inherited, SupervisorEnvironment::from_env(), None)
                 .map_err(|e| format!("{}: {e}", file.display()))?;
         }
         Some(Command::Supervise) => {
@@ -54,33 +54,33 @@
             supervise_command::run(file)?;
         }
         Some(Command::Sign(sign)) => {
-            println!("{}", sign.word()?);
+            println!("{}", sign.token()?);
         }
         Some(Command::Settings(settings)) => {
-            return Ok(said(settings.run(&command::operator(line.config.as_deref())?)?));
+            return Ok(finish(settings.run(&command::load_operator(line.config.as_deref())?)?));
         }
         Some(Command::Places(places)) => {
-            return Ok(said(places.run(&command::operator(line.config.as_deref())?)?));
+            return Ok(finish(places.run(&command::load_operator(line.config.as_deref())?)?));
         }
         Some(Command::Addresses(addresses)) => {
-            return Ok(said(addresses.run(&command::operator(line.config.as_deref())?)?));
+            return Ok(finish(addresses.run(&command::load_operator(line.config.as_deref())?)?));
         }
         Some(Command::Rollout(rollout)) => {
-            return Ok(said(rollout.run(&command::operator(line.config.as_deref())?)?));
+            return Ok(finish(rollout.run(&command::load_operator(line.config.as_deref())?)?));
         }
         Some(Command::Locality(locality)) => {
-            return Ok(said(locality.run(&command::operator(line.config.as_deref())?)?));
+            return Ok(finish(locality.run(&command::load_operator(line.config.as_deref())?)?));
         }
         Some(Command::Tier { what }) => {
-            let (text, whole) = what.run()?;
+            let (text, is_complete) = what.run()?;
             print!("{text}");
-            return Ok(if whole { ExitCode::SUCCESS } else { ExitCode::from(2) });
+            return Ok(if is_complete { ExitCode::SUCCESS } else { ExitCode::from(2) });
         }
         None => {
-            retune::catch_hangups()?;
+            config_reload::install_hangup_handler()?;
             // Its faults come first: they are there whoever starts it.
-            let operator = command::operator(line.config.as_deref())?;
-            serve::on_platform(Config::from_env()?, operator, inherited, None)?;
+            let operator = command::load_operator(line.config.as_deref())?;
+            serve::run_on_platform(Config::from_env()?, operator, inherited, None)?;
         }
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/proxy/src/places_command.rs
+++ b/crates/proxy/src/places_command.rs
@@ -1,9 +1,9 @@
 //! The command lines of places, addresses and rules: `maplehook places ...`, `maplehook addresses ...`, `maplehook locality ...`.
 
-use crate::places::{ADDRESSES, PLACES};
+use crate::admin_target::AdminTarget;
+use crate::places::{ADDRESSES_PATH, PLACES_PATH};
 use crate::settings::Outcome;
-use crate::tier::ask;
-use crate::whom::Whom;
+use crate::tier::get;
 use maplehook_config::Operator;
 use maplehook_failover_agent::board::{Past, ShownAddress};
 use maplehook_failover_agent::shown::{Shown, ShownRow};
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// Between two looks with `--watch`.
-const LOOK: Duration = Duration::from_secs(1);
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What to do with places.
 #[derive(clap::Subcommand)]
@@ -51,10 +51,10 @@
     },
 }
 
-fn wished(whom: &Whom, operator: &Operator, wish: &Wish) -> Result<Outcome, Box<dyn Error>> {
-    let ended = whom.wish(operator, PLACES, wish)?;
-    if ended.code != 0 || whom.json {
-        return Ok(ended);
+fn submit(target: &AdminTarget, operator: &Operator, request: &Wish) -> Result<Outcome, Box<dyn Error>> {
+    let outcome = target.send(operator, PLACES_PATH, request)?;
+    if outcome.code != 0 || target.json {
+        return Ok(outcome);
     }
     Ok(Outcome { text: "done; it is in force within a lease\n".into(), code: 0 })
 }
@@ -63,7 +63,7 @@
 #[derive(clap::Args)]
 pub struct Places {
     #[command(flatten)]
-    whom: Whom,
+    target: AdminTarget,
     #[command(subcommand)]
     action: PlacesAction,
 }
@@ -71,81 +71,86 @@
 impl Places {
     /// Does it. An error is the exit code 1: there was no answer.
     pub fn run(&self, operator: &Operator) -> Result<Outcome, Box<dyn Error>> {
-        let read = |query: &str| -> Result<String, Box<dyn Error>> {
-            let path = format!("{PLACES}{query}");
-            Ok(String::from_utf8_lossy(&ask(self.whom.address(operator)?, &path)?).into_owned())
+        let fetch = |query: &str| -> Result<String, Box<dyn Error>> {
+            let path = format!("{PLACES_PATH}{query}");
+            Ok(String::from_utf8_lossy(&get(self.target.address(operator)?, &path)?).into_owned())
         };
         match &self.action {
             PlacesAction::Status { watch } => loop {
-                let text = read("")?;
+                let text = fetch("")?;
                 let shown: Shown = serde_json::from_str(&text)?;
-                let text = if self.whom.json { text } else { table(&shown) };
+                let text = if self.target.json { text } else { status_table(&shown) };
                 if !watch {
                     let serving =
                         |place: &maplehook_failover_agent::shown::ShownPlace| place.state == "serving";
-                    let fine = shown.in_common && shown.places.iter().all(serving);
-                    return Ok(Outcome { text, code: if fine { 0 } else { 2 } });
+                    let all_serving = shown.in_common && shown.places.iter().all(serving);
+                    return Ok(Outcome { text, code: if all_serving { 0 } else { 2 } });
                 }
                 print!("{text}");
-                std::thread::sleep(LOOK);
+                std::thread::sleep(WATCH_INTERVAL);
             },
             PlacesAction::History => {
-                let text = read("?history")?;
-                let past: Vec<Past> = serde_json::from_str(&text)?;
-                let row = |past: &Past| {
-                    let odd: Vec<String> = past
+                let text = fetch("?history")?;
+                let past_plan: Vec<Past> = serde_json::from_str(&text)?;
+                let row = |past_plan: &Past| {
+                    let not_serving: Vec<String> = past_plan
                         .shown
                         .places
                         .iter()
                         .filter(|p| p.state != "serving")
                         .map(|p| format!("{} {}", p.zone, p.state))
                         .collect();
-                    let odd = if odd.is_empty() { "all serve".into() } else { odd.join(", ") };
+                    let not_serving =
+                        if not_serving.is_empty() { "all serve".into() } else { not_serving.join(", ") };
                     format!(
-                        "{:>8}  at {} ms  {} rows  {odd}\n",
-                        past.shown.epoch,
-                        past.at_ms,
-                        past.shown.plan.len()
+                        "{:>8}  at {} ms  {} rows  {not_serving}\n",
+                        past_plan.shown.epoch,
+                        past_plan.at_ms,
+                        past_plan.shown.plan.len()
                     )
                 };
-                let table = past.iter().map(row).collect();
-                Ok(Outcome { text: if self.whom.json { text } else { table }, code: 0 })
+                let table = past_plan.iter().map(row).collect();
+                Ok(Outcome { text: if self.target.json { text } else { table }, code: 0 })
             }
             PlacesAction::Explain { epoch } => {
-                let text = read(&format!("?explain={epoch}"))?;
-                let past: Past = serde_json::from_str(&text)?;
-                let said = format!("acted on here from {} ms on\n{}", past.at_ms, table(&past.shown));
-                Ok(Outcome { text: if self.whom.json { text } else { said }, code: 0 })
+                let text = fetch(&format!("?explain={epoch}"))?;
+                let past_plan: Past = serde_json::from_str(&text)?;
+                let explanation = format!(
+                    "acted on here from {} ms on\n{}",
+                    past_plan.at_ms,
+                    status_table(&past_plan.shown)
+                );
+                Ok(Outcome { text: if self.target.json { text } else { explanation }, code: 0 })
             }
             PlacesAction::Evacuate { place, lasts, anyway } => {
                 let for_ms = lasts.map(|seconds| seconds.saturating_mul(1000));
-                wished(
-                    &self.whom,
+                submit(
+                    &self.target,
                     operator,
                     &Wish::Evacuate { place: place.clone(), for_ms, anyway: *anyway },
                 )
             }
-            PlacesAction::Hold => wished(&self.whom, operator, &Wish::Hold),
+            PlacesAction::Hold => submit(&self.target, operator, &Wish::Hold),
             PlacesAction::Release { place } => {
-                wished(&self.whom, operator, &Wish::Release { place: place.clone() })
+                submit(&self.target, operator, &Wish::Release { place: place.clone() })
             }
         }
     }
 }
 
-fn rows(text: &mut String, rows: &[ShownRow]) {
+fn write_rows(text: &mut String, rows: &[ShownRow]) {
     for row in rows {
         let to: Vec<String> =
             row.to.iter().map(|share| format!("{} {:.1} %", share.zone, 100.0 * share.share)).collect();
         let total: f64 = row.to.iter().map(|share| share.share).sum();
-        let refused =
+        let rejected =
             if total < 0.9995 { format!(", {:.1} % refused", 100.0 * (1.0 - total)) } else { String::new() };
         // Writing to a string can't fail.
-        let _ = writeln!(text, "  {:<20} from {:<16} to {}{refused}", row.rule, row.from, to.join(", "));
+        let _ = writeln!(text, "  {:<20} from {:<16} to {}{rejected}", row.rule, row.from, to.join(", "));
     }
 }
 
-fn table(shown: &Shown) -> String {
+fn status_table(shown: &Shown) -> String {
     let mut text = format!(
         "plan {}, leader {}; in zone {} of region {}: acts by {}\n",
         shown.epoch,
@@ -160,9 +165,10 @@
     if let Some(by) = &shown.held {
         let _ = writeln!(text, "the plan is held by {by}");
     }
-    for (zones, by, left) in &shown.evacuated {
-        let left = left.map_or("until it is released".into(), |left| format!("{} s still", left / 1000));
-        let _ = writeln!(text, "{} taken out by {by}, {left}", zones.join(", "));
+    for (zones, by, remaining_ms) in &shown.evacuated {
+        let remaining = remaining_ms
+            .map_or("until it is released".into(), |remaining_ms| format!("{} s still", remaining_ms / 1000));
+        let _ = writeln!(text, "{} taken out by {by}, {remaining}", zones.join(", "));
     }
     let _ = writeln!(
         text,
@@ -192,11 +198,11 @@
     }
     if !shown.plan.is_empty() {
         text += "rows that differ from the first step:\n";
-        rows(&mut text, &shown.plan);
+        write_rows(&mut text, &shown.plan);
     }
     if !shown.in_common {
         text += "acts here on:\n";
-        rows(&mut text, &shown.acts);
+        write_rows(&mut text, &shown.acts);
     }
     if !shown.without.is_empty() {
         let _ = writeln!(text, "programs without places: {}", shown.without.join(", "));
@@ -242,7 +248,7 @@
 #[derive(clap::Args)]
 pub struct Addresses {
     #[command(flatten)]
-    whom: Whom,
+    target: AdminTarget,
     #[command(subcommand)]
     action: AddressesAction,
 }
@@ -252,31 +258,31 @@
     pub fn run(&self, operator: &Operator) -> Result<Outcome, Box<dyn Error>> {
         match &self.action {
             AddressesAction::Status => {
-                let text =
-                    String::from_utf8_lossy(&ask(self.whom.address(operator)?, ADDRESSES)?).into_owned();
+                let text = String::from_utf8_lossy(&get(self.target.address(operator)?, ADDRESSES_PATH)?)
+                    .into_owned();
                 let shown: Vec<ShownAddress> = serde_json::from_str(&text)?;
                 let announced = |address: &ShownAddress| address.sites.iter().any(|s| s.preference.is_some());
-                let fine = shown.iter().all(announced);
-                let text = if self.whom.json { text } else { listed(&shown) };
-                Ok(Outcome { text, code: if fine { 0 } else { 2 } })
+                let all_serving = shown.iter().all(announced);
+                let text = if self.target.json { text } else { address_table(&shown) };
+                Ok(Outcome { text, code: if all_serving { 0 } else { 2 } })
             }
             AddressesAction::Move { name, site, anyway } => {
                 let (name, site) = (name.clone(), site.clone());
-                wished(&self.whom, operator, &Wish::Move { name, site, anyway: *anyway })
+                submit(&self.target, operator, &Wish::Move { name, site, anyway: *anyway })
             }
             AddressesAction::Withdraw { name, site, anyway } => {
                 let (name, site) = (name.clone(), site.clone());
-                wished(&self.whom, operator, &Wish::Withdraw { name, site, anyway: *anyway })
+                submit(&self.target, operator, &Wish::Withdraw { name, site, anyway: *anyway })
             }
             AddressesAction::Restore { name, site } => {
                 let (name, site) = (name.clone(), site.clone());
-                wished(&self.whom, operator, &Wish::Restore { name, site })
+                submit(&self.target, operator, &Wish::Restore { name, site })
             }
         }
     }
 }
 
-fn listed(addresses: &[ShownAddress]) -> String {
+fn address_table(addresses: &[ShownAddress]) -> String {
     let mut text = String::new();
     for address in addresses {
         let kind = format!("{:?}", address.announce).to_lowercase();
--- a/crates/proxy/src/rollout_command.rs
+++ b/crates/proxy/src/rollout_command.rs
@@ -1,10 +1,10 @@
 //! The command line of changes in stages: `maplehook rollout ...`.
 
-use crate::command::with_rules;
+use crate::admin_target::AdminTarget;
+use crate::command::inline_rules_file;
 use crate::rollout::PATH;
 use crate::settings::Outcome;
-use crate::tier::ask;
-use crate::whom::Whom;
+use crate::tier::get;
 use maplehook_config::Operator;
 use maplehook_rollout::Change;
 use maplehook_rollout_agent::document::Past;
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// Between two looks with `--watch`.
-const LOOK: Duration = Duration::from_secs(1);
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What to do with changes in stages.
 #[derive(clap::Subcommand)]
@@ -52,7 +52,7 @@
 #[derive(clap::Args)]
 pub struct Rollout {
     #[command(flatten)]
-    whom: Whom,
+    target: AdminTarget,
     #[command(subcommand)]
     action: Action,
 }
@@ -60,84 +60,88 @@
 impl Rollout {
     /// Does it. An error is the exit code 1: there was no answer.
     pub fn run(&self, operator: &Operator) -> Result<Outcome, Box<dyn Error>> {
-        let address = self.whom.address(operator)?;
-        let read = |query: &str| -> Result<String, Box<dyn Error>> {
-            Ok(String::from_utf8_lossy(&ask(address, &format!("{PATH}{query}"))?).into_owned())
+        let address = self.target.address(operator)?;
+        let fetch = |query: &str| -> Result<String, Box<dyn Error>> {
+            Ok(String::from_utf8_lossy(&get(address, &format!("{PATH}{query}"))?).into_owned())
         };
         match &self.action {
-            Action::Plan { file } => match of_file(file)? {
+            Action::Plan { file } => match load_plan(file)? {
                 Ok((plan, what)) => {
-                    let ended = self.whom.wish(operator, PATH, &Wish::Plan { plan, what })?;
-                    if ended.code != 0 || self.whom.json {
-                        return Ok(ended);
+                    let outcome = self.target.send(operator, PATH, &Wish::Plan { plan, what })?;
+                    if outcome.code != 0 || self.target.json {
+                        return Ok(outcome);
                     }
-                    let preview: Preview = serde_json::from_str(&ended.text)?;
+                    let preview: Preview = serde_json::from_str(&outcome.text)?;
                     Ok(Outcome { text: preview.table(), code: 0 })
                 }
                 Err(faults) => Ok(Outcome { text: faults, code: 3 }),
             },
-            Action::Start { file } => match of_file(file)? {
-                Ok((plan, what)) => self.change(operator, &Wish::Start { plan, what }),
+            Action::Start { file } => match load_plan(file)? {
+                Ok((plan, what)) => self.submit(operator, &Wish::Start { plan, what }),
                 Err(faults) => Ok(Outcome { text: faults, code: 3 }),
             },
-            Action::Hold => self.change(operator, &Wish::Hold),
-            Action::Go => self.change(operator, &Wish::Go),
-            Action::Undo => self.change(operator, &Wish::Undo),
+            Action::Hold => self.submit(operator, &Wish::Hold),
+            Action::Go => self.submit(operator, &Wish::Go),
+            Action::Undo => self.submit(operator, &Wish::Undo),
             Action::Status { watch } => loop {
-                let text = read("")?;
+                let text = fetch("")?;
                 let shown: Shown = serde_json::from_str(&text)?;
-                let text = if self.whom.json { text } else { table(&shown) };
+                let text = if self.target.json { text } else { status_table(&shown) };
                 if !watch {
-                    let fine = !shown.runs && matches!(&shown.state[..], "none" | "done");
-                    return Ok(Outcome { text, code: if fine { 0 } else { 2 } });
+                    let is_settled = !shown.runs && matches!(&shown.state[..], "none" | "done");
+                    return Ok(Outcome { text, code: if is_settled { 0 } else { 2 } });
                 }
                 print!("{text}");
-                std::thread::sleep(LOOK);
+                std::thread::sleep(WATCH_INTERVAL);
             },
             Action::History => {
-                let text = read("?history")?;
-                let past: Vec<Past> = serde_json::from_str(&text)?;
-                let row = |past: &Past| {
+                let text = fetch("?history")?;
+                let past_change: Vec<Past> = serde_json::from_str(&text)?;
+                let row = |past_change: &Past| {
                     format!(
                         "{:>6}  at {} ms by {}  {}: {}\n",
-                        past.number, past.at_ms, past.by, past.what, past.ended
+                        past_change.number,
+                        past_change.at_ms,
+                        past_change.by,
+                        past_change.what,
+                        past_change.ended
                     )
                 };
-                let table = past.iter().map(row).collect();
-                Ok(Outcome { text: if self.whom.json { text } else { table }, code: 0 })
+                let table = past_change.iter().map(row).collect();
+                Ok(Outcome { text: if self.target.json { text } else { table }, code: 0 })
             }
         }
     }
 
-    fn change(&self, operator: &Operator, wish: &Wish) -> Result<Outcome, Box<dyn Error>> {
-        let ended = self.whom.wish(operator, PATH, wish)?;
-        if ended.code != 0 || self.whom.json {
-            return Ok(ended);
+    fn submit(&self, operator: &Operator, request: &Wish) -> Result<Outcome, Box<dyn Error>> {
+        let outcome = self.target.send(operator, PATH, request)?;
+        if outcome.code != 0 || self.target.json {
+            return Ok(outcome);
         }
-        let done: serde_json::Value = serde_json::from_str(&ended.text)?;
+        let done: serde_json::Value = serde_json::from_str(&outcome.text)?;
         Ok(Outcome { text: format!("change {}: maplehook rollout status\n", done["number"]), code: 0 })
     }
 }
 
 /// A plan's text and what it changes, which lies beside it; or what is wrong with either, with its lines.
-fn of_file(path: &Path) -> Result<Result<(String, What), String>, Box<dyn Error>> {
+fn load_plan(path: &Path) -> Result<Result<(String, What), String>, Box<dyn Error>> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let plan = match maplehook_rollout::plan::parse(&text) {
         Ok(plan) => plan,
         Err(faults) => return Ok(Err(format!("{}:\n{faults}\n", path.display()))),
     };
-    let beside = |file: &Path| path.parent().unwrap_or(Path::new("")).join(file);
+    let resolve = |file: &Path| path.parent().unwrap_or(Path::new("")).join(file);
     let what = match &plan.change {
         Change::Settings(file) => {
-            let file = beside(file);
-            let whole = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
-            match maplehook_config::shared(&with_rules(&file, whole)?) {
+            let file = resolve(file);
+            let file_text = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
+            match maplehook_config::shared(&inline_rules_file(&file, file_text)?) {
                 Ok((text, _)) => What::Settings { text },
                 Err(faults) => return Ok(Err(format!("{}:\n{faults}\n", file.display()))),
             }
         }
         Change::Program(file) => {
-            let file = std::path::absolute(beside(file))?;
+            let file = std::path::absolute(resolve(file))?;
             let bytes = std::fs::read(&file).map_err(|e| format!("{}: {e}", file.display()))?;
             let digest =
                 Sha256::digest(&bytes).iter().fold(String::new(), |hex, byte| hex + &format!("{byte:02x}"));
@@ -147,7 +151,7 @@
     Ok(Ok((text, what)))
 }
 
-fn table(shown: &Shown) -> String {
+fn status_table(shown: &Shown) -> String {
     if shown.number == 0 {
         return format!("{}\n", shown.word);
     }
--- /dev/null
+++ b/crates/proxy/src/serve/components.rs
@@ -0,0 +1,240 @@
+//! What is there before anybody is let in.
+
+use super::BalancerSetup;
+use crate::admission::AdmissionController;
+use crate::control::{self, AdminState, DeferredAddress};
+use crate::failover::{self, FailoverOptions};
+use crate::places::PlacesApi;
+use crate::request_signing::RequestVerifier;
+use crate::rollout;
+use crate::settings_api::SettingsApi;
+use crate::supervised::{self, SupervisorChannel};
+use crate::tier;
+use maplehook::parts::descriptors::{self, Descriptors};
+use maplehook::parts::upstream::Upstreams;
+use maplehook_admission::{ConnectionAdmission, DescriptorClass};
+use maplehook_config::{Proxy, Tier};
+use maplehook_consensus::ConsensusService;
+use maplehook_core::Balancer;
+use maplehook_rollout_agent::{Link, Setup, Taking};
+use maplehook_transport::{ClusterNode, SecretKey};
+use std::error::Error;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use tokio::net::{TcpListener, TcpSocket};
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::sync::oneshot;
+
+/// What is there before anybody is let in.
+pub(super) struct Components {
+    pub(super) term: Signal,
+    pub(super) listener: TcpListener,
+    pub(super) descriptors: Rc<Descriptors>,
+    pub(super) upstreams: Rc<Upstreams>,
+    pub(super) admission: Rc<AdmissionController>,
+    pub(super) balancer: Balancer,
+    pub(super) admin_state: AdminState,
+    /// Whether others accept on the listener too.
+    pub(super) shared: bool,
+    /// Its part in a tier. It says that it goes when this is dropped.
+    pub(super) node: Option<ClusterNode>,
+    /// Its part in agreeing on versions.
+    pub(super) consensus: Option<ConsensusService>,
+    /// Its part in places.
+    pub(super) failover_agent: Option<failover::FailoverAgent>,
+    /// Its part in changes in stages.
+    pub(super) rollout: Option<Taking>,
+    /// The way from its supervisor.
+    pub(super) supervisor: Option<SupervisorChannel>,
+}
+
+impl Components {
+    /// `proxy`: what a balancer of one's own serves; on the platform there are no places.
+    pub(super) fn new(setup: &mut BalancerSetup, proxy: Option<&Proxy>) -> Result<Self, Box<dyn Error>> {
+        if let Some(limit) = setup.operator.descriptors.limit {
+            descriptors::set_limit(limit).map_err(|e| format!("descriptors.limit: {e}"))?;
+        }
+        let balancer = Balancer::new(setup.settings.clone(), setup.seed)?;
+        // Before anybody can know that this process is ready: unhandled, it would kill.
+        let term = signal(SignalKind::terminate())?;
+        let supervisor_environment = setup.supervisor.take();
+        let operator_descriptors = if setup.control.is_some() { control::DESCRIPTORS } else { 0 };
+        let operator_descriptors =
+            operator_descriptors + if supervisor_environment.is_some() { supervised::DESCRIPTORS } else { 0 };
+        let has_agreement = setup.operator.tier.as_ref().is_some_and(|tier| tier.agreement.is_some());
+        // A version may bring places, where versions are agreed on.
+        let proxy = proxy.filter(|proxy| has_agreement || proxy.places.is_some());
+        let failover_descriptors = if proxy.is_some() { failover::DESCRIPTORS } else { 0 };
+        let reserved_descriptors = operator_descriptors
+            + failover_descriptors
+            + setup.operator.tier.as_ref().map_or(0, tier::max_descriptors);
+        let descriptors =
+            Descriptors::new(setup.sockets, reserved_descriptors, setup.operator.descriptors.upstream_share)?;
+        let handover_listener = setup.inherited.as_ref().map(std::net::TcpListener::try_clone).transpose()?;
+        let (shared, listener) = match setup.inherited.take() {
+            Some(listener) => (true, TcpListener::from_std(listener)),
+            None => (false, listen(setup.listen, setup.operator.backlog)),
+        };
+        let listener = listener.map_err(|e| format!("listen on {}: {e}", setup.listen))?;
+        let mut node = setup
+            .operator
+            .tier
+            .as_ref()
+            .map(|tier| {
+                let join = if supervisor_environment.is_some() {
+                    maplehook_consensus::join_cluster_when_free
+                } else {
+                    maplehook_consensus::join_cluster
+                };
+                join(tier, env!("CARGO_PKG_VERSION")).map_err(|error| error.to_string())
+            })
+            .transpose()?;
+        let mut admin_state =
+            AdminState { tier: node.as_ref().map(ClusterNode::status_client), ..AdminState::default() };
+        let (mut consensus, mut verifier, mut rollout) = (None, None, None);
+        if let (Some(node), Some(tier)) = (&mut node, &setup.operator.tier)
+            && let Some(agreement) = &tier.agreement
+        {
+            let file =
+                setup.file.take().ok_or("[agreement] needs the file itself: maplehook run --config FILE")?;
+            let mut started_consensus =
+                maplehook_consensus::start_consensus(tier, agreement, file.clone(), node)
+                    .map_err(|error| error.to_string())?;
+            let secret = SecretKey::read(&tier.secret_file).map_err(|e| format!("tier.secret_file: {e}"))?;
+            let shared_verifier = Arc::new(RequestVerifier::new(&secret));
+            rollout = proxy
+                .map(|proxy| start_rollout(tier, proxy, file, &mut started_consensus))
+                .transpose()?
+                .flatten();
+            let rollout_board = rollout.as_ref().map(|rollout| rollout.board.clone());
+            admin_state.rollout = rollout_board
+                .clone()
+                .map(|board| rollout::RolloutApi::new(board, Arc::clone(&shared_verifier)));
+            admin_state.settings = Some(Arc::new(SettingsApi::new(
+                Arc::clone(&shared_verifier),
+                started_consensus.admin_client(),
+                rollout_board,
+            )));
+            (consensus, verifier) = (Some(started_consensus), Some(shared_verifier));
+        }
+        let failover_agent = proxy.map(|proxy| {
+            let tier = setup.operator.tier.as_ref();
+            let options = FailoverOptions {
+                name: tier.map_or_else(|| "balancer".into(), |tier| tier.name.to_string()),
+                proxy,
+                ready: Arc::clone(&admin_state.ready),
+                trips: node.as_ref().map(|node| node.rtts.clone()),
+                balancers: tier.map_or(1, |tier| tier.peers.len() + 1),
+                history: setup.operator.history.clone(),
+            };
+            failover::FailoverAgent::start(options, consensus.as_mut())
+        });
+        let failover_agent = failover_agent.transpose()?;
+        admin_state.places =
+            failover_agent.as_ref().map(|part| PlacesApi::new(part.agent.board.clone(), verifier));
+        let mut supervisor = None;
+        if let Some(supervisor_environment) = supervisor_environment {
+            let handover_listener =
+                handover_listener.ok_or("a supervisor's balancer needs the socket that it inherits")?;
+            let (release, released) = oneshot::channel();
+            let log_key = setup.control_log_key;
+            let deferred =
+                setup.control.map(|address| DeferredAddress { address, log_key, release: released });
+            let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
+            let bound = control::serve(loopback, admin_state.clone(), deferred)
+                .map_err(|e| format!("operators' calls on {loopback}: {e}"))?;
+            supervisor =
+                Some(supervisor_environment.connect_supervisor(handover_listener, bound, release)?);
+        } else if let Some(address) = setup.control {
+            let bound = control::serve(address, admin_state.clone(), None)
+                .map_err(|e| format!("operators' calls on {address}: {e}"))?;
+            tracing::info!("operators may call {}={bound}", setup.control_log_key);
+        }
+        let (body_memory, forwarding) = (setup.body_memory.clone(), setup.forwarding.clone());
+        let upstreams = Rc::new(Upstreams::new(
+            &setup.settings,
+            Rc::clone(&descriptors),
+            body_memory,
+            forwarding,
+            Arc::clone(&admin_state.tally),
+        ));
+        let guarantees: Vec<f64> = setup.settings.tenants.iter().map(|t| t.allowance_per_s).collect();
+        let max_clients = descriptors.limit_of(DescriptorClass::Clients);
+        let admission =
+            ConnectionAdmission::new(setup.operator.admission.clone(), max_clients, &guarantees, setup.seed);
+        let admission = AdmissionController::new(admission, setup.client_timeouts);
+        share_descriptors(&descriptors, &upstreams, &admission);
+        Ok(Self {
+            term,
+            listener,
+            descriptors,
+            upstreams,
+            admission,
+            balancer,
+            admin_state,
+            shared,
+            node,
+            consensus,
+            failover_agent,
+            rollout,
+            supervisor,
+        })
+    }
+}
+
+/// A part in changes in stages. Whoever starts programs says which one this is, and how often one has crashed.
+fn start_rollout(
+    tier: &Tier,
+    proxy: &Proxy,
+    file: String,
+    consensus: &mut ConsensusService,
+) -> Result<Option<Taking>, String> {
+    let Some(channels) = consensus.rollout.take() else { return Ok(None) };
+    let link = Link {
+        standing: consensus.rollout_status.clone(),
+        ways: channels,
+        acting: consensus.active_version.clone(),
+        wishes: consensus.admin_client(),
+    };
+    let names = tier.peers.keys().chain([&tier.name]).map(ToString::to_string).collect();
+    let setup = Setup {
+        name: tier.name.to_string(),
+        names,
+        zone: proxy.zones.first().cloned().unwrap_or_default(),
+        file,
+        digest: std::env::var("MAPLEHOOK_DIGEST").ok(),
+        crashes: std::env::var("MAPLEHOOK_CRASHES").ok().and_then(|n| n.parse().ok()).unwrap_or(0),
+        link,
+    };
+    Taking::start(setup).map(Some)
+}
+
+fn listen(address: SocketAddr, backlog: u32) -> std::io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    // As after a crash: the address may still have connections that are closing.
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(backlog)
+}
+
+/// Who gives descriptors up, and who has to know that there are fewer: an idle connection to an upstream
+/// costs less than a client.
+fn share_descriptors(
+    descriptors: &Rc<Descriptors>,
+    upstreams: &Rc<Upstreams>,
+    admission: &Rc<AdmissionController>,
+) {
+    let upstreams_for_relief = Rc::clone(upstreams);
+    descriptors.add_relief(move || upstreams_for_relief.close_oldest());
+    let max_clients = Rc::clone(admission);
+    descriptors.add_relief(move || max_clients.evict_one());
+    let (weak_descriptors, upstreams, admission) =
+        (Rc::downgrade(descriptors), Rc::clone(upstreams), Rc::clone(admission));
+    descriptors.on_limits_changed(move || {
+        if let Some(descriptors) = weak_descriptors.upgrade() {
+            admission.set_capacity(descriptors.limit_of(DescriptorClass::Clients));
+            upstreams.apply_descriptor_limit();
+        }
+    });
+}
--- a/crates/proxy/src/serve/file.rs
+++ b/crates/proxy/src/serve/file.rs
@@ -1,14 +1,14 @@
 //! A balancer as the operator's file alone describes it.
 
-use super::parts::Parts;
-use super::{KILL_AFTER_DEADLINE, Plan, Told, block_on, client_authentication, serve};
+use super::components::Components;
+use super::{BalancerSetup, KILL_AFTER_DEADLINE, ServingHooks, block_on, client_authentication, serve};
 use crate::client::ClientTimeouts;
 use crate::counts::{self, IntervalCounts};
 use crate::failover::FailoverAgent;
 use crate::inherited;
 use crate::requests::RequestReader;
-use crate::supervised::{self, Led, Supervised};
-use crate::versions::Versions;
+use crate::supervised::{self, SupervisorChannel, SupervisorEnvironment};
+use crate::versions::VersionApplier;
 use maplehook::lists::Lists;
 use maplehook::parts::body_memory::BodyMemory;
 use maplehook::parts::driver::Driver;
@@ -28,55 +28,60 @@
 use tokio::task::spawn_local;
 
 /// The longest silence of a client in the middle of a request, but for a body that streams, whose class says it.
-const SILENCE: Duration = Duration::from_secs(5);
+const REQUEST_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Serves as the operator's file alone says, until SIGTERM.
-pub fn by_file(
+pub fn run_from_file(
     mut operator: Operator,
     file: Option<String>,
     inherited: Option<std::io::Result<std::net::TcpListener>>,
-    supervised: Option<Supervised>,
-    told: Option<Told>,
+    supervisor: Option<SupervisorEnvironment>,
+    hooks: Option<ServingHooks>,
 ) -> Result<(), Box<dyn Error>> {
     let mut proxy =
         operator.proxy.take().ok_or("it names no listen.address, no [[class]] and no [[upstream]]")?;
     let agreement = operator.tier.as_ref().and_then(|tier| tier.agreement.as_ref());
-    let refuses = agreement.is_some_and(|agreement| agreement.when_cut_off == CutOff::Refuse);
-    let agrees = agreement.is_some();
-    if agrees {
+    let rejects_all = agreement.is_some_and(|agreement| agreement.when_cut_off == CutOff::Refuse);
+    let has_agreement = agreement.is_some();
+    if has_agreement {
         // Until it is known what the others act on.
         proxy = maplehook_versions::compatibility::conservative(&proxy);
     }
-    let longest = proxy.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-    let mut plan = Plan {
+    let max_class_deadline =
+        proxy.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+    let mut setup = BalancerSetup {
         listen: proxy.listen,
         inherited: inherited::matching_listener(inherited, proxy.listen),
-        supervised,
+        supervisor,
         control: operator.control,
-        control_told: "operator_listen",
+        control_log_key: "operator_listen",
         classes: proxy.classes.clone(),
         settings: proxy.settings.clone(),
         seed: RandomState::new().build_hasher().finish(),
         sockets: proxy.sockets,
-        room: BodyMemory::new(proxy.bodies),
+        body_memory: BodyMemory::new(proxy.bodies),
         forwarding: proxy.forwarding.clone(),
-        own: proxy.own,
-        client_timeouts: ClientTimeouts { request_idle: SILENCE, response_unread: proxy.stall },
-        grace: Rc::new(Cell::new(longest.max(proxy.drain) + KILL_AFTER_DEADLINE)),
+        signs_own_responses: proxy.own,
+        client_timeouts: ClientTimeouts { request_idle: REQUEST_IDLE_TIMEOUT, response_unread: proxy.stall },
+        grace: Rc::new(Cell::new(max_class_deadline.max(proxy.drain) + KILL_AFTER_DEADLINE)),
         operator,
         file,
-        told,
+        hooks,
     };
     block_on(async move {
-        let client_authentication = client_authentication(&plan.operator, &proxy.tenants)?;
+        let client_authentication = client_authentication(&setup.operator, &proxy.tenants)?;
         let mut hangup = signal(SignalKind::hangup())?;
-        let mut parts = Parts::new(&mut plan, Some(&proxy))?;
-        let fronts = plan.operator.admission.fronts.clone();
-        let requests =
-            Rc::new(RequestReader::from_file(&proxy, fronts, client_authentication, plan.room.clone()));
-        requests.set_reject_all(refuses);
-        parts.admission.set_known_networks(proxy.clients.known.clone());
-        parts.board.refuses.store(refuses, Ordering::Release);
+        let mut components = Components::new(&mut setup, Some(&proxy))?;
+        let fronts = setup.operator.admission.fronts.clone();
+        let requests = Rc::new(RequestReader::from_file(
+            &proxy,
+            fronts,
+            client_authentication,
+            setup.body_memory.clone(),
+        ));
+        requests.set_reject_all(rejects_all);
+        components.admission.set_known_networks(proxy.clients.known.clone());
+        components.admin_state.rejects_all.store(rejects_all, Ordering::Release);
         let lists = Rc::new(Lists::new(Fixed::listed(proxy.listed(|zone| zone)).into_entries()));
         let known = EndpointUpdate { scope: UpdateScope::Cached, ..lists.news() };
         let (source, registrar) = match &proxy.eureka {
@@ -84,7 +89,7 @@
             Some(file) => {
                 let settings = eureka::Settings::by_file(file, &proxy.zones)?;
                 let registrar = file.registration.as_ref().map(|own| {
-                    let address = own.address.map_or_else(|| parts.listener.local_addr(), Ok)?;
+                    let address = own.address.map_or_else(|| components.listener.local_addr(), Ok)?;
                     let registration = Registration {
                         app: own.app.clone(),
                         id: own.id.clone(),
@@ -104,40 +109,40 @@
                 (Rc::new(source) as Rc<dyn Source>, registrar.transpose()?)
             }
         };
-        let agreeing = parts.agreeing.take();
+        let consensus = components.consensus.take();
         // The thread of places ends when this does, and hears of versions as long as this lives.
-        let (agent, mut notifier, serving_side) = match parts.places.take() {
+        let (agent, mut notifier, serving_side) = match components.failover_agent.take() {
             Some(FailoverAgent { agent, notifier, serving }) => (Some(agent), Some(notifier), Some(serving)),
             None => (None, None, None),
         };
-        let mut taking_stages = parts.staging.take();
-        let serving = taking_stages.as_mut().and_then(|taking| taking.serving.take());
+        let mut rollout_member = components.rollout.take();
+        let serving = rollout_member.as_mut().and_then(|taking| taking.serving.take());
         let names = notifier.as_ref().map(|notifier| notifier.names.subscribe());
-        let stages = serving
+        let rollout_link = serving
             .zip(names)
             .map(|(channels, names)| counts::RolloutLink { channels, counts: IntervalCounts::new(names) });
-        let counts = stages.as_ref().map(|part| {
+        let counts = rollout_link.as_ref().map(|part| {
             let channels = &part.channels;
             (Rc::clone(&part.counts), channels.counts.clone(), channels.counted.clone())
         });
         let versions =
-            agreeing.as_ref().zip(notifier.take_if(|_| agreeing.is_some())).map(|(agreeing, notifier)| {
+            consensus.as_ref().zip(notifier.take_if(|_| consensus.is_some())).map(|(consensus, notifier)| {
                 let lists = proxy.eureka.is_none().then_some(lists);
-                let mut versions = Versions::new(
+                let mut versions = VersionApplier::new(
                     &proxy,
                     lists,
                     Rc::clone(&requests),
-                    Rc::clone(&parts.admission),
-                    Rc::clone(&parts.upstreams),
-                    Arc::clone(&parts.board.refuses),
+                    Rc::clone(&components.admission),
+                    Rc::clone(&components.upstreams),
+                    Arc::clone(&components.admin_state.rejects_all),
                     notifier,
                 );
-                versions.stages = stages;
-                (versions, agreeing.active_version.clone(), agreeing.applied_epoch.clone())
+                versions.rollout = rollout_link;
+                (versions, consensus.active_version.clone(), consensus.applied_epoch.clone())
             });
-        let beside = parts.led.as_ref().map(Led::beside);
-        let settings = plan.settings.clone();
-        let begun = |driver: Rc<Driver>, counting| {
+        let sibling = components.supervisor.as_ref().map(SupervisorChannel::watch_sibling);
+        let settings = setup.settings.clone();
+        let on_start = |driver: Rc<Driver>, counting| {
             if let Some((counts, each, counted)) = counts {
                 spawn_local(counts.run(each, counted, Rc::clone(&counting)));
             }
@@ -150,13 +155,13 @@
                 }
             });
             if let Some((versions, acting, applied)) = versions {
-                spawn_local(versions.follow(acting, applied, driver, counting, beside));
-            } else if let Some(beside) = beside {
-                spawn_local(supervised::follow(settings, beside, driver));
+                spawn_local(versions.follow(acting, applied, driver, counting, sibling));
+            } else if let Some(sibling) = sibling {
+                spawn_local(supervised::follow_sibling(settings, sibling, driver));
             }
         };
-        let rest = move || drop((agent, taking_stages, agreeing));
-        let served = serve(plan, parts, requests, (source, known), begun, registrar, rest).await;
+        let finish = move || drop((agent, rollout_member, consensus));
+        let served = serve(setup, components, requests, (source, known), on_start, registrar, finish).await;
         drop(notifier);
         served
     })
--- a/crates/proxy/src/serve/platform.rs
+++ b/crates/proxy/src/serve/platform.rs
@@ -1,13 +1,16 @@
 //! A balancer as the platform describes it.
 
-use super::parts::Parts;
-use super::{KILL_AFTER_DEADLINE, KILL_DEADLINE_MOST, Plan, Told, block_on, client_authentication, serve};
+use super::components::Components;
+use super::{
+    BalancerSetup, KILL_AFTER_DEADLINE, MAX_KILL_DEADLINE, ServingHooks, block_on, client_authentication,
+    serve,
+};
 use crate::client::ClientTimeouts;
 use crate::config::Config;
+use crate::config_reload::ConfigReloader;
 use crate::handover::{EndpointRecorder, HandoverFile};
 use crate::inherited;
 use crate::requests::RequestReader;
-use crate::retune::Retuner;
 use maplehook::parts::body_memory::BodyMemory;
 use maplehook::parts::discovery::{Discovery, DiscoveryTimeouts};
 use maplehook::parts::driver::Driver;
@@ -23,58 +26,61 @@
 use tokio::task::spawn_local;
 
 /// How long a platform's client may leave an answer unread.
-const STALL: Duration = Duration::from_secs(20);
+const RESPONSE_UNREAD_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Serves as the platform says, until SIGTERM.
-pub fn on_platform(
+pub fn run_on_platform(
     config: Config,
     mut operator: Operator,
     inherited: Option<std::io::Result<std::net::TcpListener>>,
-    told: Option<Told>,
+    hooks: Option<ServingHooks>,
 ) -> Result<(), Box<dyn Error>> {
     let inherited = inherited::matching_listener(inherited, config.listen);
     if operator.tier.take().is_some() {
         tracing::warn!("[tier] has no effect on the platform, which says who speaks to whom");
     }
-    let settings = config.tuned.current().settings.clone();
-    let plan = Plan {
+    let settings = config.settings_state.current().settings.clone();
+    let setup = BalancerSetup {
         listen: config.listen,
         inherited,
-        supervised: None,
+        supervisor: None,
         control: config.operator,
-        control_told: "control",
-        classes: config.tuned.current().names.classes.clone(),
+        control_log_key: "control",
+        classes: config.settings_state.current().names.classes.clone(),
         seed: config.seed,
         sockets: config.limits.sockets,
-        room: BodyMemory::new(config.long_answers()),
+        body_memory: BodyMemory::new(config.max_buffered_response_bytes()),
         forwarding: Forwarding::platform(),
-        own: false,
-        client_timeouts: ClientTimeouts { request_idle: SENDER_IDLE, response_unread: STALL },
-        grace: Rc::new(Cell::new(platform_grace(&config.tuned))),
+        signs_own_responses: false,
+        client_timeouts: ClientTimeouts {
+            request_idle: SENDER_IDLE,
+            response_unread: RESPONSE_UNREAD_TIMEOUT,
+        },
+        grace: Rc::new(Cell::new(platform_grace(&config.settings_state))),
         settings,
         operator,
         file: None,
-        told,
+        hooks,
     };
     block_on(async move {
         let client_authentication =
-            client_authentication(&plan.operator, &config.tuned.current().names.tenants)?;
+            client_authentication(&setup.operator, &config.settings_state.current().names.tenants)?;
         let hangup = signal(SignalKind::hangup())?;
-        let mut plan = plan;
-        let parts = Parts::new(&mut plan, None)?;
+        let mut setup = setup;
+        let components = Components::new(&mut setup, None)?;
         let discovery = Rc::new(Discovery::new(
             config.discovery,
-            config.tuned.current().names.clone(),
-            Rc::clone(&parts.descriptors),
+            config.settings_state.current().names.clone(),
+            Rc::clone(&components.descriptors),
         ));
-        if !plan.settings.has_endpoint_discovery {
+        if !setup.settings.has_endpoint_discovery {
             discovery.set_timeouts(DiscoveryTimeouts::AGENT);
         }
-        let mut known = discovery.parse_cached_list(&config.known);
+        let mut known = discovery.parse_cached_list(&config.cached_endpoints);
         // Only then may another process of this balancer run before, beside or after this one.
-        let handover = if parts.shared { HandoverFile::for_balancer(&config.name) } else { None };
+        let handover = if components.shared { HandoverFile::for_balancer(&config.name) } else { None };
         let predecessor = handover.as_ref().and_then(|handover| handover.load(&discovery.names()));
-        let (has_predecessor, max_descriptors) = (predecessor.is_some(), plan.sockets);
+        let (has_predecessor, max_descriptors) = (predecessor.is_some(), setup.sockets);
         let learned_state =
             predecessor.as_ref().map(|predecessor| predecessor.learned_state(&discovery.names()));
         if let Some(predecessor) = predecessor {
@@ -86,19 +92,22 @@
             None => Rc::clone(&discovery) as Rc<dyn Source>,
         };
         tracing::info!(limits = ?config.limits, "configured by the platform");
-        let requests =
-            Rc::new(RequestReader::platform(&config.tuned, client_authentication, plan.room.clone()));
-        let descriptors = Rc::clone(&parts.descriptors);
-        let retuner = Retuner {
+        let requests = Rc::new(RequestReader::platform(
+            &config.settings_state,
+            client_authentication,
+            setup.body_memory.clone(),
+        ));
+        let descriptors = Rc::clone(&components.descriptors);
+        let reloader = ConfigReloader {
             config,
             discovery,
             requests: Rc::clone(&requests),
-            admission: Rc::clone(&parts.admission),
-            descriptors: Rc::clone(&parts.descriptors),
-            grace: Rc::clone(&plan.grace),
-            grace_by: platform_grace,
+            admission: Rc::clone(&components.admission),
+            descriptors: Rc::clone(&components.descriptors),
+            grace: Rc::clone(&setup.grace),
+            grace_from_settings: platform_grace,
         };
-        let begun = |driver: Rc<Driver>, counting| {
+        let on_start = |driver: Rc<Driver>, counting| {
             if let Some(learned_state) = learned_state {
                 driver.restore_learned_state(learned_state);
             }
@@ -111,14 +120,15 @@
                     has_predecessor,
                 ));
             }
-            spawn_local(retuner.run(hangup, driver, counting));
+            spawn_local(reloader.run(hangup, driver, counting));
         };
-        serve(plan, parts, requests, (source, known), begun, None, || {}).await
+        serve(setup, components, requests, (source, known), on_start, None, || {}).await
     })
 }
 
 /// From SIGTERM until the end.
-fn platform_grace(tuned: &ActiveSettings) -> Duration {
-    let longest = tuned.classes().map(|(_, _, class)| class.deadline).max().unwrap_or_default();
-    longest.min(KILL_DEADLINE_MOST) + KILL_AFTER_DEADLINE
+fn platform_grace(settings_state: &ActiveSettings) -> Duration {
+    let max_class_deadline =
+        settings_state.classes().map(|(_, _, class)| class.deadline).max().unwrap_or_default();
+    max_class_deadline.min(MAX_KILL_DEADLINE) + KILL_AFTER_DEADLINE
 }
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -1,9 +1,9 @@
 //! The command line of versions: `maplehook settings ...`.
 
-use crate::command::with_rules;
-use crate::signed::signed;
-use crate::tier::{Answered, ask, ask_with};
-use crate::wishes::{Done, PATH, Shown};
+use crate::command::inline_rules_file;
+use crate::request_signing::sign_request;
+use crate::settings_api::{PATH, SettingsStatus, VersionReply};
+use crate::tier::{AdminResponse, get, send_request};
 use hyper::StatusCode;
 use maplehook_config::Operator;
 use maplehook_consensus::messages::AdminRequest;
@@ -92,74 +92,74 @@
             self.address.or(operator.control).ok_or("which balancer? --address IP:PORT, or --config FILE")?;
         match &self.action {
             Action::Status => {
-                let (text, shown) = self.status(address)?;
-                let fine = !shown.careful && shown.members.iter().all(|member| !member.waits);
-                let text = if self.json { text } else { shown.table() };
-                Ok(Outcome { text, code: if fine { 0 } else { 2 } })
+                let (text, status) = self.status(address)?;
+                let is_settled = !status.careful && status.members.iter().all(|member| !member.waits);
+                let text = if self.json { text } else { status.table() };
+                Ok(Outcome { text, code: if is_settled { 0 } else { 2 } })
             }
             Action::History => {
-                let text = read(address, &format!("{PATH}?history"))?;
+                let text = fetch(address, &format!("{PATH}?history"))?;
                 let versions: Vec<Version> = serde_json::from_str(&text)?;
-                let row = |v: &Version| {
-                    let undone = if v.is_undone { "  undone" } else { "" };
+                let history_line = |version: &Version| {
+                    let undone = if version.is_undone { "  undone" } else { "" };
                     format!(
                         "{:>6}  {}  by {} at {} ms{undone}\n",
-                        v.number,
-                        &v.digest[..12.min(v.digest.len())],
-                        v.proposed_by,
-                        v.proposed_at_unix_ms
+                        version.number,
+                        &version.digest[..12.min(version.digest.len())],
+                        version.proposed_by,
+                        version.proposed_at_unix_ms
                     )
                 };
-                let table = versions.iter().map(row).collect();
+                let table = versions.iter().map(history_line).collect();
                 Ok(Outcome { text: if self.json { text } else { table }, code: 0 })
             }
             Action::Show { number } => {
-                let (version, json) = version(address, *number)?;
+                let (version, json) = fetch_version(address, *number)?;
                 Ok(Outcome { text: if self.json { json } else { version.text }, code: 0 })
             }
             Action::Diff { a, b } => {
-                let (a, b) = (version(address, *a)?.0, version(address, *b)?.0);
-                Ok(Outcome { text: differences(&a.text, &b.text), code: 0 })
+                let (a, b) = (fetch_version(address, *a)?.0, fetch_version(address, *b)?.0);
+                Ok(Outcome { text: unified_diff(&a.text, &b.text), code: 0 })
             }
-            Action::Undo => self.wish(address, operator, &AdminRequest::Undo),
+            Action::Undo => self.submit(address, operator, &AdminRequest::Undo),
             Action::ReplaceVoter { old, new } => {
-                let op = AdminRequest::Replace { old: old.clone(), new: new.clone() };
-                self.wish(address, operator, &op)
+                let request = AdminRequest::Replace { old: old.clone(), new: new.clone() };
+                self.submit(address, operator, &request)
             }
             Action::Forget { name } => {
-                self.wish(address, operator, &AdminRequest::Forget { name: name.clone() })
+                self.submit(address, operator, &AdminRequest::Forget { name: name.clone() })
             }
             Action::Propose { file, expect, wait } => self.propose(address, operator, file, *expect, *wait),
         }
     }
 
-    fn status(&self, address: SocketAddr) -> Result<(String, Shown), Box<dyn Error>> {
-        let text = read(address, PATH)?;
-        let shown = serde_json::from_str(&text)?;
-        Ok((text, shown))
+    fn status(&self, address: SocketAddr) -> Result<(String, SettingsStatus), Box<dyn Error>> {
+        let text = fetch(address, PATH)?;
+        let status = serde_json::from_str(&text)?;
+        Ok((text, status))
     }
 
-    fn wish(
+    fn submit(
         &self,
         address: SocketAddr,
         operator: &Operator,
-        op: &AdminRequest,
+        request: &AdminRequest,
     ) -> Result<Outcome, Box<dyn Error>> {
-        let of_file = operator.tier.as_ref().map(|tier| tier.secret_file.clone());
+        let default_file = operator.tier.as_ref().map(|tier| tier.secret_file.clone());
         let file = self
             .secret_file
             .clone()
-            .or(of_file)
+            .or(default_file)
             .ok_or("whose secret? --secret-file FILE, or --config FILE")?;
         let secret = SecretKey::read(&file)?;
-        let body = serde_json::to_vec(op)?;
-        let mac = signed(&secret, &body);
-        let Answered { status, body } = ask_with(address, PATH, Some((&mac, body)))?;
+        let body = serde_json::to_vec(request)?;
+        let mac = sign_request(&secret, &body);
+        let AdminResponse { status, body } = send_request(address, PATH, Some((&mac, body)))?;
         let text = String::from_utf8_lossy(&body).into_owned();
         match status {
             StatusCode::OK if self.json => Ok(Outcome { text, code: 0 }),
             StatusCode::OK => {
-                let done: Done = serde_json::from_str(&text)?;
+                let done: VersionReply = serde_json::from_str(&text)?;
                 Ok(Outcome { text: format!("version {}\n", done.version), code: 0 })
             }
             StatusCode::CONFLICT => Ok(Outcome { text: format!("refused: {text}"), code: 3 }),
@@ -176,62 +176,62 @@
         wait: Option<u64>,
     ) -> Result<Outcome, Box<dyn Error>> {
         let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-        let text = with_rules(file, text)?;
+        let text = inline_rules_file(file, text)?;
         // With its lines, before anybody else sees it.
-        let (shared, left) = match maplehook_config::shared(&text) {
+        let (shared, excluded) = match maplehook_config::shared(&text) {
             Ok(shared) => shared,
             Err(faults) => return Ok(Outcome { text: format!("{}:\n{faults}\n", file.display()), code: 3 }),
         };
-        let mut said = String::new();
+        let mut output = String::new();
         if !self.json {
             // Writing to a string can't fail.
-            let _ = writeln!(said, "left out, each balancer's own: {}", left.join(", "));
-            let (_, shown) = self.status(address)?;
-            if shown.in_force > 0 {
+            let _ = writeln!(output, "left out, each balancer's own: {}", excluded.join(", "));
+            let (_, status) = self.status(address)?;
+            if status.in_force > 0 {
                 // Whoever leads may be away for a moment: that keeps nobody from proposing.
-                said += &match version(address, shown.in_force) {
-                    Ok((before, _)) => differences(&before.text, &shared),
+                output += &match fetch_version(address, status.in_force) {
+                    Ok((active, _)) => unified_diff(&active.text, &shared),
                     Err(e) => format!("the difference can't be shown now: {e}\n"),
                 };
             }
         }
-        let begun = Instant::now();
-        let most = Duration::from_secs(wait.unwrap_or(0));
-        let op = AdminRequest::Propose { text: shared, expected: expect };
+        let started_at = Instant::now();
+        let max_wait = Duration::from_secs(wait.unwrap_or(0));
+        let request = AdminRequest::Propose { text: shared, expected: expect };
         // What has no answer, or is not possible yet, may be said again: the same text is the same version.
-        let proposed = loop {
-            match self.wish(address, operator, &op) {
-                Err(_) if wait.is_some() && begun.elapsed() < most => {
+        let reply = loop {
+            match self.submit(address, operator, &request) {
+                Err(_) if wait.is_some() && started_at.elapsed() < max_wait => {
                     std::thread::sleep(Duration::from_millis(200))
                 }
-                ended => break ended?,
+                outcome => break outcome?,
             }
         };
-        if proposed.code != 0 {
-            return Ok(Outcome { text: said + &proposed.text, code: proposed.code });
+        if reply.code != 0 {
+            return Ok(Outcome { text: output + &reply.text, code: reply.code });
         }
-        let Some(_) = wait else { return Ok(Outcome { text: said + &proposed.text, code: 0 }) };
-        let number = proposed
+        let Some(_) = wait else { return Ok(Outcome { text: output + &reply.text, code: 0 }) };
+        let number = reply
             .text
             .trim()
             .trim_start_matches("version ")
             .parse()
-            .or_else(|_| serde_json::from_str::<Done>(&proposed.text).map(|done| done.version))?;
+            .or_else(|_| serde_json::from_str::<VersionReply>(&reply.text).map(|done| done.version))?;
         loop {
             // A balancer that does not answer now may do so later.
-            let shown = self.status(address).ok();
-            if shown.as_ref().is_some_and(|(_, shown)| shown.is_everywhere(number)) {
+            let status = self.status(address).ok();
+            if status.as_ref().is_some_and(|(_, status)| status.is_in_force_everywhere(number)) {
                 let text = if self.json {
-                    proposed.text
+                    reply.text
                 } else {
-                    format!("{said}version {number} is in force everywhere\n")
+                    format!("{output}version {number} is in force everywhere\n")
                 };
                 return Ok(Outcome { text, code: 0 });
             }
-            if begun.elapsed() > most {
-                let stands = shown.map_or("no answer\n".into(), |(_, shown)| shown.table());
+            if started_at.elapsed() > max_wait {
+                let last_status = status.map_or("no answer\n".into(), |(_, status)| status.table());
                 return Ok(Outcome {
-                    text: format!("{said}version {number} is not everywhere:\n{stands}"),
+                    text: format!("{output}version {number} is not everywhere:\n{last_status}"),
                     code: 2,
                 });
             }
@@ -240,18 +240,18 @@
     }
 }
 
-fn read(address: SocketAddr, path: &str) -> Result<String, Box<dyn Error>> {
-    Ok(String::from_utf8_lossy(&ask(address, path)?).into_owned())
+fn fetch(address: SocketAddr, path: &str) -> Result<String, Box<dyn Error>> {
+    Ok(String::from_utf8_lossy(&get(address, path)?).into_owned())
 }
 
-fn version(address: SocketAddr, number: u64) -> Result<(Version, String), Box<dyn Error>> {
-    let text = read(address, &format!("{PATH}?show={number}"))?;
+fn fetch_version(address: SocketAddr, number: u64) -> Result<(Version, String), Box<dyn Error>> {
+    let text = fetch(address, &format!("{PATH}?show={number}"))?;
     let mut versions: Vec<Version> = serde_json::from_str(&text)?;
     Ok((versions.pop().ok_or("no version")?, text))
 }
 
 /// Line by line.
-fn differences(a: &str, b: &str) -> String {
+fn unified_diff(a: &str, b: &str) -> String {
     let diff = similar::TextDiff::from_lines(a, b);
     diff.unified_diff().context_radius(2).to_string()
 }
--- a/crates/proxy/src/wishes.rs
+++ b/crates/proxy/src/settings_api.rs
@@ -1,10 +1,10 @@
 //! Operators' calls on versions: `GET` and `POST /control/settings`.
 
-use crate::signed::Seal;
+use crate::request_signing::RequestVerifier;
 use hyper::StatusCode;
 use maplehook_consensus::messages::{AdminReply, AdminRequest, ClusterStatus};
 use maplehook_consensus::{AdminClient, LocalStatus};
-use maplehook_rollout_agent::Board as Staging;
+use maplehook_rollout_agent::Board as RolloutBoard;
 use maplehook_versions::Phase;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
@@ -14,24 +14,28 @@
 /// Where it is.
 pub const PATH: &str = "/control/settings";
 /// The longest body.
-pub const BODY_MOST: usize = 3 << 20;
+pub const MAX_BODY_BYTES: usize = 3 << 20;
 
 /// Takes operators' wishes, from whoever has the secret.
-pub struct Guard {
-    seal: Arc<Seal>,
-    wishes: AdminClient,
-    staging: Option<Staging>,
+pub struct SettingsApi {
+    verifier: Arc<RequestVerifier>,
+    admin_client: AdminClient,
+    rollout_board: Option<RolloutBoard>,
 }
 
-impl Guard {
+impl SettingsApi {
     /// Of calls under this seal; while settings are changed in stages there is no other change of them.
-    pub fn new(seal: Arc<Seal>, wishes: AdminClient, staging: Option<Staging>) -> Self {
-        Self { seal, wishes, staging }
+    pub fn new(
+        verifier: Arc<RequestVerifier>,
+        admin_client: AdminClient,
+        rollout_board: Option<RolloutBoard>,
+    ) -> Self {
+        Self { verifier, admin_client, rollout_board }
     }
 
     /// The answer to a `GET`, by its query.
-    pub async fn show(&self, query: Option<&str>) -> (StatusCode, String) {
-        let op = match query {
+    pub async fn handle_get(&self, query: Option<&str>) -> (StatusCode, String) {
+        let request = match query {
             None | Some("") => AdminRequest::Status,
             Some("history") => AdminRequest::History,
             Some(query) => match query.strip_prefix("show=").and_then(|number| number.parse().ok()) {
@@ -39,58 +43,62 @@
                 None => return (StatusCode::BAD_REQUEST, "?history or ?show=NUMBER\n".into()),
             },
         };
-        self.ask(op).await
+        self.submit(request).await
     }
 
     /// The answer to a `POST`.
-    pub async fn wish(&self, header: Option<&str>, body: &[u8]) -> (StatusCode, String) {
-        if !header.is_some_and(|header| self.seal.is_sound(header, body)) {
+    pub async fn handle_post(&self, header: Option<&str>, body: &[u8]) -> (StatusCode, String) {
+        if !header.is_some_and(|header| self.verifier.is_valid(header, body)) {
             let why = "not signed with the tier's secret within the last minute, or made before\n";
             return (StatusCode::FORBIDDEN, why.into());
         }
         match serde_json::from_slice(body) {
-            Ok(op @ (AdminRequest::Propose { .. } | AdminRequest::Undo)) => {
-                match self.staging.as_ref().and_then(Staging::shuts_settings) {
+            Ok(request @ (AdminRequest::Propose { .. } | AdminRequest::Undo)) => {
+                match self.rollout_board.as_ref().and_then(RolloutBoard::shuts_settings) {
                     Some(why) => (StatusCode::CONFLICT, why + "\n"),
-                    None => self.ask(op).await,
+                    None => self.submit(request).await,
                 }
             }
-            Ok(op) => self.ask(op).await,
+            Ok(request) => self.submit(request).await,
             Err(e) => (StatusCode::BAD_REQUEST, format!("no wish: {e}\n")),
         }
     }
 
-    async fn ask(&self, op: AdminRequest) -> (StatusCode, String) {
-        let is_status = op == AdminRequest::Status;
-        let Some((local, reply)) = self.wishes.request(op).await else {
+    async fn submit(&self, request: AdminRequest) -> (StatusCode, String) {
+        let is_status = request == AdminRequest::Status;
+        let Some((local, reply)) = self.admin_client.request(request).await else {
             return (StatusCode::SERVICE_UNAVAILABLE, "the agreement's thread does not answer\n".into());
         };
-        let (status, shown) = match reply {
-            AdminReply::Status(overview) => (StatusCode::OK, json(&Shown::of(&local, Some(&overview)))),
+        let (status, body) = match reply {
+            AdminReply::Status(overview) => {
+                (StatusCode::OK, to_json(&SettingsStatus::of(&local, Some(&overview))))
+            }
             // What is known here is worth something.
-            AdminReply::Unavailable(_) if is_status => (StatusCode::OK, json(&Shown::of(&local, None))),
-            AdminReply::Done(version) => (StatusCode::OK, json(&Done { version })),
-            AdminReply::Versions(versions) => (StatusCode::OK, json(&versions)),
+            AdminReply::Unavailable(_) if is_status => {
+                (StatusCode::OK, to_json(&SettingsStatus::of(&local, None)))
+            }
+            AdminReply::Done(version) => (StatusCode::OK, to_json(&VersionReply { version })),
+            AdminReply::Versions(versions) => (StatusCode::OK, to_json(&versions)),
             AdminReply::Rejected(why) => (StatusCode::CONFLICT, why),
             AdminReply::Unavailable(why) => (StatusCode::SERVICE_UNAVAILABLE, why),
         };
-        (status, shown + "\n")
+        (status, body + "\n")
     }
 }
 
-fn json(shown: &impl Serialize) -> String {
+fn to_json(value: &impl Serialize) -> String {
     // What is shown has nothing that JSON can't say.
-    serde_json::to_string(shown).unwrap_or_default()
+    serde_json::to_string(value).unwrap_or_default()
 }
 
 #[derive(Serialize, Deserialize)]
-pub(crate) struct Done {
+pub(crate) struct VersionReply {
     pub(crate) version: u64,
 }
 
 /// A member as it is shown.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct ShownMember {
+pub struct SettingsMember {
     /// Its name.
     pub name: String,
     /// What it acts on: a version, or two between which a change stands; none if that is not known.
@@ -105,7 +113,7 @@
 
 /// What `GET /control/settings` shows.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Shown {
+pub struct SettingsStatus {
     /// The version in force here; 0 before the first.
     pub in_force: u64,
     /// `settled`, `strictest` or `unsettled`.
@@ -128,7 +136,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub trouble: Option<String>,
     /// The members, where the leader answers.
-    pub members: Vec<ShownMember>,
+    pub members: Vec<SettingsMember>,
     /// The voters, where the leader answers.
     #[serde(default)]
     pub voters: Vec<String>,
@@ -140,7 +148,7 @@
     pub differ: Vec<(String, Vec<String>)>,
 }
 
-fn label(step: Phase) -> String {
+fn phase_label(step: Phase) -> String {
     match step {
         Phase::Initial => "0".into(),
         Phase::Stable(number) => number.to_string(),
@@ -148,23 +156,26 @@
     }
 }
 
-impl Shown {
+impl SettingsStatus {
     fn of(local: &LocalStatus, overview: Option<&ClusterStatus>) -> Self {
         let ms = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
         let members = overview.map(|overview| {
-            let member = |stands: &maplehook_consensus::messages::MemberStatus| ShownMember {
-                name: stands.name.clone(),
-                version: stands.epoch.filter(|epoch| *epoch == overview.epoch).map(|_| label(overview.phase)),
-                epoch: stands.epoch,
-                waits: stands.is_pending,
-                waits_ms: stands.max_wait_ms,
+            let member = |status: &maplehook_consensus::messages::MemberStatus| SettingsMember {
+                name: status.name.clone(),
+                version: status
+                    .epoch
+                    .filter(|epoch| *epoch == overview.epoch)
+                    .map(|_| phase_label(overview.phase)),
+                epoch: status.epoch,
+                waits: status.is_pending,
+                waits_ms: status.max_wait_ms,
             };
             overview.members.iter().map(member).collect()
         });
         Self {
             in_force: local.active_version,
             step: local.phase.to_string(),
-            label: label(local.phase),
+            label: phase_label(local.phase),
             epoch: local.epoch,
             epoch_agreed: overview.map(|overview| overview.epoch),
             digest: local.digest.clone(),
@@ -174,13 +185,13 @@
             trouble: local.voter_problem.clone(),
             members: members.unwrap_or_default(),
             voters: overview.map(|overview| overview.voters.clone()).unwrap_or_default(),
-            agreed: overview.map(|overview| label(overview.phase)),
+            agreed: overview.map(|overview| phase_label(overview.phase)),
             differ: overview.map(|overview| overview.differing_files.clone()).unwrap_or_default(),
         }
     }
 
     /// Whether this version is in force everywhere.
-    pub(crate) fn is_everywhere(&self, version: u64) -> bool {
+    pub(crate) fn is_in_force_everywhere(&self, version: u64) -> bool {
         self.step == "settled"
             && self.in_force == version
             && !self.members.is_empty()
--- a/crates/proxy/src/supervise_command.rs
+++ b/crates/proxy/src/supervise_command.rs
@@ -10,25 +10,25 @@
 use std::time::Duration;
 
 /// How much longer than its own drain a process may take.
-const GRACE_MORE: Duration = Duration::from_secs(5);
+const GRACE_MARGIN: Duration = Duration::from_secs(5);
 /// The longest queue of connections, as the file may have it.
-const BACKLOG_MOST: i32 = 65_535;
+const MAX_BACKLOG: i32 = 65_535;
 
-fn setup(operator: &Operator, file: &Path) -> Result<SupervisorConfig, Box<dyn Error>> {
+fn supervisor_config(operator: &Operator, file: &Path) -> Result<SupervisorConfig, Box<dyn Error>> {
     let missing = || "it has no [supervise]: programs, state and program are needed there";
     let supervise = operator.supervise.as_ref().ok_or_else(missing)?;
     let proxy =
         operator.proxy.as_ref().ok_or("it names no listen.address, no [[class]] and no [[upstream]]")?;
     let longest = proxy.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-    let any = || TrialRequest { method: "GET".into(), path: "/".into(), status: None };
-    let trial = supervise.trial.clone().map_or_else(any, |trial| TrialRequest {
+    let default_trial = || TrialRequest { method: "GET".into(), path: "/".into(), status: None };
+    let trial = supervise.trial.clone().map_or_else(default_trial, |trial| TrialRequest {
         method: trial.method,
         path: trial.path,
         status: Some(trial.status),
     });
     Ok(SupervisorConfig {
         listen: proxy.listen,
-        backlog: i32::try_from(operator.backlog).unwrap_or(BACKLOG_MOST),
+        backlog: i32::try_from(operator.backlog).unwrap_or(MAX_BACKLOG),
         config: file.to_owned(),
         programs: supervise.programs.clone(),
         state: supervise.state.clone(),
@@ -37,7 +37,7 @@
         settings: SupervisorSettings {
             ready_timeout: supervise.ready,
             trial_timeout: supervise.trial_time,
-            termination_grace: supervise.grace.unwrap_or(longest.max(proxy.drain) + GRACE_MORE),
+            termination_grace: supervise.grace.unwrap_or(longest.max(proxy.drain) + GRACE_MARGIN),
             initial_backoff: supervise.backoff,
             max_backoff: supervise.backoff_most,
             max_crashes: supervise.crashes,
@@ -49,8 +49,9 @@
 
 /// Supervises until SIGTERM.
 pub fn run(file: &Path) -> Result<(), Box<dyn Error>> {
-    let told = |e: Box<dyn Error>| format!("{}: {e}", file.display());
-    let read = || setup(&command::operator(Some(file))?, file).map_err(|e| told(e).into());
-    let program = || read().map(|setup| setup.program).map_err(|e: Box<dyn Error>| e.to_string());
+    let with_path = |e: Box<dyn Error>| format!("{}: {e}", file.display());
+    let read =
+        || supervisor_config(&command::load_operator(Some(file))?, file).map_err(|e| with_path(e).into());
+    let program = || read().map(|config| config.program).map_err(|e: Box<dyn Error>| e.to_string());
     Ok(supervisor::run(&read()?, program)?)
 }
--- a/crates/proxy/src/supervised.rs
+++ b/crates/proxy/src/supervised.rs
@@ -20,16 +20,16 @@
 /// Descriptors beside those of a balancer on its own: a second operators' address, and the way to the supervisor.
 pub const DESCRIPTORS: usize = control::DESCRIPTORS + control_socket::DESCRIPTORS;
 /// Words that may wait.
-const WORDS: usize = 16;
+const MAX_QUEUED_COMMANDS: usize = 16;
 
 /// How a supervisor reaches this process.
 #[derive(Debug)]
-pub struct Supervised {
+pub struct SupervisorEnvironment {
     path: PathBuf,
     digest: String,
 }
 
-impl Supervised {
+impl SupervisorEnvironment {
     /// By the environment; `None` without a supervisor.
     pub fn from_env() -> Option<Self> {
         let path = std::env::var_os(control_socket::SOCKET_VARIABLE)?.into();
@@ -38,74 +38,82 @@
     }
 
     /// Lets the supervisor come. `operators`: where it may always ask.
-    pub fn begin(
+    pub fn connect_supervisor(
         self,
         listener: std::net::TcpListener,
         operators: SocketAddr,
         release: oneshot::Sender<()>,
-    ) -> io::Result<Led> {
+    ) -> io::Result<SupervisorChannel> {
         let trial = std::net::TcpListener::bind("127.0.0.1:0")?;
         trial.set_nonblocking(true)?;
-        let shown =
+        let process_info =
             ProcessInfo { digest: self.digest, operators, trial: trial.local_addr()?, accepts: false };
-        let (tell, words) = mpsc::channel(WORDS);
-        let (beside_to, beside) = watch::channel(false);
-        control_socket::serve(&self.path, listener, shown, move |word| match word {
-            SupervisorCommand::SiblingAccepts(two) => drop(beside_to.send_replace(two)),
+        let (command_sender, commands) = mpsc::channel(MAX_QUEUED_COMMANDS);
+        let (sibling_sender, sibling) = watch::channel(false);
+        control_socket::serve(&self.path, listener, process_info, move |command| match command {
+            SupervisorCommand::SiblingAccepts(has_sibling) => drop(sibling_sender.send_replace(has_sibling)),
             // A supervisor that floods is told nothing.
-            word => drop(tell.try_send(word)),
+            command => drop(command_sender.try_send(command)),
         })?;
-        Ok(Led { trial: Some(TcpListener::from_std(trial)?), words, beside, _release: release })
+        Ok(SupervisorChannel {
+            trial: Some(TcpListener::from_std(trial)?),
+            commands,
+            sibling,
+            _release: release,
+        })
     }
 }
 
 /// The way from the supervisor.
-pub struct Led {
+pub struct SupervisorChannel {
     trial: Option<TcpListener>,
-    words: mpsc::Receiver<SupervisorCommand>,
-    beside: watch::Receiver<bool>,
+    commands: mpsc::Receiver<SupervisorCommand>,
+    sibling: watch::Receiver<bool>,
     /// Lets go of the operators' address when it is dropped.
     _release: oneshot::Sender<()>,
 }
 
 /// What became of a trial.
-pub enum Tried {
+pub enum TrialOutcome {
     /// It may accept, and says so there.
-    Accepts(SyncSender<()>),
+    Accept(SyncSender<()>),
     /// It is to end.
-    Ends,
+    Shutdown,
 }
 
-impl Led {
+impl SupervisorChannel {
     /// Where it is tried; once.
     pub fn trial(&mut self) -> Option<TcpListener> {
         self.trial.take()
     }
 
     /// Whether another process of this balancer accepts, too.
-    pub fn beside(&self) -> watch::Receiver<bool> {
-        self.beside.clone()
+    pub fn watch_sibling(&self) -> watch::Receiver<bool> {
+        self.sibling.clone()
     }
 
     /// Waits until it may accept.
-    pub async fn tried(&mut self, term: &mut Signal) -> Result<Tried, Box<dyn Error>> {
+    pub async fn wait_for_trial_outcome(
+        &mut self,
+        term: &mut Signal,
+    ) -> Result<TrialOutcome, Box<dyn Error>> {
         tokio::select! {
-            _ = term.recv() => Ok(Tried::Ends),
-            word = self.words.recv() => match word {
-                Some(SupervisorCommand::Accept(tell)) => Ok(Tried::Accepts(tell)),
-                Some(SupervisorCommand::Shutdown) => Ok(Tried::Ends),
+            _ = term.recv() => Ok(TrialOutcome::Shutdown),
+            command = self.commands.recv() => match command {
+                Some(SupervisorCommand::Accept(acknowledge)) => Ok(TrialOutcome::Accept(acknowledge)),
+                Some(SupervisorCommand::Shutdown) => Ok(TrialOutcome::Shutdown),
                 _ => Err("the supervisor is gone, and has not told this process to accept".into()),
             }
         }
     }
 
     /// Waits until the whole balancer is to end.
-    pub async fn ends(&mut self) {
+    pub async fn wait_for_shutdown(&mut self) {
         loop {
-            match self.words.recv().await {
+            match self.commands.recv().await {
                 Some(SupervisorCommand::Shutdown) => return,
                 // A supervisor that was killed just now may not have heard the answer.
-                Some(SupervisorCommand::Accept(tell)) => drop(tell.try_send(())),
+                Some(SupervisorCommand::Accept(acknowledge)) => drop(acknowledge.try_send(())),
                 Some(_) => {}
                 None => std::future::pending().await,
             }
@@ -114,15 +122,15 @@
 }
 
 /// The settings of one of `beside` two processes of a balancer: together they grant what one does.
-pub fn halved(settings: Settings, beside: bool) -> Settings {
-    let balancers = settings.balancers.saturating_mul(1 + u32::from(beside));
+pub fn share_with_sibling(settings: Settings, has_sibling: bool) -> Settings {
+    let balancers = settings.balancers.saturating_mul(1 + u32::from(has_sibling));
     Settings { balancers, ..settings }
 }
 
 /// Waits until another process comes or goes; for good, where none can.
-pub async fn changes(beside: Option<&mut watch::Receiver<bool>>) {
-    if let Some(beside) = beside
-        && beside.changed().await.is_ok()
+pub async fn sibling_changed(sibling: Option<&mut watch::Receiver<bool>>) {
+    if let Some(sibling) = sibling
+        && sibling.changed().await.is_ok()
     {
         return;
     }
@@ -130,11 +138,11 @@
 }
 
 /// Retunes the decisions of a balancer whose settings stay, as another process comes or goes.
-pub async fn follow(settings: Settings, mut beside: watch::Receiver<bool>, driver: Rc<Driver>) {
-    while beside.changed().await.is_ok() {
-        let two = *beside.borrow_and_update();
-        tracing::info!(two, "guarantees are shared with another process, or no more");
-        driver.update_settings(halved(settings.clone(), two), Vec::new());
+pub async fn follow_sibling(settings: Settings, mut sibling: watch::Receiver<bool>, driver: Rc<Driver>) {
+    while sibling.changed().await.is_ok() {
+        let has_sibling = *sibling.borrow_and_update();
+        tracing::info!(has_sibling, "guarantees are shared with another process, or no more");
+        driver.update_settings(share_with_sibling(settings.clone(), has_sibling), Vec::new());
     }
 }
 
@@ -143,9 +151,9 @@
     use super::*;
 
     #[test]
-    fn two_processes_grant_what_one_does() {
+    fn two_processes_together_grant_what_one_grants() {
         let settings = Settings { balancers: 3, ..Settings::default() };
-        assert_eq!(halved(settings.clone(), true).balancers, 6);
-        assert_eq!(halved(settings, false).balancers, 3);
+        assert_eq!(share_with_sibling(settings.clone(), true).balancers, 6);
+        assert_eq!(share_with_sibling(settings, false).balancers, 3);
     }
 }
--- a/crates/proxy/src/tier.rs
+++ b/crates/proxy/src/tier.rs
@@ -18,25 +18,25 @@
 use tokio::time::timeout;
 
 /// Descriptors beside the links: two sockets, the poller's, callers that greet.
-const DESCRIPTORS: usize = 24;
+const BASE_DESCRIPTORS: usize = 24;
 /// Others that there may be links to at once, as far as descriptors are set aside for them.
-const LINKED: usize = 20;
+const MAX_BUDGETED_PEERS: usize = 20;
 /// How long an operator waits for an answer, for one to a wish (a proposal waits for the lease of whoever is lost), and the longest.
-const ANSWER: Duration = Duration::from_secs(4);
-const ANSWER_TO_WISH: Duration = Duration::from_secs(20);
-const ANSWER_MOST: usize = 4 << 20;
+const GET_TIMEOUT: Duration = Duration::from_secs(4);
+const POST_TIMEOUT: Duration = Duration::from_secs(20);
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 /// Descriptors that it may hold.
-pub fn descriptors(tier: &Tier) -> usize {
+pub fn max_descriptors(tier: &Tier) -> usize {
     // A voter may lead, and then all others call it.
-    let votes = tier.agreement.as_ref().is_some_and(|agreement| agreement.voters.contains(&tier.name));
-    let linked = if votes { tier.peers.len() } else { tier.peers.len().min(LINKED) };
-    DESCRIPTORS + 2 * linked
+    let is_voter = tier.agreement.as_ref().is_some_and(|agreement| agreement.voters.contains(&tier.name));
+    let peer_count = if is_voter { tier.peers.len() } else { tier.peers.len().min(MAX_BUDGETED_PEERS) };
+    BASE_DESCRIPTORS + 2 * peer_count
 }
 
 /// A member as `GET /control/tier` shows it.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct ShownMember {
+pub struct TierMember {
     /// Its name.
     pub name: String,
     /// Its start.
@@ -57,7 +57,7 @@
 /// Counters of the ways between balancers.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[allow(missing_docs, reason = "docs/TIER.md has them")]
-pub struct ShownLink {
+pub struct LinkCounters {
     pub datagrams_taken: u64,
     pub datagrams_refused: u64,
     pub datagrams_forged: u64,
@@ -76,7 +76,7 @@
 
 /// What `GET /control/tier` shows.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Shown {
+pub struct TierStatus {
     /// The balancer's name.
     pub name: String,
     /// Its start.
@@ -84,23 +84,23 @@
     /// Whether it speaks: not after a later start of its name was seen.
     pub speaks: bool,
     /// All that were seen, itself among them.
-    pub members: Vec<ShownMember>,
+    pub members: Vec<TierMember>,
     /// Those of its file that are not here.
     pub away: Vec<String>,
     /// Upstreams that there are words of.
     pub words: usize,
     /// Counters.
-    pub link: ShownLink,
+    pub link: LinkCounters,
 }
 
 fn ms(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-impl Shown {
+impl TierStatus {
     /// How it stands.
     pub fn of(status: &NodeStatus) -> Self {
-        let own = ShownMember {
+        let local = TierMember {
             name: status.name.to_string(),
             incarnation: status.generation,
             state: "alive".into(),
@@ -109,24 +109,24 @@
             since_ms: ms(status.uptime),
             apart: None,
         };
-        let other = |seen: &MemberStatus| ShownMember {
-            name: seen.name.to_string(),
-            incarnation: seen.generation,
-            state: seen.state.as_str().into(),
-            program: seen.program.to_string(),
-            wire: seen.wire.version,
-            since_ms: ms(seen.in_state_for),
-            apart: seen.excluded.map(|reason| reason.as_str().into()),
+        let remote = |member: &MemberStatus| TierMember {
+            name: member.name.to_string(),
+            incarnation: member.generation,
+            state: member.state.as_str().into(),
+            program: member.program.to_string(),
+            wire: member.wire.version,
+            since_ms: ms(member.in_state_for),
+            apart: member.excluded.map(|reason| reason.as_str().into()),
         };
         let (datagrams, links) = (status.datagrams, status.connections);
         Self {
             name: status.name.to_string(),
             incarnation: status.generation,
             speaks: status.is_active,
-            members: std::iter::once(own).chain(status.members.iter().map(other)).collect(),
+            members: std::iter::once(local).chain(status.members.iter().map(remote)).collect(),
             away: status.absent_peers.iter().map(ToString::to_string).collect(),
             words: status.gossiped_endpoints,
-            link: ShownLink {
+            link: LinkCounters {
                 datagrams_taken: datagrams.accepted,
                 datagrams_refused: datagrams.rejected,
                 datagrams_forged: status.forged,
@@ -146,9 +146,9 @@
     }
 
     /// Whether nobody of the file is missing, and this balancer speaks.
-    pub fn is_whole(&self) -> bool {
-        let fine = |member: &ShownMember| member.state == "alive" && member.apart.is_none();
-        self.speaks && self.away.is_empty() && self.members.iter().all(fine)
+    pub fn is_complete(&self) -> bool {
+        let is_healthy = |member: &TierMember| member.state == "alive" && member.apart.is_none();
+        self.speaks && self.away.is_empty() && self.members.iter().all(is_healthy)
     }
 
     /// As a table.
@@ -181,7 +181,7 @@
 }
 
 /// An answer at an operators' address.
-pub struct Answered {
+pub struct AdminResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its body.
@@ -189,8 +189,8 @@
 }
 
 /// Asks a balancer's operators' address; another answer than 200 is an error.
-pub fn ask(address: SocketAddr, path: &str) -> Result<Bytes, Box<dyn Error>> {
-    let Answered { status, body } = ask_with(address, path, None)?;
+pub fn get(address: SocketAddr, path: &str) -> Result<Bytes, Box<dyn Error>> {
+    let AdminResponse { status, body } = send_request(address, path, None)?;
     if status == StatusCode::OK {
         Ok(body)
     } else {
@@ -199,29 +199,29 @@
 }
 
 /// The same, with a body and its MAC.
-pub fn ask_with(
+pub fn send_request(
     address: SocketAddr,
     path: &str,
-    signed: Option<(&str, Vec<u8>)>,
-) -> Result<Answered, Box<dyn Error>> {
+    signed_body: Option<(&str, Vec<u8>)>,
+) -> Result<AdminResponse, Box<dyn Error>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let most = if signed.is_some() { ANSWER_TO_WISH } else { ANSWER };
-    let asked = async {
+    let request_timeout = if signed_body.is_some() { POST_TIMEOUT } else { GET_TIMEOUT };
+    let exchange = async {
         let stream = TcpStream::connect(address).await?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         tokio::spawn(connection);
         let mut request = Request::get(path).header(HOST, address.to_string());
         let mut body = Vec::new();
-        if let Some((mac, sent)) = signed {
-            request = request.method(Method::POST).header(crate::signed::MAC, mac);
-            body = sent;
+        if let Some((mac, payload)) = signed_body {
+            request = request.method(Method::POST).header(crate::request_signing::MAC_HEADER, mac);
+            body = payload;
         }
-        let answer = sender.send_request(request.body(Full::new(Bytes::from(body)))?).await?;
-        let status = answer.status();
-        let body = Limited::new(answer.into_body(), ANSWER_MOST).collect().await?.to_bytes();
-        Ok::<_, Box<dyn Error + Send + Sync>>(Answered { status, body })
+        let response = sender.send_request(request.body(Full::new(Bytes::from(body)))?).await?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await?.to_bytes();
+        Ok::<_, Box<dyn Error + Send + Sync>>(AdminResponse { status, body })
     };
-    let answered = runtime.block_on(async { timeout(most, asked).await });
-    let answered = answered.map_err(|_| format!("{address} does not answer"))?;
-    Ok(answered.map_err(|e| format!("{address}: {e}"))?)
+    let result = runtime.block_on(async { timeout(request_timeout, exchange).await });
+    let result = result.map_err(|_| format!("{address} does not answer"))?;
+    Ok(result.map_err(|e| format!("{address}: {e}"))?)
 }
