--- a/crates/proxy/src/admin_target.rs
+++ b/crates/proxy/src/admin_target.rs
@@ -1,4 +1,4 @@
-//! Whom a command asks, and how an operator's wish is put to it.
+//! Options of the admin commands that choose a balancer, and the signed requests to it.
 
 use crate::request_signing::sign_request;
 use crate::settings::Outcome;
@@ -26,13 +26,13 @@
 }
 
 impl AdminTarget {
-    /// Whom to ask.
+    /// Returns the admin address of the option or the operator's file.
     pub fn address(&self, operator: &Operator) -> Result<SocketAddr, Box<dyn Error>> {
         let address = self.address.or(operator.control);
-        address.ok_or_else(|| "which balancer? --address IP:PORT, or --config FILE".into())
+        address.ok_or_else(|| "no balancer given; use --address IP:PORT or --config FILE".into())
     }
 
-    /// Puts a wish, signed: what was answered to it, or that it is refused.
+    /// Signs and sends an admin request. The outcome holds the response or the reason for its rejection.
     pub fn send(
         &self,
         operator: &Operator,
@@ -42,14 +42,15 @@
         let address = self.address(operator)?;
         let default_file = operator.tier.as_ref().map(|tier| tier.secret_file.clone());
         let file = self.secret_file.clone().or(default_file);
-        let secret = SecretKey::read(&file.ok_or("whose secret? --secret-file FILE, or --config FILE")?)?;
+        let secret =
+            SecretKey::read(&file.ok_or("no secret given; use --secret-file FILE or --config FILE")?)?;
         let body = serde_json::to_vec(request)?;
         let mac = sign_request(&secret, &body);
         let AdminResponse { status, body } = send_request(address, path, Some((&mac, body)))?;
         let text = String::from_utf8_lossy(&body).into_owned();
         match status {
             StatusCode::OK => Ok(Outcome { text, code: 0 }),
-            StatusCode::CONFLICT => Ok(Outcome { text: format!("refused: {text}"), code: 3 }),
+            StatusCode::CONFLICT => Ok(Outcome { text: format!("rejected: {text}"), code: 3 }),
             _ => Err(format!("{address}: {status}: {}", text.trim()).into()),
         }
     }
--- a/crates/proxy/src/command.rs
+++ b/crates/proxy/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line, and the operator's file that it names.
+//! The command line, and the operator's file that its options name.
 
 use crate::locality_command::Locality;
 use crate::places_command::{Addresses, Places};
@@ -77,13 +77,13 @@
 }
 
 impl TierCommand {
-    /// What there is to show, and whether nobody is missing.
+    /// Requests the status. Returns its text, and whether the tier is complete.
     pub fn run(&self) -> Result<(String, bool), Box<dyn Error>> {
         let Self::Status { address, json } = self;
-        let answer = tier::get(*address, "/control/tier")?;
-        let shown: TierStatus = serde_json::from_slice(&answer)?;
-        let text = if *json { String::from_utf8_lossy(&answer).into_owned() } else { shown.table() };
-        Ok((text, shown.is_complete()))
+        let body = tier::get_body(*address, "/control/tier")?;
+        let status: TierStatus = serde_json::from_slice(&body)?;
+        let text = if *json { String::from_utf8_lossy(&body).into_owned() } else { status.table() };
+        Ok((text, status.is_complete()))
     }
 }
 
@@ -102,28 +102,28 @@
 }
 
 impl Sign {
-    /// The word.
+    /// Creates a token for the tenant that expires after the given time.
     pub fn token(&self) -> Result<String, Box<dyn Error>> {
         let now = SystemTime::now().duration_since(UNIX_EPOCH)?.as_secs();
         let token = token_signer(&self.secret)?.sign(&self.tenant, now + self.lasts);
-        token.ok_or_else(|| format!("the tenant's name {:?} can't stand in a word", self.tenant).into())
+        token.ok_or_else(|| format!("the tenant name {:?} can't be encoded in a token", self.tenant).into())
     }
 }
 
-/// Reads the secret that signs words.
+/// Reads the secret for signing tokens.
 pub fn token_signer(path: &Path) -> Result<TokenSigner, Box<dyn Error>> {
     let secret = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
     TokenSigner::new(secret.trim_ascii())
-        .ok_or_else(|| format!("{}: a secret has 16 bytes at least", path.display()).into())
+        .ok_or_else(|| format!("{}: the secret must have at least 16 bytes", path.display()).into())
 }
 
-/// Reads the operator's file, if there is one.
+/// Reads the operator's file, or returns the defaults without one.
 pub fn load_operator(path: Option<&Path>) -> Result<Operator, Box<dyn Error>> {
     path.map_or_else(|| Ok(Operator::default()), |path| Ok(load_operator_with_text(path)?.0))
 }
 
-/// Puts the text of the file that `locality.rules_file` names in its place, beside the operator's file: what balancers share must
-/// not depend on a disk.
+/// Replaces `locality.rules_file` by the rules in that file, relative to the operator's file. A shared configuration
+/// must not depend on files of one balancer.
 pub fn inline_rules_file(path: &Path, text: String) -> Result<String, Box<dyn Error>> {
     let read_rules = |file: &str| {
         let file = path.parent().unwrap_or(Path::new("")).join(file);
@@ -135,7 +135,7 @@
     }
 }
 
-/// Reads a file of text; one that is none is named with the line where it ceases to be.
+/// Reads a text file. Errors name the line of the first byte that is not UTF-8.
 pub fn read_utf8_file(path: &Path) -> Result<String, String> {
     let bytes = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
     String::from_utf8(bytes).map_err(|e| {
@@ -145,7 +145,7 @@
     })
 }
 
-/// Reads an operator's file, and keeps its text.
+/// Reads an operator's file and returns its text as well.
 pub fn load_operator_with_text(path: &Path) -> Result<(Operator, String), Box<dyn Error>> {
     let text = read_utf8_file(path)?;
     let text = inline_rules_file(path, text)?;
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,4 +1,4 @@
-//! What the platform tells a balancer at its start: the JSON file that `NODE_CONFIG` names.
+//! Platform's configuration of a balancer: the JSON file that `NODE_CONFIG` names.
 
 use crate::command::read_utf8_file;
 use maplehook_admission::descriptor_budget::{MIN_DESCRIPTORS, TooFewDescriptorsError};
@@ -11,33 +11,33 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// One part of so many of the memory may hold long answers; reading one takes it twice for a moment.
+/// Buffered long responses can use memory divided by this number. A response takes twice its size while it is read.
 const RESPONSE_BUFFER_MEMORY_DIVISOR: usize = 5;
 
-/// A balancer's configuration.
+/// Configuration of a balancer by the platform.
 #[derive(Debug)]
 pub struct Config {
-    /// The balancer's name.
+    /// Name of the balancer.
     pub name: String,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Where operators call, if they may.
+    /// Address of the admin API, if it is enabled.
     pub operator: Option<SocketAddr>,
-    /// Where discovery answers.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// The seed of all chance.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// What the process may use.
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// The upstreams last known, in discovery's form; empty if none are.
+    /// Endpoint list of an earlier discovery, in the discovery's JSON format; empty if there is none.
     pub cached_endpoints: String,
-    /// The settings of the site.
+    /// Settings of the site.
     pub settings_state: ActiveSettings,
-    /// The keys that the file has to go on having.
+    /// Keys that a reloaded file must also have. Values other than the limits are null.
     required_shape: Value,
 }
 
-/// Why no balancer can start.
+/// Reason why a configuration is invalid.
 #[derive(Debug)]
 pub struct ConfigError(String);
 
@@ -66,15 +66,15 @@
     settings: &'a RawValue,
 }
 
-/// What the platform lets a balancer use.
+/// Resource limits that the platform sets.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Cores, or the part of one.
+    /// CPU cores; can be a fraction.
     pub cores: f64,
-    /// Memory.
+    /// Memory, in MiB.
     pub memory_mb: u64,
-    /// Descriptors.
+    /// File descriptors.
     pub sockets: usize,
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// The file that `NODE_CONFIG` names: its name, and its text.
+/// Returns the path and the text of the file that `NODE_CONFIG` names.
 fn read_config_file() -> Result<(String, String), ConfigError> {
     let path = std::env::var_os("NODE_CONFIG")
         .ok_or_else(|| ConfigError("NODE_CONFIG names no configuration file".into()))?;
@@ -92,12 +92,12 @@
     Ok((path.to_string_lossy().into_owned(), text))
 }
 
-/// Reads JSON; what can't be read is named with its key, line and column.
+/// Parses JSON. Errors name the key, line and column.
 fn parse_json<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, ConfigError> {
     let mut json = serde_json::Deserializer::from_str(text);
     let result = serde_path_to_error::deserialize(&mut json).map_err(|e| {
         let path = e.path().to_string();
-        // Where no key has been read yet there is a question mark.
+        // An error before the first key has a question mark as its path.
         let key = path.trim_end_matches(['.', '?']);
         ConfigError(if key.is_empty() { e.inner().to_string() } else { format!("{key}: {}", e.inner()) })
     })?;
@@ -117,8 +117,8 @@
         Ok(config)
     }
 
-    /// What of the file that `NODE_CONFIG` names now may be taken while this process runs: discovery's address and the
-    /// settings, `now` since its start; whole, or not at all.
+    /// Reads the file again and returns the discovery address and the updated settings. The rest can't change while
+    /// the process runs. `now` is the time since the start of the process.
     pub fn reload(
         &self,
         now: Duration,
@@ -134,7 +134,7 @@
         settings_state: &ActiveSettings,
         text: &str,
     ) -> Result<(SocketAddr, ActiveSettings), ConfigError> {
-        let to_config_error = |to_config_error: SettingsParseError| ConfigError(to_config_error.to_string());
+        let to_config_error = |error: SettingsParseError| ConfigError(error.to_string());
         let value: Value = parse_json(text)?;
         check_required_keys(&self.required_shape, &value, "").map_err(to_config_error)?;
         let raw: RawConfig<'_> = parse_json(text)?;
@@ -143,7 +143,7 @@
         Ok((raw.discovery, settings_state))
     }
 
-    /// Reads the text of that file.
+    /// Parses the text of the file.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let mut required_shape: Value = parse_json(text)?;
         let raw: RawConfig<'_> = parse_json(text)?;
@@ -157,7 +157,7 @@
         let settings_state =
             ActiveSettings::new(raw.settings.get(), "settings").map_err(|e| ConfigError(e.to_string()))?;
         if let Value::Object(required_shape) = &mut required_shape {
-            // What it knew of the list is of no use to a process that runs, and the settings know their own keys.
+            // The cached list is used only at the start, and `ActiveSettings` checks the keys of the settings.
             required_shape.remove("known");
             required_shape
                 .iter_mut()
@@ -177,7 +177,7 @@
         })
     }
 
-    /// How many bytes the long answers in hand may hold.
+    /// Returns the memory for buffered long responses, in bytes.
     pub fn max_buffered_response_bytes(&self) -> usize {
         (self.limits.memory_mb as usize).saturating_mul(1024 * 1024) / RESPONSE_BUFFER_MEMORY_DIVISOR
     }
@@ -187,13 +187,13 @@
 mod tests {
     use super::*;
 
-    const VALID: &str = r#"{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
+    const VALID_CONFIG: &str = r#"{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"rev": 4, "targets": []},
         "settings": {"classes": [{"name": "a", "aim_ms": 200, "effect": "idempotent"}]}}"#;
 
     #[test]
     fn parses_a_valid_configuration() {
-        let config = Config::parse(VALID).unwrap();
+        let config = Config::parse(VALID_CONFIG).unwrap();
         assert_eq!((config.seed, config.limits.sockets), (0x8c1f_30d2_7a5b_e964, 1024));
         assert!(config.cached_endpoints.contains("targets"));
     }
@@ -205,7 +205,7 @@
             ("8c1f", "zzzz", "seed"),
             ("idempotent", "maybe", "maybe"),
         ] {
-            let error = Config::parse(&VALID.replace(from, to)).unwrap_err().to_string();
+            let error = Config::parse(&VALID_CONFIG.replace(from, to)).unwrap_err().to_string();
             assert!(error.contains(expected), "{error}");
         }
     }
--- a/crates/proxy/src/config_reload.rs
+++ b/crates/proxy/src/config_reload.rs
@@ -1,4 +1,5 @@
-//! SIGHUP: the platform's file is read anew. Discovery's address and the settings are taken from it, whole or not at all.
+//! Reload of the platform's configuration file on SIGHUP. Only the discovery address and the settings can change,
+//! and only if the complete file is valid.
 
 use crate::admission::AdmissionController;
 use crate::config::Config;
@@ -16,38 +17,38 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::Instant;
 
-/// How long a process stays after SIGTERM, by its settings.
+/// Longest time from SIGTERM to the end of the process, updated with the settings.
 pub type SharedGrace = Rc<Cell<Duration>>;
 
-/// From here on SIGHUP ends this process no more, and one that comes before [`Retuner::run`] listens is kept for it: the
-/// platform may send it as soon as the process is there, and while the configuration that it is about is being read.
+/// Installs a handler for SIGHUP, which otherwise ends the process. The platform can send SIGHUP as soon as the
+/// process exists. A signal that arrives while the configuration is read is delivered to [`ConfigReloader::run`].
 pub fn install_hangup_handler() -> io::Result<()> {
     let runtime = Builder::new_current_thread().enable_io().build()?;
     let _entered = runtime.enter();
-    // The handler stays for good. What it has noted is passed on by the runtime that serves.
+    // The handler stays installed. The serving runtime delivers signals that were recorded here.
     signal(SignalKind::hangup()).map(drop)
 }
 
-/// Whom new settings concern.
+/// Applies changed platform settings to the parts of the balancer that depend on them.
 pub struct ConfigReloader {
-    /// What the process was started with.
+    /// Configuration at the start of the process.
     pub config: Config,
-    /// The connections to the list.
+    /// Connection to the discovery service.
     pub discovery: Rc<Discovery>,
-    /// The reader of requests.
-    pub requests: Rc<RequestReader>,
-    /// The door.
+    /// Reader that holds the rules of requests.
+    pub request_reader: Rc<RequestReader>,
+    /// Admission controller that enforces guarantees of tenants.
     pub admission: Rc<AdmissionController>,
-    /// A descriptor for the file.
+    /// Descriptors, of which reading the file needs one.
     pub descriptors: Rc<Descriptors>,
-    /// How long a process stays after SIGTERM.
+    /// Longest time from SIGTERM to the end of the process.
     pub grace: SharedGrace,
-    /// The same, by settings.
+    /// Computes the grace time from settings.
     pub grace_from_settings: fn(&ActiveSettings) -> Duration,
 }
 
 impl ConfigReloader {
-    /// Reads the file at each SIGHUP, as long as the process lives.
+    /// Reads the file at each SIGHUP until the process ends.
     pub async fn run(self, mut hangup: Signal, driver: Rc<Driver>, counting: Rc<Counting>) {
         let (start, mut settings) = (Instant::now(), self.config.settings_state.clone());
         while hangup.recv().await.is_some() {
@@ -72,7 +73,8 @@
         }
     }
 
-    /// The decisions come first: no request may come by a class or tenant that they do not know.
+    /// Applies new settings. The driver's settings change first: it must know every class and tenant before requests
+    /// use them.
     fn apply_settings(&self, settings: &ActiveSettings, driver: &Rc<Driver>, counting: &Counting) {
         let site = settings.current();
         driver.update_settings(site.settings.clone(), settings.removed_tenants());
@@ -81,6 +83,6 @@
         self.admission.set_tenant_guarantees(&guarantees);
         self.discovery.set_names(site.names.clone());
         self.grace.set((self.grace_from_settings)(settings));
-        self.requests.update_settings(settings);
+        self.request_reader.update_settings(settings);
     }
 }
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -1,8 +1,8 @@
-//! Where operators call: `GET /control/ready`, `GET /control/counters`, of a tier `GET /control/tier`, of places what `places.rs`
-//! answers; HTTP/1.1, one call to a connection.
+//! Admin API: `GET /control/ready` and `/control/counters`; the tier, settings, locality and rollout endpoints exist
+//! if the balancer has these parts. HTTP/1.1 with one request per connection.
 //!
-//! It has a thread of its own, so that no client, tick or body can keep an operator waiting: the counts are read where
-//! they stand. Callers that send nothing or half a call have so much time and so many places, and make room.
+//! The API runs on its own thread and reads counters in place, so that clients and large bodies can't delay it.
+//! Requests have a time limit. While the maximum number of connections is open, the oldest is closed to admit others.
 
 use crate::places::{self, PlacesApi};
 use crate::rejections::{MAX_DISCARDED_BYTES, linger};
@@ -32,53 +32,54 @@
 use tokio::task::{JoinHandle, spawn};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Calls that may be open at once.
+/// Connections that can be open at once.
 const MAX_CONNECTIONS: usize = 16;
-/// Descriptors that it may hold: the calls, one that has just been accepted, the listener and its poller's.
+/// Descriptors of the API: its connections, one connection before its admission, and the listener with its poller.
 pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 5;
-/// How long a call may take to come whole.
+/// Time limit for receiving a request.
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long it may take to be answered after that: a wish may wait for a lease.
+/// Time limit for the response after that. An admin request can wait until a lease expires.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a caller is left its place, whoever waits: any that means it has asked by then.
+/// Minimum time that a connection stays open while others wait. Clients normally send their request sooner.
 const MIN_CONNECTION_TIME: Duration = Duration::from_millis(200);
-/// The longest head.
+/// Largest request head.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// How long the tier's thread has for its part of an answer.
+/// Time limit for the tier thread's status.
 const TIER_STATUS_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pause after an accept that failed.
+/// Pause before bind or accept is called again after an error.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What operators are told.
+/// Data and handlers behind the admin API.
 #[derive(Clone, Default)]
 pub struct AdminState {
-    /// The figures.
+    /// Counters.
     pub tally: Arc<Tally>,
-    /// Whether this process takes clients.
-    pub ready: Arc<AtomicBool>,
-    /// How it stands in its tier, if it is of one.
+    /// True while this process accepts clients.
+    pub is_ready: Arc<AtomicBool>,
+    /// Client for the tier's status; `None` without a tier.
     pub tier: Option<StatusClient>,
-    /// Whether it refuses everything, since it has lost touch with the others.
+    /// True while all requests are rejected because this balancer has no valid lease.
     pub rejects_all: Arc<AtomicBool>,
-    /// The versions, if it agrees on some.
+    /// Settings endpoints; `None` if versions are not agreed on.
     pub settings: Option<Arc<SettingsApi>>,
-    /// Places and addresses, if it takes part in them.
+    /// Locality and address endpoints; `None` without localities.
     pub places: Option<PlacesApi>,
-    /// Changes in stages, if it agrees on some.
+    /// Rollout endpoints; `None` without a rollout agent.
     pub rollout: Option<rollout::RolloutApi>,
 }
 
-/// A second address, which another process may still hold.
+/// Admin address that another process of this balancer may still hold.
 pub struct DeferredAddress {
-    /// The address.
+    /// Address to bind as soon as it is free.
     pub address: SocketAddr,
-    /// How it is told in the log.
+    /// Key under which the log names the bound address.
     pub log_key: &'static str,
-    /// It is let go of when that is sent or dropped.
+    /// Closes the listener when a message is sent or the sender is dropped.
     pub release: oneshot::Receiver<()>,
 }
 
-/// Binds the address and answers there until the process ends, and at a later one. Returns the address.
+/// Binds `address`, serves the admin API on it until the process ends, and returns the bound address. Also serves
+/// the API on the deferred address, once it can be bound.
 pub fn serve(
     address: SocketAddr,
     state: AdminState,
@@ -95,7 +96,7 @@
             }
             match TcpListener::from_std(listener) {
                 Ok(listener) => accept(listener, state).await,
-                Err(e) => tracing::error!("the operators' address: {e}"),
+                Err(e) => tracing::error!("the admin listener failed: {e}"),
             }
         });
     })?;
@@ -111,7 +112,7 @@
         match TcpListener::bind(address).await {
             Ok(listener) => break listener,
             Err(e) if !std::mem::replace(&mut is_waiting, true) => {
-                tracing::info!("operators' calls on {address} wait: {e}");
+                tracing::info!("operators' calls on {address} wait until the address is free: {e}");
             }
             Err(_) => {}
         }
@@ -121,7 +122,7 @@
     };
     match listener.local_addr() {
         Ok(bound) => tracing::info!("operators may call {log_key}={bound}"),
-        Err(e) => tracing::warn!("operators' calls on {address}: {e}"),
+        Err(e) => tracing::warn!("operators' calls on {address}: the bound address is unknown: {e}"),
     }
     tokio::select! {
         () = accept(listener, state) => {}
@@ -129,7 +130,7 @@
     }
 }
 
-/// An open call.
+/// Open connection and the time of its acceptance.
 struct OpenConnection {
     task: JoinHandle<()>,
     since: Instant,
@@ -138,11 +139,11 @@
 async fn accept(listener: TcpListener, state: AdminState) {
     let mut connections: VecDeque<OpenConnection> = VecDeque::new();
     loop {
-        connections.retain(|serve_connection| !serve_connection.task.is_finished());
+        connections.retain(|connection| !connection.task.is_finished());
         if connections.len() >= MAX_CONNECTIONS
             && let Some(mut oldest) = connections.pop_front()
         {
-            // It makes room, once it has had its time.
+            // The oldest connection is closed after its minimum time.
             tokio::select! {
                 _ = &mut oldest.task => {}
                 () = sleep_until(oldest.since + MIN_CONNECTION_TIME) => {
@@ -158,7 +159,7 @@
                 connections.push_back(OpenConnection { task, since: Instant::now() });
             }
             Err(e) => {
-                tracing::debug!("the operators' address: {e}");
+                tracing::debug!("accept on the admin listener failed: {e}");
                 if let Some(oldest) = connections.pop_front() {
                     oldest.task.abort();
                 }
@@ -169,7 +170,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, state: AdminState) {
-    // An unset option costs time, not truth.
+    // Without the option responses are only slower.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let state = state.clone();
@@ -223,7 +224,7 @@
             (path, _, Some(api)) if path.starts_with(places::ANNOUNCE_PREFIX) => {
                 with_content_type(api.announce(&path[places::ANNOUNCE_PREFIX.len()..]))
             }
-            _ if state.ready.load(Ordering::Acquire) && !state.rejects_all.load(Ordering::Acquire) => {
+            _ if state.is_ready.load(Ordering::Acquire) && !state.rejects_all.load(Ordering::Acquire) => {
                 (StatusCode::OK, TEXT, "yes\n".into())
             }
             _ => (StatusCode::SERVICE_UNAVAILABLE, TEXT, "no\n".into()),
@@ -279,7 +280,7 @@
     })
 }
 
-/// The MAC and the body of a `POST`; `None` for what is none.
+/// Returns the MAC and body of a `POST`, or the response to an unreadable body; `None` for other methods.
 async fn read_post(
     request: Request<Incoming>,
     max_bytes: usize,
@@ -298,7 +299,7 @@
     })
 }
 
-/// What is well is JSON, and so are the reasons that begin as such.
+/// Adds the content type. Successful responses are JSON, and so are errors that begin with a brace.
 fn with_content_type((status, text): (StatusCode, String)) -> (StatusCode, &'static str, String) {
     let json = status == StatusCode::OK || text.starts_with('{');
     (status, if json { "application/json" } else { "text/plain" }, text)
@@ -309,7 +310,7 @@
         Some(client) => timeout(TIER_STATUS_TIMEOUT, client.status()).await.ok().flatten(),
         None => None,
     };
-    let json = status.and_then(|status| serde_json::to_string(&TierStatus::of(&status)).ok());
+    let json = status.and_then(|status| serde_json::to_string(&TierStatus::from_node_status(&status)).ok());
     match json {
         Some(json) => (StatusCode::OK, "application/json", json + "\n"),
         None => (StatusCode::SERVICE_UNAVAILABLE, "text/plain", "the tier's thread does not answer\n".into()),
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A balancer on a thread of another program.
+//! Balancer on a thread of another program.
 
 use crate::config::Config;
 use crate::serve::{self, ServingHooks};
@@ -8,21 +8,21 @@
 use std::thread::JoinHandle;
 use tokio::sync::oneshot;
 
-/// A running balancer. When it is dropped it ends as after SIGTERM, and that is waited for.
+/// Running balancer. Dropping it shuts the balancer down as SIGTERM does, and waits for the end.
 pub struct Daemon {
-    /// Where it listens.
+    /// Address that the balancer listens on.
     pub address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Daemon {
-    /// Starts one as an operator's file says.
+    /// Starts a balancer that is configured by an operator's file.
     pub fn start(operator: Operator) -> Result<Self, Box<dyn Error>> {
         Self::spawn(move |hooks| serve::run_from_file(operator, None, None, None, Some(hooks)))
     }
 
-    /// Starts one as the platform says.
+    /// Starts a balancer that is configured by the platform.
     pub fn on_platform(config: Config, operator: Operator) -> Result<Self, Box<dyn Error>> {
         Self::spawn(move |hooks| serve::run_on_platform(config, operator, None, Some(hooks)))
     }
@@ -34,8 +34,8 @@
         let (result_sender, start_result) = std::sync::mpsc::channel();
         let thread = std::thread::Builder::new().name("maplehook-daemon".into()).spawn(move || {
             let ready_sender = result_sender.clone();
-            let ready = Box::new(move |address| drop(ready_sender.send(Ok(address))));
-            if let Err(e) = run(ServingHooks { on_ready: ready, stop: stopped }) {
+            let on_ready = Box::new(move |address| drop(ready_sender.send(Ok(address))));
+            if let Err(e) = run(ServingHooks { on_ready, stop: stopped }) {
                 let _ = result_sender.send(Err(e.to_string()));
             }
         })?;
--- a/crates/proxy/src/golden_tests.rs
+++ b/crates/proxy/src/golden_tests.rs
@@ -1,4 +1,4 @@
-//! Forms that leave the process, as an earlier program wrote them: they are read and written as they were.
+//! Texts and JSON of earlier releases, which must not change.
 
 use crate::client::ConnectionState;
 use crate::settings_api::{SettingsMember, SettingsStatus, VersionReply};
--- a/crates/proxy/src/gossip_source.rs
+++ b/crates/proxy/src/gossip_source.rs
@@ -1,7 +1,7 @@
-//! What other balancers say of upstreams, laid over what the own discovery says: a source round a source.
+//! Endpoint source that merges the tier's gossip into the list of another source.
 //!
-//! What it comes to, `maplehook_cluster::merge_policy` decides. Here it is taken to and fro: the own list goes to the tier as claims,
-//! the words of others come back as news of entries that are treated with more care than the own list asks for.
+//! `maplehook_cluster::merge_policy` decides how the two are merged. This module publishes the local list to the
+//! tier as claims and reports gossip as endpoint updates. Gossip can only add drains and later boot times.
 
 use maplehook::source::{EndpointUpdate, Entry, Reachability, Source, Task};
 use maplehook_cluster::endpoint_gossip::EndpointClaim;
@@ -16,23 +16,25 @@
 use tokio::sync::watch;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// For how long a start is told to others.
+/// Time after the boot of an upstream during which the boot is published to other balancers, in milliseconds.
 const STARTUP_CLAIM_MS: u64 = 20_000;
-/// How often it is seen whether the own source has been read, and which starts are still new.
+/// Interval at which claims and gossip are refreshed, so that reads of the inner source take effect and old boots
+/// are no longer published.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A source with the words of others laid over it.
+/// Source whose endpoints are merged with gossip from other balancers.
 pub struct GossipSource {
     inner: Rc<dyn Source>,
     policy: RefCell<MergePolicy>,
     entries: RefCell<BTreeMap<UpstreamId, Entry>>,
     claims: watch::Sender<Arc<Vec<EndpointClaim>>>,
     gossip: RefCell<watch::Receiver<GossipSnapshot>>,
-    suppressed: Cell<usize>,
+    suppressed_drains: Cell<usize>,
 }
 
 impl GossipSource {
-    /// Over this source, which knew this list before it was read. Drains by hearsay take at most this share of it.
+    /// Wraps `inner`, whose list before its first read is `known`. Gossip can drain at most `max_drain_share` of
+    /// the endpoints.
     pub fn new(
         inner: Rc<dyn Source>,
         known: &EndpointUpdate,
@@ -55,13 +57,13 @@
             entries: RefCell::default(),
             claims,
             gossip: RefCell::new(gossip),
-            suppressed: Cell::new(0),
+            suppressed_drains: Cell::new(0),
         };
         source.merge_update(known.clone());
         Rc::new(source)
     }
 
-    /// The own source has said something; returns it with the words of others laid over it.
+    /// Applies an update of the inner source and returns it with gossip merged in.
     fn merge_update(&self, update: EndpointUpdate) -> EndpointUpdate {
         if update.scope == UpdateScope::Failed {
             return update;
@@ -91,17 +93,18 @@
         self.merge_gossip();
         self.publish_claims();
         let changes = self.policy.borrow_mut().take_changes();
-        let mut entries: Vec<Entry> = update.entries.iter().map(|entry| self.merged_entry(entry)).collect();
+        let mut merged_entries: Vec<Entry> =
+            update.entries.iter().map(|entry| self.merged_entry(entry)).collect();
         if !is_complete {
             let named: Vec<UpstreamId> = update.entries.iter().map(|entry| entry.id).collect();
-            entries.extend(
+            merged_entries.extend(
                 self.changed_entries(&changes).into_iter().filter(|entry| !named.contains(&entry.id)),
             );
         }
-        EndpointUpdate { scope: update.scope, entries }
+        EndpointUpdate { scope: update.scope, entries: merged_entries }
     }
 
-    /// An entry of the own list, as it is to be treated.
+    /// Returns an entry of the inner source with the merged availability and boot time.
     fn merged_entry(&self, entry: &Entry) -> Entry {
         let mut entry = entry.clone();
         if let Some(MergedEndpoint { is_draining, boot_ms }) = self.policy.borrow().published(entry.id.0) {
@@ -130,25 +133,25 @@
         }
         let counts = policy.gossip_drain_counts();
         let (known, suppressed) = (counts.known, counts.suppressed);
-        if self.suppressed.replace(suppressed) != suppressed && suppressed > 0 {
+        if self.suppressed_drains.replace(suppressed) != suppressed && suppressed > 0 {
             tracing::warn!(
                 known,
                 suppressed,
-                "others tell more drains than tier.drains_most lets act; the first ones told act"
+                "gossip drains more upstreams than tier.drains_most allows; only the earliest drains apply"
             );
         }
     }
 
-    /// Tells the tier what the own list says.
+    /// Publishes the drains and recent boots of the local list to the tier.
     fn publish_claims(&self) {
         let startup_after = unix_ms().saturating_sub(STARTUP_CLAIM_MS);
         let claim = |entry: &Entry| {
             let boot_ms = entry.state.boot_ms;
-            let is_draining = entry.state.availability == Availability::Draining;
-            (is_draining || boot_ms > startup_after).then_some(EndpointClaim {
+            let draining = entry.state.availability == Availability::Draining;
+            (draining || boot_ms > startup_after).then_some(EndpointClaim {
                 upstream: entry.id.0,
                 boot_ms,
-                is_draining,
+                is_draining: draining,
             })
         };
         let claims: Vec<EndpointClaim> = self.entries.borrow().values().filter_map(claim).collect();
@@ -161,7 +164,7 @@
         });
     }
 
-    /// Follows the words of others, for good.
+    /// Reports changes through gossip. Never returns.
     async fn follow_gossip(&self, notify: &RefCell<&mut dyn FnMut(EndpointUpdate)>) {
         let mut gossip = self.gossip.borrow().clone();
         let mut publish_tick = interval(PUBLISH_INTERVAL);
@@ -217,7 +220,7 @@
     use maplehook_cluster::endpoint_gossip::GossipedEndpoint;
     use maplehook_core::{CellId, KindId, ZoneId};
 
-    /// A source that says what it is told to.
+    /// Source whose watch reports the queued updates.
     #[derive(Default)]
     struct ScriptedSource {
         update: RefCell<Vec<EndpointUpdate>>,
@@ -253,7 +256,8 @@
         GossipedEndpoint { upstream, drained_until: Some((until, 0)), boot_ms: 0 }
     }
 
-    /// What others say becomes news, what the own source says becomes claims, and neither lifts the other's drain.
+    /// Guards the merge in both directions: gossip must change endpoints, local drains must become claims, and
+    /// neither side may cancel the drain of the other.
     #[tokio::test(start_paused = true)]
     async fn gossip_updates_endpoints_and_local_drains_become_claims() {
         let epoch = Instant::now();
@@ -268,7 +272,7 @@
             entries: vec![ready(1), ready(2), ready(3), ready(4)],
         };
         let source = GossipSource::with_channels(scripted.clone(), &known, claims, gossip_receiver, 0.5);
-        assert!(published.borrow().is_empty(), "nothing drains, and nothing has started lately");
+        assert!(published.borrow().is_empty(), "no upstream drains or has booted recently");
         let received: RefCell<Vec<EndpointUpdate>> = RefCell::default();
         let mut notify = |update| received.borrow_mut().push(update);
         let scenario = async {
@@ -278,23 +282,30 @@
                 let mut entries = received.iter().flat_map(|n| &n.entries).filter(|e| e.id.0 == id);
                 entries.next_back().map(|e| (e.state.availability, e.state.boot_ms))
             };
-            // Another one says that 1 drains and that 2 has started.
+            // Another balancer reports that upstream 1 drains and that upstream 2 has booted.
             let started = GossipedEndpoint { upstream: 2, drained_until: None, boot_ms: 9 };
             gossip_sender
                 .send_replace(snapshot(vec![drained_by_gossip(1, Duration::from_secs(3600)), started]));
             pause().await;
             assert_eq!(last(1), Some((Availability::Draining, 5)));
-            assert_eq!(last(2), Some((Availability::Ready, 9)), "cold from then on");
-            assert_eq!(last(3), None, "what has not changed is not told again");
-            // The own source goes on calling it ready: it drains all the same.
+            assert_eq!(
+                last(2),
+                Some((Availability::Ready, 9)),
+                "slow start follows the boot time from gossip"
+            );
+            assert_eq!(last(3), None, "an unchanged upstream is not reported again");
+            // The inner source still lists upstream 1 as ready; the drain by gossip remains.
             scripted
                 .update
                 .borrow_mut()
                 .push(EndpointUpdate { scope: UpdateScope::Full, entries: known.entries.clone() });
             pause().await;
             assert_eq!(last(1), Some((Availability::Draining, 5)));
-            assert!(published.borrow().is_empty(), "hearsay is not passed on as if one knew it");
-            // It says itself that 3 drains: others are told.
+            assert!(
+                published.borrow().is_empty(),
+                "a drain known from gossip only is not published as a claim"
+            );
+            // The inner source reports upstream 3 as draining, which must be published.
             let draining = entry(3, Availability::Draining, 5);
             scripted
                 .update
@@ -305,16 +316,20 @@
                 published.borrow().iter().map(|c| (c.upstream, c.is_draining)).collect::<Vec<_>>(),
                 [(3, true)]
             );
-            // No word is good any more, and the own source was read since.
+            // The drain by gossip expires, but the inner source was not read after the drain.
             gossip_sender.send_replace(snapshot(vec![drained_by_gossip(1, Duration::ZERO)]));
             pause().await;
-            assert_eq!(last(1), Some((Availability::Draining, 5)), "it was not read since");
+            assert_eq!(
+                last(1),
+                Some((Availability::Draining, 5)),
+                "the drain remains until the inner source is read"
+            );
         };
         tokio::select! {
             () = source.watch(&mut notify) => unreachable!(),
             () = scenario => {}
         }
-        // A drain whose words are over, with a source that was read since: a fresh look at the same state.
+        // The drain by gossip expires, and the inner source was read after the drain.
         let (gossip_sender, gossip_receiver) =
             watch::channel(snapshot(vec![drained_by_gossip(1, Duration::from_nanos(1))]));
         let (claims, _published) = watch::channel(Arc::default());
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,7 @@
-//! The balancer as a program: the way in for HTTP/1.1, for the platform's protocol and for any application.
+//! Load balancer for HTTP/1.1, configured by the platform or by an operator's file.
 //!
-//! Every decision is the `maplehook_core` library's; who is let in is `maplehook-admission`'s; what a request is and what
-//! an answer means is `maplehook-http-semantics`'. Other programs start one beside themselves with [`Daemon`]:
+//! `maplehook_core` makes the balancing decisions, `maplehook-admission` admits clients, and
+//! `maplehook-http-semantics` interprets requests and responses. Other programs start a balancer with [`Daemon`]:
 //!
 //! ```
 //! let file = r#"
--- a/crates/proxy/src/locality_command.rs
+++ b/crates/proxy/src/locality_command.rs
@@ -1,8 +1,8 @@
-//! The command line of rules of nearness: `maplehook locality check | fmt | explain`.
+//! Commands for locality rules: `maplehook locality check | fmt | explain`.
 
 use crate::places::PLACES_PATH;
 use crate::settings::Outcome;
-use crate::tier::get;
+use crate::tier::get_body;
 use maplehook_config::{Operator, Places};
 use maplehook_failover_agent::shown::Shown;
 use maplehook_locality::explain::explain;
@@ -61,67 +61,64 @@
     Ok(std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?)
 }
 
-fn fault_outcome(rules_config_of: &str, fault_outcome: &[language::Fault]) -> Outcome {
-    let lines = fault_outcome
-        .iter()
-        .fold(String::new(), |text, fault| text + &format!("{rules_config_of}: {fault}\n"));
+fn fault_outcome(file_name: &str, faults: &[language::Fault]) -> Outcome {
+    let lines = faults.iter().fold(String::new(), |text, fault| text + &format!("{file_name}: {fault}\n"));
     Outcome { text: lines, code: 3 }
 }
 
 impl Locality {
-    /// Does it.
+    /// Runs the command.
     pub fn run(&self, operator: &Operator) -> Result<Outcome, Box<dyn Error>> {
         match &self.action {
             LocalityAction::Fmt { file, write } => {
-                let before = read_file(file)?;
-                let text = match language::format(&before) {
+                let original = read_file(file)?;
+                let text = match language::format(&original) {
                     Ok(text) => text,
                     Err(faults) => return Ok(fault_outcome(&file.display().to_string(), &faults)),
                 };
                 if !write {
                     return Ok(Outcome { text, code: 0 });
                 }
-                if text != before {
+                if text != original {
                     std::fs::write(file, &text).map_err(|e| format!("{}: {e}", file.display()))?;
                 }
                 Ok(Outcome { text: String::new(), code: 0 })
             }
             LocalityAction::Check { file } => {
-                let (places, proxy) = rules_config_of(operator)?;
+                let (places, proxy) = locality_config(operator)?;
                 let Some(file) = file else {
-                    return Ok(Outcome { text: "the rules are good\n".into(), code: 0 });
+                    return Ok(Outcome { text: "the rules are valid\n".into(), code: 0 });
                 };
-                let tenants = tenants(&proxy.tenants);
+                let tenants = tenants_or_default(&proxy.tenants);
                 let names = Names { topology: &places.topology, classes: &proxy.classes, tenants: &tenants };
                 match language::compile(&read_file(file)?, &names) {
                     Ok(rules) => {
-                        let text = format!("the rules are good: {}\n", rules.all().len());
+                        let text = format!("the rules are valid; number of rules: {}\n", rules.all().len());
                         Ok(Outcome { text, code: 0 })
                     }
                     Err(faults) => Ok(fault_outcome(&file.display().to_string(), &faults)),
                 }
             }
             LocalityAction::Explain { class, tenant, zone, state, address } => {
-                let (places, proxy) = rules_config_of(operator)?;
-                let tenants = tenants(&proxy.tenants);
-                let position = |names: &[String], name: &str, what: &str| {
+                let (places, proxy) = locality_config(operator)?;
+                let tenants = tenants_or_default(&proxy.tenants);
+                let index_of = |names: &[String], name: &str, kind: &str| {
                     let index = names.iter().position(|known| known == name);
-                    index
-                        .ok_or_else(|| format!("there is no {what} {name:?}; there are {}", names.join(", ")))
+                    index.ok_or_else(|| format!("unknown {kind} {name:?}; known: {}", names.join(", ")))
                 };
-                let class = position(&proxy.classes, class, "class")?;
-                let tenant = tenant.as_ref().map_or(Ok(0), |name| position(&tenants, name, "tenant"))?;
+                let class = index_of(&proxy.classes, class, "class")?;
+                let tenant = tenant.as_ref().map_or(Ok(0), |name| index_of(&tenants, name, "tenant"))?;
                 let topology = &places.topology;
                 let from = match zone {
-                    Some(name) => topology.zone(name).ok_or_else(|| format!("there is no zone {name:?}"))?,
+                    Some(name) => topology.zone(name).ok_or_else(|| format!("unknown zone {name:?}"))?,
                     None => places.own,
                 };
                 let status: Option<Shown> = match (state, address) {
                     (Some(path), _) => Some(serde_json::from_str(&read_file(path)?)?),
-                    (None, Some(address)) => Some(serde_json::from_slice(&get(*address, PLACES_PATH)?)?),
+                    (None, Some(address)) => Some(serde_json::from_slice(&get_body(*address, PLACES_PATH)?)?),
                     (None, None) => None,
                 };
-                // What is measured stands in what a balancer shows; what the file states stands before it.
+                // The status provides measured round-trip times; configured ones are already in the topology.
                 let mut topology = topology.clone();
                 let measured = status.iter().flat_map(|status| &status.trips).filter(|trip| !trip.stated);
                 let measured_rtts: Vec<_> = measured
@@ -132,17 +129,11 @@
                     .collect();
                 topology.set_measured(measured_rtts);
                 let topology = &topology;
-                let zone_observation =
+                let observations =
                     topology.zones().map(|zone| zone_observation(status.as_ref(), topology.zone_name(zone)));
                 let names = Names { topology, classes: &proxy.classes, tenants: &tenants };
-                let explained = explain(
-                    &places.rules,
-                    &names,
-                    class,
-                    tenant,
-                    from,
-                    &zone_observation.collect::<Vec<_>>(),
-                );
+                let explained =
+                    explain(&places.rules, &names, class, tenant, from, &observations.collect::<Vec<_>>());
                 let mut text = format!("{explained}\n");
                 if let Some(status) = status.filter(|status| status.in_common) {
                     let row = status
@@ -156,11 +147,11 @@
                     let _ = match shares {
                         Some(shares) => writeln!(
                             text,
-                            "plan {} sends it to {}",
+                            "plan {} forwards the request to {}",
                             status.epoch,
                             shares.collect::<Vec<_>>().join(", ")
                         ),
-                        None => writeln!(text, "plan {} leaves it at the first step", status.epoch),
+                        None => writeln!(text, "plan {} keeps the request at the first step", status.epoch),
                     };
                 }
                 Ok(Outcome { text, code: 0 })
@@ -169,17 +160,17 @@
     }
 }
 
-fn rules_config_of(operator: &Operator) -> Result<(&Places, &maplehook_config::Proxy), Box<dyn Error>> {
-    let proxy = operator.proxy.as_ref().ok_or("which file? maplehook --config FILE locality ...")?;
+fn locality_config(operator: &Operator) -> Result<(&Places, &maplehook_config::Proxy), Box<dyn Error>> {
+    let proxy = operator.proxy.as_ref().ok_or("no file given; use: maplehook --config FILE locality ...")?;
     let places = proxy.places.as_ref().ok_or("the file of --config has no [locality]")?;
     Ok((places, proxy))
 }
 
-fn tenants(named: &[String]) -> Vec<String> {
-    if named.is_empty() { vec![String::new()] } else { named.to_vec() }
+fn tenants_or_default(names: &[String]) -> Vec<String> {
+    if names.is_empty() { vec![String::new()] } else { names.to_vec() }
 }
 
-/// How a zone stands, by what is shown; well and empty where nothing is.
+/// Returns the load and health of a zone in a status. Without a status the zone counts as healthy and idle.
 fn zone_observation(status: Option<&Shown>, zone: &str) -> Seen {
     let locality = status.and_then(|status| status.places.iter().find(|locality| locality.zone == zone));
     let Some(locality) = locality else { return Seen { load: 0.0, usable: 1.0 } };
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! `maplehook`: a load balancer on real sockets. See the library of this crate.
+//! `maplehook`: the command line of the load balancer.
 
 use clap::Parser;
 use maplehook_proxy::command::{self, Command, CommandLine};
@@ -13,16 +13,16 @@
 use tracing::level_filters::LevelFilter;
 
 fn main() -> ExitCode {
-    // Before anything is opened.
+    // Must run before the process opens any descriptor.
     let inherited = inherited::take();
-    let line = CommandLine::parse();
+    let command_line = CommandLine::parse();
     let level = std::env::var("NODE_LOG").ok().and_then(|level| level.parse().ok());
     tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .with_max_level(level.unwrap_or(LevelFilter::INFO))
         .init();
-    match run(&line, inherited) {
+    match run(&command_line, inherited) {
         Ok(code) => code,
         Err(e) => {
             eprintln!("maplehook: {e}");
@@ -31,45 +31,58 @@
     }
 }
 
-fn finish(outcome: Outcome) -> ExitCode {
+fn print_outcome(outcome: Outcome) -> ExitCode {
     print!("{}", outcome.text);
     ExitCode::from(outcome.code)
 }
 
-fn run(line: &CommandLine, inherited: Option<io::Result<TcpListener>>) -> Result<ExitCode, Box<dyn Error>> {
-    match &line.command {
+fn run(
+    command_line: &CommandLine,
+    inherited: Option<io::Result<TcpListener>>,
+) -> Result<ExitCode, Box<dyn Error>> {
+    match &command_line.command {
         Some(Command::Check { file }) => {
-            let path = file.as_deref().or(line.config.as_deref());
-            command::load_operator(Some(path.ok_or("which file? maplehook check FILE")?))?;
-            println!("the operator's file is good");
+            let path = file.as_deref().or(command_line.config.as_deref());
+            command::load_operator(Some(path.ok_or("no file given; use: maplehook check FILE")?))?;
+            println!("the operator's file is valid");
         }
         Some(Command::Run) => {
-            let file = line.config.as_deref().ok_or("which file? maplehook run --config FILE")?;
+            let file =
+                command_line.config.as_deref().ok_or("no file given; use: maplehook run --config FILE")?;
             let (operator, text) = command::load_operator_with_text(file)?;
             serve::run_from_file(operator, Some(text), inherited, SupervisorEnvironment::from_env(), None)
                 .map_err(|e| format!("{}: {e}", file.display()))?;
         }
         Some(Command::Supervise) => {
-            let file = line.config.as_deref().ok_or("which file? maplehook supervise --config FILE")?;
+            let file = command_line
+                .config
+                .as_deref()
+                .ok_or("no file given; use: maplehook supervise --config FILE")?;
             supervise_command::run(file)?;
         }
         Some(Command::Sign(sign)) => {
             println!("{}", sign.token()?);
         }
         Some(Command::Settings(settings)) => {
-            return Ok(finish(settings.run(&command::load_operator(line.config.as_deref())?)?));
+            return Ok(print_outcome(
+                settings.run(&command::load_operator(command_line.config.as_deref())?)?,
+            ));
         }
         Some(Command::Places(places)) => {
-            return Ok(finish(places.run(&command::load_operator(line.config.as_deref())?)?));
+            return Ok(print_outcome(places.run(&command::load_operator(command_line.config.as_deref())?)?));
         }
         Some(Command::Addresses(addresses)) => {
-            return Ok(finish(addresses.run(&command::load_operator(line.config.as_deref())?)?));
+            return Ok(print_outcome(
+                addresses.run(&command::load_operator(command_line.config.as_deref())?)?,
+            ));
         }
         Some(Command::Rollout(rollout)) => {
-            return Ok(finish(rollout.run(&command::load_operator(line.config.as_deref())?)?));
+            return Ok(print_outcome(rollout.run(&command::load_operator(command_line.config.as_deref())?)?));
         }
         Some(Command::Locality(locality)) => {
-            return Ok(finish(locality.run(&command::load_operator(line.config.as_deref())?)?));
+            return Ok(print_outcome(
+                locality.run(&command::load_operator(command_line.config.as_deref())?)?,
+            ));
         }
         Some(Command::Tier { what }) => {
             let (text, is_complete) = what.run()?;
@@ -78,8 +91,8 @@
         }
         None => {
             config_reload::install_hangup_handler()?;
-            // Its faults come first: they are there whoever starts it.
-            let operator = command::load_operator(line.config.as_deref())?;
+            // Errors in the operator's file are reported first, whether or not the platform started the process.
+            let operator = command::load_operator(command_line.config.as_deref())?;
             serve::run_on_platform(Config::from_env()?, operator, inherited, None)?;
         }
     }
--- a/crates/proxy/src/places.rs
+++ b/crates/proxy/src/places.rs
@@ -1,4 +1,5 @@
-//! Operators' and routers' calls on places: `GET` and `POST /control/places`, `GET /control/addresses`, `GET /announce/NAME`.
+//! Endpoints for localities and shared addresses: `GET` and `POST /control/places`, `GET /control/addresses`, and
+//! `GET /announce/NAME` for routers.
 
 use crate::request_signing::RequestVerifier;
 use hyper::StatusCode;
@@ -7,16 +8,16 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// Where places are shown, and wishes taken.
+/// Path of the localities' status (`GET`) and of admin requests (`POST`).
 pub const PLACES_PATH: &str = "/control/places";
-/// Where addresses are shown.
+/// Path of the shared addresses' status.
 pub const ADDRESSES_PATH: &str = "/control/addresses";
-/// What a router asks begins with this.
+/// Prefix of the paths that routers request, followed by an address name.
 pub const ANNOUNCE_PREFIX: &str = "/announce/";
-/// The longest body of a wish.
+/// Largest body of an admin request.
 pub const MAX_BODY_BYTES: usize = 4096;
 
-/// Answers these calls.
+/// Handlers of the locality and address endpoints.
 #[derive(Clone)]
 pub struct PlacesApi {
     board: Board,
@@ -24,17 +25,17 @@
 }
 
 fn to_json(value: &impl Serialize) -> String {
-    // What is shown has nothing that JSON can't say.
+    // The types contain no values that fail to serialize.
     serde_json::to_string(value).unwrap_or_default() + "\n"
 }
 
 impl PlacesApi {
-    /// Without a seal nothing is decided in common, and no wish is taken.
+    /// Without a verifier no shared plan exists, and all admin requests are rejected.
     pub fn new(board: Board, verifier: Option<Arc<RequestVerifier>>) -> Self {
         Self { board, verifier }
     }
 
-    /// The answer to `GET /control/places`, by its query.
+    /// Returns the response to `GET /control/places` for a query.
     pub fn handle_get(&self, query: Option<&str>) -> (StatusCode, String) {
         match query {
             None | Some("") => (StatusCode::OK, to_json(&self.board.places())),
@@ -51,12 +52,12 @@
         }
     }
 
-    /// The answer to `GET /control/addresses`.
+    /// Returns the response to `GET /control/addresses`.
     pub fn addresses(&self) -> (StatusCode, String) {
         (StatusCode::OK, to_json(&self.board.addresses()))
     }
 
-    /// The answer to a router.
+    /// Returns the announcement of an address, for routers.
     pub fn announce(&self, name: &str) -> (StatusCode, String) {
         #[derive(Serialize)]
         struct Withdrawn {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The answer to a `POST`.
+    /// Verifies and submits the admin request in a `POST`.
     pub async fn handle_post(&self, header: Option<&str>, body: &[u8]) -> (StatusCode, String) {
         let Some(verifier) = &self.verifier else {
             return (
@@ -82,7 +83,7 @@
         };
         let request: Wish = match verifier.verify_and_parse(header, body) {
             Ok(request) => request,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
         match self.board.wish(request).await {
             Reply::Done(number) => (StatusCode::OK, format!("{{\"number\":{number}}}\n")),
--- a/crates/proxy/src/places_command.rs
+++ b/crates/proxy/src/places_command.rs
@@ -1,9 +1,9 @@
-//! The command lines of places, addresses and rules: `maplehook places ...`, `maplehook addresses ...`, `maplehook locality ...`.
+//! Commands for localities and shared addresses: `maplehook places ...` and `maplehook addresses ...`.
 
 use crate::admin_target::AdminTarget;
 use crate::places::{ADDRESSES_PATH, PLACES_PATH};
 use crate::settings::Outcome;
-use crate::tier::get;
+use crate::tier::get_body;
 use maplehook_config::Operator;
 use maplehook_failover_agent::board::{Past, ShownAddress};
 use maplehook_failover_agent::shown::{Shown, ShownRow};
@@ -12,7 +12,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Between two looks with `--watch`.
+/// Interval between status requests with `--watch`.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What to do with places.
@@ -56,7 +56,7 @@
     if outcome.code != 0 || target.json {
         return Ok(outcome);
     }
-    Ok(Outcome { text: "done; it is in force within a lease\n".into(), code: 0 })
+    Ok(Outcome { text: "done; takes effect within one lease\n".into(), code: 0 })
 }
 
 /// Places.
@@ -69,11 +69,11 @@
 }
 
 impl Places {
-    /// Does it. An error is the exit code 1: there was no answer.
+    /// Runs the command. Returns an error, for exit code 1, if no response was received.
     pub fn run(&self, operator: &Operator) -> Result<Outcome, Box<dyn Error>> {
         let fetch = |query: &str| -> Result<String, Box<dyn Error>> {
             let path = format!("{PLACES_PATH}{query}");
-            Ok(String::from_utf8_lossy(&get(self.target.address(operator)?, &path)?).into_owned())
+            Ok(String::from_utf8_lossy(&get_body(self.target.address(operator)?, &path)?).into_owned())
         };
         match &self.action {
             PlacesAction::Status { watch } => loop {
@@ -81,9 +81,9 @@
                 let shown: Shown = serde_json::from_str(&text)?;
                 let text = if self.target.json { text } else { status_table(&shown) };
                 if !watch {
-                    let serving =
+                    let is_serving =
                         |place: &maplehook_failover_agent::shown::ShownPlace| place.state == "serving";
-                    let all_serving = shown.in_common && shown.places.iter().all(serving);
+                    let all_serving = shown.in_common && shown.places.iter().all(is_serving);
                     return Ok(Outcome { text, code: if all_serving { 0 } else { 2 } });
                 }
                 print!("{text}");
@@ -91,7 +91,7 @@
             },
             PlacesAction::History => {
                 let text = fetch("?history")?;
-                let past_plan: Vec<Past> = serde_json::from_str(&text)?;
+                let past_plans: Vec<Past> = serde_json::from_str(&text)?;
                 let row = |past_plan: &Past| {
                     let not_serving: Vec<String> = past_plan
                         .shown
@@ -100,23 +100,26 @@
                         .filter(|p| p.state != "serving")
                         .map(|p| format!("{} {}", p.zone, p.state))
                         .collect();
-                    let not_serving =
-                        if not_serving.is_empty() { "all serve".into() } else { not_serving.join(", ") };
+                    let not_serving = if not_serving.is_empty() {
+                        "all zones serve".into()
+                    } else {
+                        not_serving.join(", ")
+                    };
                     format!(
-                        "{:>8}  at {} ms  {} rows  {not_serving}\n",
+                        "{:>8}  at {} ms  {} rules  {not_serving}\n",
                         past_plan.shown.epoch,
                         past_plan.at_ms,
                         past_plan.shown.plan.len()
                     )
                 };
-                let table = past_plan.iter().map(row).collect();
+                let table = past_plans.iter().map(row).collect();
                 Ok(Outcome { text: if self.target.json { text } else { table }, code: 0 })
             }
             PlacesAction::Explain { epoch } => {
                 let text = fetch(&format!("?explain={epoch}"))?;
                 let past_plan: Past = serde_json::from_str(&text)?;
                 let explanation = format!(
-                    "acted on here from {} ms on\n{}",
+                    "applied by this balancer since {} ms\n{}",
                     past_plan.at_ms,
                     status_table(&past_plan.shown)
                 );
@@ -144,7 +147,7 @@
             row.to.iter().map(|share| format!("{} {:.1} %", share.zone, 100.0 * share.share)).collect();
         let total: f64 = row.to.iter().map(|share| share.share).sum();
         let rejected =
-            if total < 0.9995 { format!(", {:.1} % refused", 100.0 * (1.0 - total)) } else { String::new() };
+            if total < 0.9995 { format!(", {:.1} % rejected", 100.0 * (1.0 - total)) } else { String::new() };
         // Writing to a string can't fail.
         let _ = writeln!(text, "  {:<20} from {:<16} to {}{rejected}", row.rule, row.from, to.join(", "));
     }
@@ -152,7 +155,7 @@
 
 fn status_table(shown: &Shown) -> String {
     let mut text = format!(
-        "plan {}, leader {}; in zone {} of region {}: acts by {}\n",
+        "plan {}, leader {}; zone {} of region {}; basis of forwarding: {}\n",
         shown.epoch,
         shown.leader.as_deref().unwrap_or("unknown"),
         shown.own_zone,
@@ -160,15 +163,15 @@
         shown.by
     );
     if let Some(why) = &shown.shared_cause {
-        let _ = writeln!(text, "nothing moves: {why}");
+        let _ = writeln!(text, "failover is suspended: {why}");
     }
     if let Some(by) = &shown.held {
         let _ = writeln!(text, "the plan is held by {by}");
     }
     for (zones, by, remaining_ms) in &shown.evacuated {
         let remaining = remaining_ms
-            .map_or("until it is released".into(), |remaining_ms| format!("{} s still", remaining_ms / 1000));
-        let _ = writeln!(text, "{} taken out by {by}, {remaining}", zones.join(", "));
+            .map_or("until released".into(), |remaining_ms| format!("{} s remaining", remaining_ms / 1000));
+        let _ = writeln!(text, "{} evacuated by {by}, {remaining}", zones.join(", "));
     }
     let _ = writeln!(
         text,
@@ -197,15 +200,19 @@
         }
     }
     if !shown.plan.is_empty() {
-        text += "rows that differ from the first step:\n";
+        text += "rules that differ from their first step:\n";
         write_rows(&mut text, &shown.plan);
     }
     if !shown.in_common {
-        text += "acts here on:\n";
+        text += "rules that this balancer applies:\n";
         write_rows(&mut text, &shown.acts);
     }
     if !shown.without.is_empty() {
-        let _ = writeln!(text, "programs without places: {}", shown.without.join(", "));
+        let _ = writeln!(
+            text,
+            "members whose program has no support for localities: {}",
+            shown.without.join(", ")
+        );
     }
     text
 }
@@ -254,17 +261,19 @@
 }
 
 impl Addresses {
-    /// Does it. An error is the exit code 1: there was no answer.
+    /// Runs the command. Returns an error, for exit code 1, if no response was received.
     pub fn run(&self, operator: &Operator) -> Result<Outcome, Box<dyn Error>> {
         match &self.action {
             AddressesAction::Status => {
-                let text = String::from_utf8_lossy(&get(self.target.address(operator)?, ADDRESSES_PATH)?)
-                    .into_owned();
+                let text =
+                    String::from_utf8_lossy(&get_body(self.target.address(operator)?, ADDRESSES_PATH)?)
+                        .into_owned();
                 let shown: Vec<ShownAddress> = serde_json::from_str(&text)?;
-                let announced = |address: &ShownAddress| address.sites.iter().any(|s| s.preference.is_some());
-                let all_serving = shown.iter().all(announced);
+                let is_announced =
+                    |address: &ShownAddress| address.sites.iter().any(|s| s.preference.is_some());
+                let all_announced = shown.iter().all(is_announced);
                 let text = if self.target.json { text } else { address_table(&shown) };
-                Ok(Outcome { text, code: if all_serving { 0 } else { 2 } })
+                Ok(Outcome { text, code: if all_announced { 0 } else { 2 } })
             }
             AddressesAction::Move { name, site, anyway } => {
                 let (name, site) = (name.clone(), site.clone());
@@ -287,12 +296,17 @@
     for address in addresses {
         let kind = format!("{:?}", address.announce).to_lowercase();
         // Writing to a string can't fail.
-        let _ = writeln!(text, "{} ({}), by {kind}, epoch {}", address.name, address.address, address.epoch);
+        let _ = writeln!(
+            text,
+            "{} ({}), announced by {kind}, epoch {}",
+            address.name, address.address, address.epoch
+        );
         if let Some(why) = &address.all_stay {
-            let _ = writeln!(text, "  all stay: {why}");
+            let _ = writeln!(text, "  no site is withdrawn: {why}");
         }
         if let Some(next) = &address.next {
-            let _ = writeln!(text, "  handed over to {next}, once the one before can announce no more");
+            let _ =
+                writeln!(text, "  moves to {next} when the previous site can no longer announce the address");
         }
         for site in &address.sites {
             let preference =
--- a/crates/proxy/src/request_signing.rs
+++ b/crates/proxy/src/request_signing.rs
@@ -1,5 +1,5 @@
-//! Operators' calls that change something: a `POST` bears a MAC made with the tier's secret over its time, a drawn number and its
-//! body, good for a minute, once.
+//! Signatures of admin requests that change state. A `POST` carries a MAC over its time, a random nonce and its body,
+//! computed with the tier's secret. A signature is valid for a minute and can be used once.
 
 use hyper::StatusCode;
 use maplehook_transport::{SecretKey, unix_ms};
@@ -7,55 +7,55 @@
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
 
-/// The header that bears the MAC.
+/// Header that carries the time, the nonce and the MAC.
 pub const MAC_HEADER: &str = "x-maplehook-mac";
-/// How old a call may be.
+/// Largest difference between the time of a request and the local clock, in milliseconds.
 const MAX_REQUEST_AGE_MS: u64 = 60_000;
-/// The most calls that are remembered: more in a minute are refused.
+/// Maximum number of remembered requests. Requests beyond it are rejected, since replays could not be detected.
 const MAX_SEEN_REQUESTS: usize = 1024;
-fn key(secret: &SecretKey) -> SecretKey {
+fn derive_key(secret: &SecretKey) -> SecretKey {
     secret.derive(&[b"maplehook operator 1"])
 }
 
-fn encode_nonce(time: u64, nonce: u64) -> ([u8; 8], [u8; 8]) {
+fn to_be_bytes(time: u64, nonce: u64) -> ([u8; 8], [u8; 8]) {
     (time.to_be_bytes(), nonce.to_be_bytes())
 }
 
-/// What a call shows: the value of its header.
+/// Returns the header value for a request body.
 pub fn sign_request(secret: &SecretKey, body: &[u8]) -> String {
     let (time, nonce) = (unix_ms(), fastrand::u64(..));
-    let (time_bytes, nonce_bytes) = encode_nonce(time, nonce);
-    let mac = key(secret).sign(&[&time_bytes, &nonce_bytes, body]);
+    let (time_bytes, nonce_bytes) = to_be_bytes(time, nonce);
+    let mac = derive_key(secret).sign(&[&time_bytes, &nonce_bytes, body]);
     mac.iter().fold(format!("{time}.{nonce}."), |text, byte| text + &format!("{byte:02x}"))
 }
 
-/// Tells calls that are from somebody who has the secret.
+/// Verifies signatures of admin requests and detects replays.
 pub struct RequestVerifier {
     key: SecretKey,
     seen_requests: Mutex<VecDeque<(u64, u64)>>,
 }
 
 impl RequestVerifier {
-    /// Under this secret.
+    /// Creates a verifier for the tier's secret.
     pub fn new(secret: &SecretKey) -> Self {
-        Self { key: key(secret), seen_requests: Mutex::default() }
+        Self { key: derive_key(secret), seen_requests: Mutex::default() }
     }
 
-    /// The wish in the body of a call, or how that is answered where it is not sound.
+    /// Parses a signed request body. Returns the error response if the signature or the body is invalid.
     pub fn verify_and_parse<R: DeserializeOwned>(
         &self,
         header: Option<&str>,
         body: &[u8],
     ) -> Result<R, (StatusCode, String)> {
-        if !header.is_some_and(|header| self.is_valid(header, body)) {
+        if !header.is_some_and(|header| self.is_signature_valid(header, body)) {
             let why = "not signed with the tier's secret within the last minute, or made before\n";
             return Err((StatusCode::FORBIDDEN, why.into()));
         }
         serde_json::from_slice(body).map_err(|e| (StatusCode::BAD_REQUEST, format!("no wish: {e}\n")))
     }
 
-    /// Whether a call is from somebody who has it, is fresh, and was not made before.
-    pub fn is_valid(&self, header: &str, body: &[u8]) -> bool {
+    /// Returns true if the signature is valid, recent and not yet used.
+    pub fn is_signature_valid(&self, header: &str, body: &[u8]) -> bool {
         let mut fields = header.split('.');
         let (Some(Ok(time)), Some(Ok(nonce)), Some(hex), None) = (
             fields.next().map(str::parse::<u64>),
@@ -70,7 +70,7 @@
                 (0..hex.len() / 2).map(|n| u8::from_str_radix(&hex[2 * n..2 * n + 2], 16).ok()).collect()
             })
             .flatten();
-        let (time_bytes, nonce_bytes) = encode_nonce(time, nonce);
+        let (time_bytes, nonce_bytes) = to_be_bytes(time, nonce);
         let now = unix_ms();
         if now.abs_diff(time) > MAX_REQUEST_AGE_MS
             || !mac.is_some_and(|mac| self.key.verify(&[&time_bytes, &nonce_bytes, body], &mac))
--- a/crates/proxy/src/rollout.rs
+++ b/crates/proxy/src/rollout.rs
@@ -1,5 +1,5 @@
-//! Operators' calls on changes in stages, and those of whoever starts programs: `GET` and `POST /control/rollout`,
-//! `GET /control/rollout/own`.
+//! Endpoints for rollouts: `GET` and `POST /control/rollout` for operators, and `GET /control/rollout/own` for the
+//! supervisor.
 
 use crate::request_signing::RequestVerifier;
 use hyper::StatusCode;
@@ -8,14 +8,14 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// Where changes are shown, and wishes taken.
+/// Path of the rollout's status (`GET`) and of admin requests (`POST`).
 pub const PATH: &str = "/control/rollout";
-/// Where this balancer is to be.
+/// Path of the program and side that this balancer should run.
 pub const OWN_TARGET_PATH: &str = "/control/rollout/own";
-/// The longest body of a wish: a text of settings, escaped.
+/// Largest body of an admin request, which can hold a complete configuration as an escaped string.
 pub const MAX_BODY_BYTES: usize = 512 << 10;
 
-/// Answers these calls.
+/// Handlers of the rollout endpoints.
 #[derive(Clone)]
 pub struct RolloutApi {
     board: Board,
@@ -23,17 +23,17 @@
 }
 
 fn to_json(value: &impl Serialize) -> String {
-    // What is shown has nothing that JSON can't say.
+    // The types contain no values that fail to serialize.
     serde_json::to_string(value).unwrap_or_default() + "\n"
 }
 
 impl RolloutApi {
-    /// Of calls under this seal.
+    /// Creates the handlers. `verifier` checks the signatures of admin requests.
     pub fn new(board: Board, verifier: Arc<RequestVerifier>) -> Self {
         Self { board, verifier }
     }
 
-    /// The answer to `GET /control/rollout`, by its query.
+    /// Returns the response to `GET /control/rollout` for a query.
     pub fn handle_get(&self, query: Option<&str>) -> (StatusCode, String) {
         match query {
             None | Some("") => (StatusCode::OK, to_json(&self.board.shown())),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The answer to `GET /control/rollout/own`.
+    /// Returns the response to `GET /control/rollout/own`.
     pub fn own_target(&self) -> (StatusCode, String) {
         match self.board.own() {
             Some(target) => (StatusCode::OK, to_json(&target)),
@@ -50,11 +50,11 @@
         }
     }
 
-    /// The answer to a `POST`.
+    /// Verifies and submits the admin request in a `POST`.
     pub async fn handle_post(&self, header: Option<&str>, body: &[u8]) -> (StatusCode, String) {
         let request: Wish = match self.verifier.verify_and_parse(header, body) {
             Ok(request) => request,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
         match self.board.wish(request).await {
             Reply::Done(number) => (StatusCode::OK, format!("{{\"number\":{number}}}\n")),
--- a/crates/proxy/src/rollout_command.rs
+++ b/crates/proxy/src/rollout_command.rs
@@ -1,10 +1,10 @@
-//! The command line of changes in stages: `maplehook rollout ...`.
+//! Commands for rollouts: `maplehook rollout ...`.
 
 use crate::admin_target::AdminTarget;
 use crate::command::inline_rules_file;
 use crate::rollout::PATH;
 use crate::settings::Outcome;
-use crate::tier::get;
+use crate::tier::get_body;
 use maplehook_config::Operator;
 use maplehook_rollout::Change;
 use maplehook_rollout_agent::document::Past;
@@ -16,7 +16,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Between two looks with `--watch`.
+/// Interval between status requests with `--watch`.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What to do with changes in stages.
@@ -58,11 +58,11 @@
 }
 
 impl Rollout {
-    /// Does it. An error is the exit code 1: there was no answer.
+    /// Runs the command. Returns an error, for exit code 1, if no response was received.
     pub fn run(&self, operator: &Operator) -> Result<Outcome, Box<dyn Error>> {
         let address = self.target.address(operator)?;
         let fetch = |query: &str| -> Result<String, Box<dyn Error>> {
-            Ok(String::from_utf8_lossy(&get(address, &format!("{PATH}{query}"))?).into_owned())
+            Ok(String::from_utf8_lossy(&get_body(address, &format!("{PATH}{query}"))?).into_owned())
         };
         match &self.action {
             Action::Plan { file } => match load_plan(file)? {
@@ -96,7 +96,7 @@
             },
             Action::History => {
                 let text = fetch("?history")?;
-                let past_change: Vec<Past> = serde_json::from_str(&text)?;
+                let past_changes: Vec<Past> = serde_json::from_str(&text)?;
                 let row = |past_change: &Past| {
                     format!(
                         "{:>6}  at {} ms by {}  {}: {}\n",
@@ -107,7 +107,7 @@
                         past_change.ended
                     )
                 };
-                let table = past_change.iter().map(row).collect();
+                let table = past_changes.iter().map(row).collect();
                 Ok(Outcome { text: if self.target.json { text } else { table }, code: 0 })
             }
         }
@@ -123,7 +123,8 @@
     }
 }
 
-/// A plan's text and what it changes, which lies beside it; or what is wrong with either, with its lines.
+/// Reads a plan and the settings or program that it names, relative to the plan. The inner error lists the faults
+/// of either file with their lines.
 fn load_plan(path: &Path) -> Result<Result<(String, What), String>, Box<dyn Error>> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let plan = match maplehook_rollout::plan::parse(&text) {
@@ -156,7 +157,7 @@
         return format!("{}\n", shown.word);
     }
     let mut text = format!(
-        "change {} ({}), begun at {} at {} ms: {}; leader {}\n",
+        "change {} ({}), started through {} at {} ms: {}; leader {}\n",
         shown.number,
         shown.what,
         shown.by,
@@ -164,15 +165,16 @@
         shown.word,
         shown.leader.as_deref().unwrap_or("unknown")
     );
-    for (n, stage) in shown.stages.iter().enumerate() {
-        let who: Vec<String> = stage.who.iter().map(|who| format!("{} ({})", who.name, who.side)).collect();
-        let when = match (stage.since_ms, stage.until_ms) {
-            (None, _) => "has not begun".into(),
+    for (index, stage) in shown.stages.iter().enumerate() {
+        let members: Vec<String> =
+            stage.who.iter().map(|member| format!("{} ({})", member.name, member.side)).collect();
+        let progress = match (stage.since_ms, stage.until_ms) {
+            (None, _) => "not started".into(),
             (Some(since), None) => format!("since {since} ms"),
             (Some(since), Some(until)) => format!("from {since} to {until} ms: {}", stage.verdict),
         };
         // Writing to a string can't fail.
-        let _ = writeln!(text, "stage {}: {}; {when}", n + 1, who.join(", "));
+        let _ = writeln!(text, "stage {}: {}; {progress}", index + 1, members.join(", "));
         for line in &stage.evidence {
             let _ = writeln!(text, "    {line}");
         }
@@ -181,7 +183,7 @@
         let _ = writeln!(text, "the settings are version {version}");
     }
     for wait in &shown.waits {
-        let _ = writeln!(text, "waits for: {wait}");
+        let _ = writeln!(text, "waiting for: {wait}");
     }
     for event in &shown.events {
         let _ = writeln!(text, "  {event}");
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,4 +1,4 @@
-//! A balancer from its start to its planned end.
+//! Runs a balancer from its start to its graceful shutdown.
 
 mod components;
 mod file;
@@ -39,28 +39,30 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::timeout;
 
-/// After SIGTERM the front goes on dealing out new connections for 0.4 s at most.
+/// Time to accept connections after SIGTERM if the listener is not shared. The platform's front end assigns new
+/// connections for up to 0.4 s after SIGTERM.
 const UNSHARED_DRAIN_TIME: Duration = Duration::from_millis(600);
-/// SIGKILL may come when the longest deadline, 3 s at most, and 0.7 s more have passed; this is a bit before.
+/// Largest class deadline that a shutdown on the platform waits for. The platform sends SIGKILL 0.7 s after the
+/// longest class deadline, of which at most 3 s count; the shutdown ends 0.1 s earlier.
 const MAX_KILL_DEADLINE: Duration = Duration::from_secs(3);
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(600);
-/// Where the listening socket is shared, whoever follows accepts at once, and idle connections stay for this long: each
-/// that is used meanwhile ends with its answer, so that hardly any request meets the end of its connection.
+/// Time that idle connections stay open after SIGTERM if the listener is shared. The next process accepts at
+/// once. A connection that is used in this time closes after its response, so that few requests meet a close.
 const SHARED_DRAIN_TIME: Duration = Duration::from_millis(2000);
-/// For the answers to what is then still held.
+/// Time for the last responses after attempts are aborted.
 const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(200);
 
-/// What a balancer is made of, whoever describes it.
+/// Settings of a balancer, from the operator's file or the platform.
 struct BalancerSetup {
     listen: SocketAddr,
-    /// The socket that clients come to, where the platform holds it.
+    /// Listener that was passed by the parent process; `None` if the balancer binds its own.
     inherited: Option<std::net::TcpListener>,
-    /// How its supervisor reaches it, if it has one.
+    /// Environment from the supervisor, if one started this process.
     supervisor: Option<SupervisorEnvironment>,
-    /// Where operators call, and how that is told in the log.
+    /// Address of the admin API, and the key under which the log names it.
     control: Option<SocketAddr>,
     control_log_key: &'static str,
-    /// What the classes are called.
+    /// Names of the classes by id.
     classes: Vec<String>,
     settings: Settings,
     seed: u64,
@@ -69,20 +71,20 @@
     forwarding: Forwarding,
     signs_own_responses: bool,
     client_timeouts: ClientTimeouts,
-    /// From SIGTERM until the end.
+    /// Longest time from SIGTERM to the end of the process.
     grace: SharedGrace,
     operator: Operator,
-    /// The operator's file, where it is there.
-    file: Option<String>,
-    /// Who is told that it serves, inside another program.
+    /// Text of the operator's file, if it was read from a file.
+    operator_file_text: Option<String>,
+    /// Callbacks for a balancer inside another program.
     hooks: Option<ServingHooks>,
 }
 
-/// Who is told that a balancer serves, and where, and what ends it beside SIGTERM.
+/// Callbacks of a program that runs a balancer on one of its threads.
 pub struct ServingHooks {
-    /// Told once.
+    /// Called once with the listener's address when the balancer serves.
     pub on_ready: Box<dyn FnOnce(SocketAddr) + Send>,
-    /// Ends it, when it is sent or dropped.
+    /// Shuts the balancer down when a message is sent or the sender is dropped.
     pub stop: oneshot::Receiver<()>,
 }
 
@@ -95,21 +97,21 @@
 async fn serve(
     setup: BalancerSetup,
     components: Components,
-    requests: Rc<RequestReader>,
+    request_reader: Rc<RequestReader>,
     (source, known): (Rc<dyn Source>, EndpointUpdate),
     on_start: impl FnOnce(Rc<Driver>, Rc<Counting>),
     registrar: Option<Registrar>,
     finish: impl FnOnce() + Send + 'static,
 ) -> Result<(), Box<dyn Error>> {
     let Components {
-        mut term,
+        mut sigterm,
         listener,
         descriptors,
         upstreams,
         admission,
         balancer,
         admin_state,
-        shared,
+        is_listener_shared,
         mut node,
         mut supervisor,
         ..
@@ -136,8 +138,9 @@
     on_start(Rc::clone(&driver), counting);
     let (phase, phase_receiver) = watch::channel(ShutdownPhase::Serving);
     let own = Own { signed: setup.signs_own_responses };
-    let server = Server::new(dispatcher, requests, admission, Rc::clone(&descriptors), own, phase_receiver);
-    let (ready_flag, driver_for_ready) = (Arc::clone(&admin_state.ready), Rc::clone(&driver));
+    let server =
+        Server::new(dispatcher, request_reader, admission, Rc::clone(&descriptors), own, phase_receiver);
+    let (ready_flag, driver_for_ready) = (Arc::clone(&admin_state.is_ready), Rc::clone(&driver));
     let ready = spawn_local(async move {
         driver_for_ready.wait_for_list().await;
         ready_flag.store(true, Ordering::Release);
@@ -145,8 +148,9 @@
     spawn_local(Rc::clone(&descriptors).watch_process_limit());
     let mut accept_acknowledgement = None;
     if let Some(supervisor) = &mut supervisor {
-        let trial = supervisor.trial().map(|trial| spawn_local(Rc::clone(&server).run(trial)));
-        match supervisor.wait_for_trial_outcome(&mut term).await? {
+        let trial =
+            supervisor.take_trial_listener().map(|listener| spawn_local(Rc::clone(&server).run(listener)));
+        match supervisor.wait_for_trial_outcome(&mut sigterm).await? {
             TrialOutcome::Accept(acknowledge) => accept_acknowledgement = Some(acknowledge),
             TrialOutcome::Shutdown => return Ok(()),
         }
@@ -155,45 +159,47 @@
     }
     let mut accepting = spawn_local(server.run(listener));
     if let Some(accept_acknowledgement) = accept_acknowledgement {
-        // It has gone if it did not wait for so long.
+        // The supervisor's request may have timed out, in which case nobody receives this.
         let _ = accept_acknowledgement.try_send(());
     }
 
     let registrar = registrar.map(Rc::new);
     let registration_task =
         registrar.clone().map(|registrar| spawn_local(async move { registrar.keep().await }));
-    // Another process goes on with the registration, unless the whole balancer ends.
+    // The next process keeps the registration alive, unless the supervisor shuts the whole balancer down.
     let mut is_shutting_down = supervisor.is_none();
     match setup.hooks {
         Some(ServingHooks { on_ready, stop }) => {
             on_ready(address);
-            tokio::select! { _ = term.recv() => {} _ = stop => {} }
+            tokio::select! { _ = sigterm.recv() => {} _ = stop => {} }
         }
         None => match &mut supervisor {
             Some(supervisor) => {
-                tokio::select! { _ = term.recv() => {} () = supervisor.wait_for_shutdown() => is_shutting_down = true }
+                tokio::select! { _ = sigterm.recv() => {} () = supervisor.wait_for_shutdown() => is_shutting_down = true }
             }
-            None => drop(term.recv().await),
+            None => drop(sigterm.recv().await),
         },
     }
     tracing::info!("leaving");
-    // Whoever ends this process goes by the settings of this moment, whatever SIGHUP brings from here on.
+    // The shutdown uses the present grace time, even if SIGHUP changes the settings later.
     let grace = setup.grace.get();
     if let (Some(registrar), Some(registration_task)) =
         (registrar.filter(|_| is_shutting_down), &registration_task)
     {
-        // Whoever reads the registry sends nothing new from here on. Nothing else waits for it.
+        // Clients of the registry stop sending requests after the deregistration. The shutdown does not wait for it.
         registration_task.abort();
         spawn_local(async move {
             if !registrar.deregister().await {
-                tracing::warn!("the registry did not take the deregistration; the lease ends by itself");
+                tracing::warn!(
+                    "deregistration failed; the registry removes the instance when its lease expires"
+                );
             }
         });
     }
     registration_task.inspect(JoinHandle::abort);
     let mut finish = Some(finish);
     if supervisor.take().is_some() {
-        // What the next process waits for; the threads' last steps may take a disk's time.
+        // The next process waits for these resources. Closing them can block on the disk, so a thread does it.
         let (first_finish, node) = (finish.take(), node.take());
         std::thread::spawn(move || {
             if let Some(first_finish) = first_finish {
@@ -206,9 +212,9 @@
         });
     }
     ready.abort();
-    admin_state.ready.store(false, Ordering::Release);
-    let drain_time = if shared { SHARED_DRAIN_TIME } else { UNSHARED_DRAIN_TIME };
-    phase.send_replace(if shared { ShutdownPhase::Draining } else { ShutdownPhase::NotReady });
+    admin_state.is_ready.store(false, Ordering::Release);
+    let drain_time = if is_listener_shared { SHARED_DRAIN_TIME } else { UNSHARED_DRAIN_TIME };
+    phase.send_replace(if is_listener_shared { ShutdownPhase::Draining } else { ShutdownPhase::NotReady });
     if timeout(drain_time, &mut accepting).await.is_err() {
         phase.send_replace(ShutdownPhase::Closing);
         let remaining = grace.saturating_sub(drain_time + FINAL_RESPONSE_TIME);
@@ -223,13 +229,17 @@
     Ok(())
 }
 
-/// By what clients show that they are known; a tenant that there is not is a slip worth a word.
+/// Returns the settings by which clients authenticate.
+///
+/// # Errors
+///
+/// If `admission.known_tenants` names an unknown tenant, or the secret of the token can't be read.
 fn client_authentication(
     operator: &Operator,
     tenants: &[String],
 ) -> Result<ClientAuthentication, Box<dyn Error>> {
     if let Some(name) = operator.known_tenants.iter().find(|name| !tenants.contains(name)) {
-        return Err(format!("admission.known_tenants: there is no tenant {name:?}").into());
+        return Err(format!("admission.known_tenants: unknown tenant {name:?}").into());
     }
     let token = operator.token.as_ref().map(|token| {
         let signer =
--- a/crates/proxy/src/serve/components.rs
+++ b/crates/proxy/src/serve/components.rs
@@ -1,4 +1,4 @@
-//! What is there before anybody is let in.
+//! Creation of a balancer's components, before the balancer accepts clients.
 
 use super::BalancerSetup;
 use crate::admission::AdmissionController;
@@ -26,44 +26,45 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::oneshot;
 
-/// What is there before anybody is let in.
+/// Components that exist before the balancer accepts clients.
 pub(super) struct Components {
-    pub(super) term: Signal,
+    pub(super) sigterm: Signal,
     pub(super) listener: TcpListener,
     pub(super) descriptors: Rc<Descriptors>,
     pub(super) upstreams: Rc<Upstreams>,
     pub(super) admission: Rc<AdmissionController>,
     pub(super) balancer: Balancer,
     pub(super) admin_state: AdminState,
-    /// Whether others accept on the listener too.
-    pub(super) shared: bool,
-    /// Its part in a tier. It says that it goes when this is dropped.
+    /// True if other processes can accept connections from the same listener.
+    pub(super) is_listener_shared: bool,
+    /// Membership in a tier. Dropping it announces that the balancer leaves.
     pub(super) node: Option<ClusterNode>,
-    /// Its part in agreeing on versions.
+    /// Consensus service of the tier, if versions are agreed on.
     pub(super) consensus: Option<ConsensusService>,
-    /// Its part in places.
+    /// Failover agent, if the configuration has localities or can receive them by a version.
     pub(super) failover_agent: Option<failover::FailoverAgent>,
-    /// Its part in changes in stages.
+    /// Rollout agent of the tier.
     pub(super) rollout: Option<Taking>,
-    /// The way from its supervisor.
+    /// Channel to the supervisor, if one started this process.
     pub(super) supervisor: Option<SupervisorChannel>,
 }
 
 impl Components {
-    /// `proxy`: what a balancer of one's own serves; on the platform there are no places.
+    /// Creates the components. `proxy` is the operator's configuration; it is `None` on the platform, which has no
+    /// localities.
     pub(super) fn new(setup: &mut BalancerSetup, proxy: Option<&Proxy>) -> Result<Self, Box<dyn Error>> {
         if let Some(limit) = setup.operator.descriptors.limit {
             descriptors::set_limit(limit).map_err(|e| format!("descriptors.limit: {e}"))?;
         }
         let balancer = Balancer::new(setup.settings.clone(), setup.seed)?;
-        // Before anybody can know that this process is ready: unhandled, it would kill.
-        let term = signal(SignalKind::terminate())?;
+        // The handler must exist before this process can be known to be ready: an unhandled SIGTERM kills it.
+        let sigterm = signal(SignalKind::terminate())?;
         let supervisor_environment = setup.supervisor.take();
         let operator_descriptors = if setup.control.is_some() { control::DESCRIPTORS } else { 0 };
         let operator_descriptors =
             operator_descriptors + if supervisor_environment.is_some() { supervised::DESCRIPTORS } else { 0 };
         let has_agreement = setup.operator.tier.as_ref().is_some_and(|tier| tier.agreement.is_some());
-        // A version may bring places, where versions are agreed on.
+        // If versions are agreed on, a later version can add localities.
         let proxy = proxy.filter(|proxy| has_agreement || proxy.places.is_some());
         let failover_descriptors = if proxy.is_some() { failover::DESCRIPTORS } else { 0 };
         let reserved_descriptors = operator_descriptors
@@ -72,11 +73,11 @@
         let descriptors =
             Descriptors::new(setup.sockets, reserved_descriptors, setup.operator.descriptors.upstream_share)?;
         let handover_listener = setup.inherited.as_ref().map(std::net::TcpListener::try_clone).transpose()?;
-        let (shared, listener) = match setup.inherited.take() {
+        let (is_listener_shared, listener) = match setup.inherited.take() {
             Some(listener) => (true, TcpListener::from_std(listener)),
             None => (false, listen(setup.listen, setup.operator.backlog)),
         };
-        let listener = listener.map_err(|e| format!("listen on {}: {e}", setup.listen))?;
+        let listener = listener.map_err(|e| format!("can't listen on {}: {e}", setup.listen))?;
         let mut node = setup
             .operator
             .tier
@@ -96,15 +97,16 @@
         if let (Some(node), Some(tier)) = (&mut node, &setup.operator.tier)
             && let Some(agreement) = &tier.agreement
         {
-            let file =
-                setup.file.take().ok_or("[agreement] needs the file itself: maplehook run --config FILE")?;
+            let file_text = setup.operator_file_text.take().ok_or(
+                "[agreement] needs the text of the operator's file; use: maplehook run --config FILE",
+            )?;
             let mut started_consensus =
-                maplehook_consensus::start_consensus(tier, agreement, file.clone(), node)
+                maplehook_consensus::start_consensus(tier, agreement, file_text.clone(), node)
                     .map_err(|error| error.to_string())?;
             let secret = SecretKey::read(&tier.secret_file).map_err(|e| format!("tier.secret_file: {e}"))?;
             let shared_verifier = Arc::new(RequestVerifier::new(&secret));
             rollout = proxy
-                .map(|proxy| start_rollout(tier, proxy, file, &mut started_consensus))
+                .map(|proxy| start_rollout(tier, proxy, file_text, &mut started_consensus))
                 .transpose()?
                 .flatten();
             let rollout_board = rollout.as_ref().map(|rollout| rollout.board.clone());
@@ -123,7 +125,7 @@
             let options = FailoverOptions {
                 name: tier.map_or_else(|| "balancer".into(), |tier| tier.name.to_string()),
                 proxy,
-                ready: Arc::clone(&admin_state.ready),
+                ready: Arc::clone(&admin_state.is_ready),
                 trips: node.as_ref().map(|node| node.rtts.clone()),
                 balancers: tier.map_or(1, |tier| tier.peers.len() + 1),
                 history: setup.operator.history.clone(),
@@ -135,8 +137,8 @@
             failover_agent.as_ref().map(|part| PlacesApi::new(part.agent.board.clone(), verifier));
         let mut supervisor = None;
         if let Some(supervisor_environment) = supervisor_environment {
-            let handover_listener =
-                handover_listener.ok_or("a supervisor's balancer needs the socket that it inherits")?;
+            let handover_listener = handover_listener
+                .ok_or("a process started by a supervisor must inherit its listening socket")?;
             let (release, released) = oneshot::channel();
             let log_key = setup.control_log_key;
             let deferred =
@@ -145,7 +147,7 @@
             let bound = control::serve(loopback, admin_state.clone(), deferred)
                 .map_err(|e| format!("operators' calls on {loopback}: {e}"))?;
             supervisor =
-                Some(supervisor_environment.connect_supervisor(handover_listener, bound, release)?);
+                Some(supervisor_environment.open_control_socket(handover_listener, bound, release)?);
         } else if let Some(address) = setup.control {
             let bound = control::serve(address, admin_state.clone(), None)
                 .map_err(|e| format!("operators' calls on {address}: {e}"))?;
@@ -166,14 +168,14 @@
         let admission = AdmissionController::new(admission, setup.client_timeouts);
         share_descriptors(&descriptors, &upstreams, &admission);
         Ok(Self {
-            term,
+            sigterm,
             listener,
             descriptors,
             upstreams,
             admission,
             balancer,
             admin_state,
-            shared,
+            is_listener_shared,
             node,
             consensus,
             failover_agent,
@@ -183,11 +185,11 @@
     }
 }
 
-/// A part in changes in stages. Whoever starts programs says which one this is, and how often one has crashed.
+/// Starts the rollout agent. The supervisor passes the program's digest and its crash count in the environment.
 fn start_rollout(
     tier: &Tier,
     proxy: &Proxy,
-    file: String,
+    file_text: String,
     consensus: &mut ConsensusService,
 ) -> Result<Option<Taking>, String> {
     let Some(channels) = consensus.rollout.take() else { return Ok(None) };
@@ -202,7 +204,7 @@
         name: tier.name.to_string(),
         names,
         zone: proxy.zones.first().cloned().unwrap_or_default(),
-        file,
+        file: file_text,
         digest: std::env::var("MAPLEHOOK_DIGEST").ok(),
         crashes: std::env::var("MAPLEHOOK_CRASHES").ok().and_then(|n| n.parse().ok()).unwrap_or(0),
         link,
@@ -212,14 +214,14 @@
 
 fn listen(address: SocketAddr, backlog: u32) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-    // As after a crash: the address may still have connections that are closing.
+    // After a crash, connections of the previous process can still be closing on the address.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(backlog)
 }
 
-/// Who gives descriptors up, and who has to know that there are fewer: an idle connection to an upstream
-/// costs less than a client.
+/// Registers which components release descriptors, and which ones follow changed limits. Idle upstream
+/// connections are closed first, since they cost less than a client.
 fn share_descriptors(
     descriptors: &Rc<Descriptors>,
     upstreams: &Rc<Upstreams>,
@@ -227,8 +229,8 @@
 ) {
     let upstreams_for_relief = Rc::clone(upstreams);
     descriptors.add_relief(move || upstreams_for_relief.close_oldest());
-    let max_clients = Rc::clone(admission);
-    descriptors.add_relief(move || max_clients.evict_one());
+    let clients_for_relief = Rc::clone(admission);
+    descriptors.add_relief(move || clients_for_relief.evict_one());
     let (weak_descriptors, upstreams, admission) =
         (Rc::downgrade(descriptors), Rc::clone(upstreams), Rc::clone(admission));
     descriptors.on_limits_changed(move || {
--- a/crates/proxy/src/serve/file.rs
+++ b/crates/proxy/src/serve/file.rs
@@ -1,4 +1,4 @@
-//! A balancer as the operator's file alone describes it.
+//! Balancer that is configured by the operator's file alone.
 
 use super::components::Components;
 use super::{BalancerSetup, KILL_AFTER_DEADLINE, ServingHooks, block_on, client_authentication, serve};
@@ -27,24 +27,24 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::spawn_local;
 
-/// The longest silence of a client in the middle of a request, but for a body that streams, whose class says it.
+/// Longest pause of a client within a request. A streaming body has the limit of its class instead.
 const REQUEST_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves as the operator's file alone says, until SIGTERM.
+/// Serves according to the operator's file until SIGTERM.
 pub fn run_from_file(
     mut operator: Operator,
-    file: Option<String>,
+    operator_file_text: Option<String>,
     inherited: Option<std::io::Result<std::net::TcpListener>>,
     supervisor: Option<SupervisorEnvironment>,
     hooks: Option<ServingHooks>,
 ) -> Result<(), Box<dyn Error>> {
     let mut proxy =
-        operator.proxy.take().ok_or("it names no listen.address, no [[class]] and no [[upstream]]")?;
+        operator.proxy.take().ok_or("the file has no listen.address, [[class]] and [[upstream]]")?;
     let agreement = operator.tier.as_ref().and_then(|tier| tier.agreement.as_ref());
     let rejects_all = agreement.is_some_and(|agreement| agreement.when_cut_off == CutOff::Refuse);
     let has_agreement = agreement.is_some();
     if has_agreement {
-        // Until it is known what the others act on.
+        // Conservative rules apply until the version in force is known.
         proxy = maplehook_versions::compatibility::conservative(&proxy);
     }
     let max_class_deadline =
@@ -65,7 +65,7 @@
         client_timeouts: ClientTimeouts { request_idle: REQUEST_IDLE_TIMEOUT, response_unread: proxy.stall },
         grace: Rc::new(Cell::new(max_class_deadline.max(proxy.drain) + KILL_AFTER_DEADLINE)),
         operator,
-        file,
+        operator_file_text,
         hooks,
     };
     block_on(async move {
@@ -73,13 +73,13 @@
         let mut hangup = signal(SignalKind::hangup())?;
         let mut components = Components::new(&mut setup, Some(&proxy))?;
         let fronts = setup.operator.admission.fronts.clone();
-        let requests = Rc::new(RequestReader::from_file(
+        let request_reader = Rc::new(RequestReader::from_file(
             &proxy,
             fronts,
             client_authentication,
             setup.body_memory.clone(),
         ));
-        requests.set_reject_all(rejects_all);
+        request_reader.set_reject_all(rejects_all);
         components.admission.set_known_networks(proxy.clients.known.clone());
         components.admin_state.rejects_all.store(rejects_all, Ordering::Release);
         let lists = Rc::new(Lists::new(Fixed::listed(proxy.listed(|zone| zone)).into_entries()));
@@ -110,20 +110,20 @@
             }
         };
         let consensus = components.consensus.take();
-        // The thread of places ends when this does, and hears of versions as long as this lives.
+        // The failover agent ends when its handle is dropped. The notifier must live as long as the agent.
         let (agent, mut notifier, serving_side) = match components.failover_agent.take() {
             Some(FailoverAgent { agent, notifier, serving }) => (Some(agent), Some(notifier), Some(serving)),
             None => (None, None, None),
         };
         let mut rollout_member = components.rollout.take();
-        let serving = rollout_member.as_mut().and_then(|taking| taking.serving.take());
+        let serving = rollout_member.as_mut().and_then(|member| member.serving.take());
         let names = notifier.as_ref().map(|notifier| notifier.names.subscribe());
         let rollout_link = serving
             .zip(names)
             .map(|(channels, names)| counts::RolloutLink { channels, counts: IntervalCounts::new(names) });
-        let counts = rollout_link.as_ref().map(|part| {
-            let channels = &part.channels;
-            (Rc::clone(&part.counts), channels.counts.clone(), channels.counted.clone())
+        let counts = rollout_link.as_ref().map(|link| {
+            let channels = &link.channels;
+            (Rc::clone(&link.counts), channels.counts.clone(), channels.counted.clone())
         });
         let versions =
             consensus.as_ref().zip(notifier.take_if(|_| consensus.is_some())).map(|(consensus, notifier)| {
@@ -131,7 +131,7 @@
                 let mut versions = VersionApplier::new(
                     &proxy,
                     lists,
-                    Rc::clone(&requests),
+                    Rc::clone(&request_reader),
                     Rc::clone(&components.admission),
                     Rc::clone(&components.upstreams),
                     Arc::clone(&components.admin_state.rejects_all),
@@ -151,17 +151,18 @@
             }
             spawn_local(async move {
                 while hangup.recv().await.is_some() {
-                    tracing::warn!("nothing is read anew: the file is read at the start");
+                    tracing::warn!("SIGHUP is ignored: the operator's file is read only at the start");
                 }
             });
-            if let Some((versions, acting, applied)) = versions {
-                spawn_local(versions.follow(acting, applied, driver, counting, sibling));
+            if let Some((versions, active_version, applied_epoch)) = versions {
+                spawn_local(versions.follow(active_version, applied_epoch, driver, counting, sibling));
             } else if let Some(sibling) = sibling {
                 spawn_local(supervised::follow_sibling(settings, sibling, driver));
             }
         };
         let finish = move || drop((agent, rollout_member, consensus));
-        let served = serve(setup, components, requests, (source, known), on_start, registrar, finish).await;
+        let served =
+            serve(setup, components, request_reader, (source, known), on_start, registrar, finish).await;
         drop(notifier);
         served
     })
--- a/crates/proxy/src/serve/platform.rs
+++ b/crates/proxy/src/serve/platform.rs
@@ -1,4 +1,4 @@
-//! A balancer as the platform describes it.
+//! Balancer that is configured by the platform.
 
 use super::components::Components;
 use super::{
@@ -25,10 +25,10 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::spawn_local;
 
-/// How long a platform's client may leave an answer unread.
+/// Time that a client may leave a response unread.
 const RESPONSE_UNREAD_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Serves as the platform says, until SIGTERM.
+/// Serves according to the platform's configuration until SIGTERM.
 pub fn run_on_platform(
     config: Config,
     mut operator: Operator,
@@ -37,7 +37,7 @@
 ) -> Result<(), Box<dyn Error>> {
     let inherited = inherited::matching_listener(inherited, config.listen);
     if operator.tier.take().is_some() {
-        tracing::warn!("[tier] has no effect on the platform, which says who speaks to whom");
+        tracing::warn!("[tier] is ignored: the platform decides which balancers communicate");
     }
     let settings = config.settings_state.current().settings.clone();
     let setup = BalancerSetup {
@@ -59,7 +59,7 @@
         grace: Rc::new(Cell::new(platform_grace(&config.settings_state))),
         settings,
         operator,
-        file: None,
+        operator_file_text: None,
         hooks,
     };
     block_on(async move {
@@ -77,8 +77,9 @@
             discovery.set_timeouts(DiscoveryTimeouts::AGENT);
         }
         let mut known = discovery.parse_cached_list(&config.cached_endpoints);
-        // Only then may another process of this balancer run before, beside or after this one.
-        let handover = if components.shared { HandoverFile::for_balancer(&config.name) } else { None };
+        // Only with a shared listener can another process of this balancer run before, beside or after this one.
+        let handover =
+            if components.is_listener_shared { HandoverFile::for_balancer(&config.name) } else { None };
         let predecessor = handover.as_ref().and_then(|handover| handover.load(&discovery.names()));
         let (has_predecessor, max_descriptors) = (predecessor.is_some(), setup.sockets);
         let learned_state =
@@ -92,7 +93,7 @@
             None => Rc::clone(&discovery) as Rc<dyn Source>,
         };
         tracing::info!(limits = ?config.limits, "configured by the platform");
-        let requests = Rc::new(RequestReader::platform(
+        let request_reader = Rc::new(RequestReader::platform(
             &config.settings_state,
             client_authentication,
             setup.body_memory.clone(),
@@ -101,7 +102,7 @@
         let reloader = ConfigReloader {
             config,
             discovery,
-            requests: Rc::clone(&requests),
+            request_reader: Rc::clone(&request_reader),
             admission: Rc::clone(&components.admission),
             descriptors: Rc::clone(&components.descriptors),
             grace: Rc::clone(&setup.grace),
@@ -122,11 +123,11 @@
             }
             spawn_local(reloader.run(hangup, driver, counting));
         };
-        serve(setup, components, requests, (source, known), on_start, None, || {}).await
+        serve(setup, components, request_reader, (source, known), on_start, None, || {}).await
     })
 }
 
-/// From SIGTERM until the end.
+/// Returns the longest time from SIGTERM to the end of the process.
 fn platform_grace(settings_state: &ActiveSettings) -> Duration {
     let max_class_deadline =
         settings_state.classes().map(|(_, _, class)| class.deadline).max().unwrap_or_default();
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -1,9 +1,9 @@
-//! The command line of versions: `maplehook settings ...`.
+//! Commands for configuration versions: `maplehook settings ...`.
 
 use crate::command::inline_rules_file;
 use crate::request_signing::sign_request;
 use crate::settings_api::{PATH, SettingsStatus, VersionReply};
-use crate::tier::{AdminResponse, get, send_request};
+use crate::tier::{AdminResponse, get_body, send_request};
 use hyper::StatusCode;
 use maplehook_config::Operator;
 use maplehook_consensus::messages::AdminRequest;
@@ -77,23 +77,26 @@
     action: Action,
 }
 
-/// How a command ends: its exit code.
+/// Text and exit code of a command.
 pub struct Outcome {
-    /// What there is to say.
+    /// Text for the standard output.
     pub text: String,
-    /// 0: done. 2: not everywhere, or no lease. 3: refused.
+    /// 0: done. 2: not in force everywhere, or no lease. 3: rejected.
     pub code: u8,
 }
 
 impl Settings {
-    /// Does it. An error is the exit code 1: there was no answer.
+    /// Runs the command. Returns an error, for exit code 1, if no response was received.
     pub fn run(&self, operator: &Operator) -> Result<Outcome, Box<dyn Error>> {
-        let address =
-            self.address.or(operator.control).ok_or("which balancer? --address IP:PORT, or --config FILE")?;
+        let address = self
+            .address
+            .or(operator.control)
+            .ok_or("no balancer given; use --address IP:PORT or --config FILE")?;
         match &self.action {
             Action::Status => {
                 let (text, status) = self.status(address)?;
-                let is_settled = !status.careful && status.members.iter().all(|member| !member.waits);
+                let is_settled =
+                    !status.lacks_lease && status.members.iter().all(|member| !member.is_pending);
                 let text = if self.json { text } else { status.table() };
                 Ok(Outcome { text, code: if is_settled { 0 } else { 2 } })
             }
@@ -150,7 +153,7 @@
             .secret_file
             .clone()
             .or(default_file)
-            .ok_or("whose secret? --secret-file FILE, or --config FILE")?;
+            .ok_or("no secret given; use --secret-file FILE or --config FILE")?;
         let secret = SecretKey::read(&file)?;
         let body = serde_json::to_vec(request)?;
         let mac = sign_request(&secret, &body);
@@ -162,7 +165,7 @@
                 let done: VersionReply = serde_json::from_str(&text)?;
                 Ok(Outcome { text: format!("version {}\n", done.version), code: 0 })
             }
-            StatusCode::CONFLICT => Ok(Outcome { text: format!("refused: {text}"), code: 3 }),
+            StatusCode::CONFLICT => Ok(Outcome { text: format!("rejected: {text}"), code: 3 }),
             _ => Err(format!("{address}: {status}: {}", text.trim()).into()),
         }
     }
@@ -177,7 +180,7 @@
     ) -> Result<Outcome, Box<dyn Error>> {
         let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
         let text = inline_rules_file(file, text)?;
-        // With its lines, before anybody else sees it.
+        // Faults are reported with their lines before anything is sent.
         let (shared, excluded) = match maplehook_config::shared(&text) {
             Ok(shared) => shared,
             Err(faults) => return Ok(Outcome { text: format!("{}:\n{faults}\n", file.display()), code: 3 }),
@@ -185,20 +188,24 @@
         let mut output = String::new();
         if !self.json {
             // Writing to a string can't fail.
-            let _ = writeln!(output, "left out, each balancer's own: {}", excluded.join(", "));
+            let _ = writeln!(
+                output,
+                "left out of the proposal, configured per balancer: {}",
+                excluded.join(", ")
+            );
             let (_, status) = self.status(address)?;
             if status.in_force > 0 {
-                // Whoever leads may be away for a moment: that keeps nobody from proposing.
+                // The leader can be unreachable for a moment. The proposal does not depend on the difference.
                 output += &match fetch_version(address, status.in_force) {
                     Ok((active, _)) => unified_diff(&active.text, &shared),
-                    Err(e) => format!("the difference can't be shown now: {e}\n"),
+                    Err(e) => format!("the difference is not available: {e}\n"),
                 };
             }
         }
         let started_at = Instant::now();
         let max_wait = Duration::from_secs(wait.unwrap_or(0));
         let request = AdminRequest::Propose { text: shared, expected: expect };
-        // What has no answer, or is not possible yet, may be said again: the same text is the same version.
+        // Errors are retried: a repeated proposal of the same text results in the same version.
         let reply = loop {
             match self.submit(address, operator, &request) {
                 Err(_) if wait.is_some() && started_at.elapsed() < max_wait => {
@@ -218,7 +225,7 @@
             .parse()
             .or_else(|_| serde_json::from_str::<VersionReply>(&reply.text).map(|done| done.version))?;
         loop {
-            // A balancer that does not answer now may do so later.
+            // A balancer that does not answer now can answer later.
             let status = self.status(address).ok();
             if status.as_ref().is_some_and(|(_, status)| status.is_in_force_everywhere(number)) {
                 let text = if self.json {
@@ -229,9 +236,9 @@
                 return Ok(Outcome { text, code: 0 });
             }
             if started_at.elapsed() > max_wait {
-                let last_status = status.map_or("no answer\n".into(), |(_, status)| status.table());
+                let last_status = status.map_or("no response\n".into(), |(_, status)| status.table());
                 return Ok(Outcome {
-                    text: format!("{output}version {number} is not everywhere:\n{last_status}"),
+                    text: format!("{output}version {number} is not yet in force everywhere:\n{last_status}"),
                     code: 2,
                 });
             }
@@ -241,16 +248,16 @@
 }
 
 fn fetch(address: SocketAddr, path: &str) -> Result<String, Box<dyn Error>> {
-    Ok(String::from_utf8_lossy(&get(address, path)?).into_owned())
+    Ok(String::from_utf8_lossy(&get_body(address, path)?).into_owned())
 }
 
 fn fetch_version(address: SocketAddr, number: u64) -> Result<(Version, String), Box<dyn Error>> {
     let text = fetch(address, &format!("{PATH}?show={number}"))?;
     let mut versions: Vec<Version> = serde_json::from_str(&text)?;
-    Ok((versions.pop().ok_or("no version")?, text))
+    Ok((versions.pop().ok_or("the response holds no version")?, text))
 }
 
-/// Line by line.
+/// Returns the line-by-line difference of two texts.
 fn unified_diff(a: &str, b: &str) -> String {
     let diff = similar::TextDiff::from_lines(a, b);
     diff.unified_diff().context_radius(2).to_string()
--- a/crates/proxy/src/settings_api.rs
+++ b/crates/proxy/src/settings_api.rs
@@ -1,4 +1,4 @@
-//! Operators' calls on versions: `GET` and `POST /control/settings`.
+//! Endpoints for configuration versions: `GET` and `POST /control/settings`.
 
 use crate::request_signing::RequestVerifier;
 use hyper::StatusCode;
@@ -11,12 +11,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Where it is.
+/// Path of the endpoints.
 pub const PATH: &str = "/control/settings";
-/// The longest body.
+/// Largest body of an admin request.
 pub const MAX_BODY_BYTES: usize = 3 << 20;
 
-/// Takes operators' wishes, from whoever has the secret.
+/// Handlers of the settings endpoints.
 pub struct SettingsApi {
     verifier: Arc<RequestVerifier>,
     admin_client: AdminClient,
@@ -24,7 +24,7 @@
 }
 
 impl SettingsApi {
-    /// Of calls under this seal; while settings are changed in stages there is no other change of them.
+    /// Creates the handlers. While `rollout_board` reports a rollout of settings, proposals and undos are rejected.
     pub fn new(
         verifier: Arc<RequestVerifier>,
         admin_client: AdminClient,
@@ -33,7 +33,7 @@
         Self { verifier, admin_client, rollout_board }
     }
 
-    /// The answer to a `GET`, by its query.
+    /// Returns the response to a `GET` for a query.
     pub async fn handle_get(&self, query: Option<&str>) -> (StatusCode, String) {
         let request = match query {
             None | Some("") => AdminRequest::Status,
@@ -46,9 +46,9 @@
         self.submit(request).await
     }
 
-    /// The answer to a `POST`.
+    /// Verifies and submits the admin request in a `POST`.
     pub async fn handle_post(&self, header: Option<&str>, body: &[u8]) -> (StatusCode, String) {
-        if !header.is_some_and(|header| self.verifier.is_valid(header, body)) {
+        if !header.is_some_and(|header| self.verifier.is_signature_valid(header, body)) {
             let why = "not signed with the tier's secret within the last minute, or made before\n";
             return (StatusCode::FORBIDDEN, why.into());
         }
@@ -71,11 +71,11 @@
         };
         let (status, body) = match reply {
             AdminReply::Status(overview) => {
-                (StatusCode::OK, to_json(&SettingsStatus::of(&local, Some(&overview))))
+                (StatusCode::OK, to_json(&SettingsStatus::from_local_and_cluster(&local, Some(&overview))))
             }
-            // What is known here is worth something.
+            // Without a leader, the local status is still returned.
             AdminReply::Unavailable(_) if is_status => {
-                (StatusCode::OK, to_json(&SettingsStatus::of(&local, None)))
+                (StatusCode::OK, to_json(&SettingsStatus::from_local_and_cluster(&local, None)))
             }
             AdminReply::Done(version) => (StatusCode::OK, to_json(&VersionReply { version })),
             AdminReply::Versions(versions) => (StatusCode::OK, to_json(&versions)),
@@ -87,7 +87,7 @@
 }
 
 fn to_json(value: &impl Serialize) -> String {
-    // What is shown has nothing that JSON can't say.
+    // The types contain no values that fail to serialize.
     serde_json::to_string(value).unwrap_or_default()
 }
 
@@ -96,60 +96,65 @@
     pub(crate) version: u64,
 }
 
-/// A member as it is shown.
+/// Tier member in the settings status.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct SettingsMember {
-    /// Its name.
+    /// Name of the balancer.
     pub name: String,
-    /// What it acts on: a version, or two between which a change stands; none if that is not known.
+    /// Label of the phase that the member enforces, such as `3` or `3-4`; `None` if unknown.
     pub version: Option<String>,
-    /// The epoch that it acts on.
+    /// Epoch that the member enforces; `None` if unknown.
     pub epoch: Option<u64>,
-    /// Whether it is waited for.
-    pub waits: bool,
-    /// For how long at the most, if not for good.
-    pub waits_ms: Option<u64>,
+    /// True while the transition to the next phase waits for this member.
+    #[serde(rename = "waits")]
+    pub is_pending: bool,
+    /// Longest remaining wait for the member, in milliseconds; `None` if the wait has no limit.
+    #[serde(rename = "waits_ms")]
+    pub max_wait_ms: Option<u64>,
 }
 
-/// What `GET /control/settings` shows.
+/// Status that `GET /control/settings` returns.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct SettingsStatus {
-    /// The version in force here; 0 before the first.
+    /// Version that this balancer enforces; 0 before the first version.
     pub in_force: u64,
-    /// `settled`, `strictest` or `unsettled`.
-    pub step: String,
-    /// The step as a label: `3`, or `3-4`.
+    /// Phase of the local version: `settled`, `strictest` or `unsettled`.
+    #[serde(rename = "step")]
+    pub phase: String,
+    /// Label of the local phase: `3`, or `3-4` during a transition.
     pub label: String,
-    /// The epoch that this balancer acts on, and the leader's.
+    /// Epoch that this balancer enforces.
     pub epoch: u64,
-    /// The leader's.
-    pub epoch_agreed: Option<u64>,
-    /// The digest of the version in force.
+    /// Epoch of the leader; `None` if the leader does not answer.
+    #[serde(rename = "epoch_agreed")]
+    pub leader_epoch: Option<u64>,
+    /// Digest of the enforced version's text.
     pub digest: String,
-    /// What is left of the lease.
+    /// Remaining time of the lease, in milliseconds; `None` without a lease.
     pub lease_ms_left: Option<u64>,
-    /// Whether there is none.
-    pub careful: bool,
-    /// The leader.
+    /// True while this balancer has no valid lease.
+    #[serde(rename = "careful")]
+    pub lacks_lease: bool,
+    /// Name of the leader, if known.
     pub leader: Option<String>,
-    /// What is wrong with this balancer's part, if anything is.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub trouble: Option<String>,
-    /// The members, where the leader answers.
+    /// Problem of this balancer's voter, if any.
+    #[serde(rename = "trouble", default, skip_serializing_if = "Option::is_none")]
+    pub voter_problem: Option<String>,
+    /// Tier members; empty if the leader does not answer.
     pub members: Vec<SettingsMember>,
-    /// The voters, where the leader answers.
+    /// Names of the voters; empty if the leader does not answer.
     #[serde(default)]
     pub voters: Vec<String>,
-    /// The step that the leader stands at, as a label.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub agreed: Option<String>,
-    /// Before the first version: whose files differ, by digest.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub differ: Vec<(String, Vec<String>)>,
+    /// Label of the leader's phase; `None` if the leader does not answer.
+    #[serde(rename = "agreed", default, skip_serializing_if = "Option::is_none")]
+    pub leader_phase: Option<String>,
+    /// Balancers by digest of their file, if files differ before the first version.
+    #[serde(rename = "differ", default, skip_serializing_if = "Vec::is_empty")]
+    pub differing_files: Vec<(String, Vec<String>)>,
 }
 
-fn phase_label(step: Phase) -> String {
-    match step {
+fn phase_label(phase: Phase) -> String {
+    match phase {
         Phase::Initial => "0".into(),
         Phase::Stable(number) => number.to_string(),
         Phase::Transition { from, to } => format!("{from}-{to}"),
@@ -157,7 +162,7 @@
 }
 
 impl SettingsStatus {
-    fn of(local: &LocalStatus, overview: Option<&ClusterStatus>) -> Self {
+    fn from_local_and_cluster(local: &LocalStatus, overview: Option<&ClusterStatus>) -> Self {
         let ms = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
         let members = overview.map(|overview| {
             let member = |status: &maplehook_consensus::messages::MemberStatus| SettingsMember {
@@ -167,69 +172,72 @@
                     .filter(|epoch| *epoch == overview.epoch)
                     .map(|_| phase_label(overview.phase)),
                 epoch: status.epoch,
-                waits: status.is_pending,
-                waits_ms: status.max_wait_ms,
+                is_pending: status.is_pending,
+                max_wait_ms: status.max_wait_ms,
             };
             overview.members.iter().map(member).collect()
         });
         Self {
             in_force: local.active_version,
-            step: local.phase.to_string(),
+            phase: local.phase.to_string(),
             label: phase_label(local.phase),
             epoch: local.epoch,
-            epoch_agreed: overview.map(|overview| overview.epoch),
+            leader_epoch: overview.map(|overview| overview.epoch),
             digest: local.digest.clone(),
             lease_ms_left: local.lease_remaining.map(ms),
-            careful: local.lacks_lease,
+            lacks_lease: local.lacks_lease,
             leader: local.leader.clone(),
-            trouble: local.voter_problem.clone(),
+            voter_problem: local.voter_problem.clone(),
             members: members.unwrap_or_default(),
             voters: overview.map(|overview| overview.voters.clone()).unwrap_or_default(),
-            agreed: overview.map(|overview| phase_label(overview.phase)),
-            differ: overview.map(|overview| overview.differing_files.clone()).unwrap_or_default(),
+            leader_phase: overview.map(|overview| phase_label(overview.phase)),
+            differing_files: overview.map(|overview| overview.differing_files.clone()).unwrap_or_default(),
         }
     }
 
-    /// Whether this version is in force everywhere.
+    /// Returns true if all members enforce this version.
     pub(crate) fn is_in_force_everywhere(&self, version: u64) -> bool {
-        self.step == "settled"
+        self.phase == "settled"
             && self.in_force == version
             && !self.members.is_empty()
-            && self.members.iter().all(|m| !m.waits)
+            && self.members.iter().all(|m| !m.is_pending)
     }
 
     pub(crate) fn table(&self) -> String {
         let mut text = format!(
             "version {} is in force here ({}); epoch {}, leader {}\n",
             self.in_force,
-            self.step,
+            self.phase,
             self.epoch,
             self.leader.as_deref().unwrap_or("unknown")
         );
         // Writing to a string can't fail.
-        if self.careful {
-            let _ = writeln!(text, "no lease: nothing is sent twice, or all is refused, until there is one");
+        if self.lacks_lease {
+            let _ = writeln!(
+                text,
+                "no valid lease: conservative rules apply, or all requests are rejected, until there is one"
+            );
         }
-        if let Some(trouble) = &self.trouble {
-            let _ = writeln!(text, "{trouble}");
+        if let Some(problem) = &self.voter_problem {
+            let _ = writeln!(text, "{problem}");
         }
         if !self.voters.is_empty() {
             let _ = writeln!(text, "voters: {}", self.voters.join(", "));
         }
         for member in &self.members {
-            let waits = match (member.waits, member.waits_ms) {
+            let waits = match (member.is_pending, member.max_wait_ms) {
                 (false, _) => String::new(),
-                (true, Some(ms)) => format!("  waited for, {ms} ms at the most"),
-                (true, None) => "  waited for, until it answers or is forgotten".into(),
+                (true, Some(ms)) => format!("  pending for at most {ms} ms"),
+                (true, None) => "  pending until it answers or is forgotten".into(),
             };
             let version = member.version.clone().unwrap_or_else(|| "-".into());
             let _ = writeln!(text, "{:<32} {version:>8}{waits}", member.name);
         }
-        for (digest, names) in &self.differ {
+        for (digest, names) in &self.differing_files {
             let _ = writeln!(text, "file {}: {}", &digest[..digest.len().min(12)], names.join(", "));
         }
         if self.members.is_empty() {
-            let _ = writeln!(text, "nobody leads, or the leader does not answer");
+            let _ = writeln!(text, "no leader is known, or the leader does not answer");
         }
         text
     }
--- a/crates/proxy/src/supervise_command.rs
+++ b/crates/proxy/src/supervise_command.rs
@@ -1,4 +1,4 @@
-//! `maplehook supervise`: the parent of a balancer, as its file says.
+//! `maplehook supervise`: runs the supervisor that an operator's file configures.
 
 use crate::command;
 use maplehook_config::Operator;
@@ -9,17 +9,18 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How much longer than its own drain a process may take.
+/// Time from the end of a process's drain to its SIGKILL.
 const GRACE_MARGIN: Duration = Duration::from_secs(5);
-/// The longest queue of connections, as the file may have it.
+/// Largest accept backlog that a file can configure.
 const MAX_BACKLOG: i32 = 65_535;
 
 fn supervisor_config(operator: &Operator, file: &Path) -> Result<SupervisorConfig, Box<dyn Error>> {
-    let missing = || "it has no [supervise]: programs, state and program are needed there";
+    let missing = || "the file has no [supervise] section with programs, state and program";
     let supervise = operator.supervise.as_ref().ok_or_else(missing)?;
     let proxy =
-        operator.proxy.as_ref().ok_or("it names no listen.address, no [[class]] and no [[upstream]]")?;
-    let longest = proxy.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+        operator.proxy.as_ref().ok_or("the file has no listen.address, [[class]] and [[upstream]]")?;
+    let max_class_deadline =
+        proxy.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
     let default_trial = || TrialRequest { method: "GET".into(), path: "/".into(), status: None };
     let trial = supervise.trial.clone().map_or_else(default_trial, |trial| TrialRequest {
         method: trial.method,
@@ -37,7 +38,7 @@
         settings: SupervisorSettings {
             ready_timeout: supervise.ready,
             trial_timeout: supervise.trial_time,
-            termination_grace: supervise.grace.unwrap_or(longest.max(proxy.drain) + GRACE_MARGIN),
+            termination_grace: supervise.grace.unwrap_or(max_class_deadline.max(proxy.drain) + GRACE_MARGIN),
             initial_backoff: supervise.backoff,
             max_backoff: supervise.backoff_most,
             max_crashes: supervise.crashes,
@@ -47,11 +48,11 @@
     })
 }
 
-/// Supervises until SIGTERM.
+/// Runs the supervisor until SIGTERM.
 pub fn run(file: &Path) -> Result<(), Box<dyn Error>> {
     let with_path = |e: Box<dyn Error>| format!("{}: {e}", file.display());
-    let read =
+    let load =
         || supervisor_config(&command::load_operator(Some(file))?, file).map_err(|e| with_path(e).into());
-    let program = || read().map(|config| config.program).map_err(|e: Box<dyn Error>| e.to_string());
-    Ok(supervisor::run(&read()?, program)?)
+    let program = || load().map(|config| config.program).map_err(|e: Box<dyn Error>| e.to_string());
+    Ok(supervisor::run(&load()?, program)?)
 }
--- a/crates/proxy/src/supervised.rs
+++ b/crates/proxy/src/supervised.rs
@@ -1,7 +1,8 @@
-//! A balancer that a supervisor has started: it is tried on an address of its own and accepts clients once it is told to.
+//! Process of a balancer that was started by a supervisor. It is tested on a private address and accepts clients
+//! only on the supervisor's command.
 //!
-//! What another process of the same balancer may still hold - the operators' address, the tier's port and directory - it takes
-//! when that has let go, and lets go of first of all when it ends.
+//! Another process of the same balancer can still hold the admin address, the tier's port and the tier's directory.
+//! This process acquires them after their release, and releases them first when it ends.
 
 use crate::control;
 use maplehook::parts::driver::Driver;
@@ -17,12 +18,12 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Descriptors beside those of a balancer on its own: a second operators' address, and the way to the supervisor.
+/// Additional descriptors under a supervisor: a second admin listener and the control socket.
 pub const DESCRIPTORS: usize = control::DESCRIPTORS + control_socket::DESCRIPTORS;
-/// Words that may wait.
+/// Commands of the supervisor that can be queued.
 const MAX_QUEUED_COMMANDS: usize = 16;
 
-/// How a supervisor reaches this process.
+/// Environment of a process that was started by a supervisor.
 #[derive(Debug)]
 pub struct SupervisorEnvironment {
     path: PathBuf,
@@ -30,33 +31,37 @@
 }
 
 impl SupervisorEnvironment {
-    /// By the environment; `None` without a supervisor.
+    /// Reads the environment variables of the supervisor. Returns `None` without a supervisor.
     pub fn from_env() -> Option<Self> {
         let path = std::env::var_os(control_socket::SOCKET_VARIABLE)?.into();
         let digest = std::env::var(control_socket::DIGEST_VARIABLE).unwrap_or_default();
         Some(Self { path, digest })
     }
 
-    /// Lets the supervisor come. `operators`: where it may always ask.
-    pub fn connect_supervisor(
+    /// Opens the control socket. `operators` is the private admin address, which the supervisor can always reach.
+    pub fn open_control_socket(
         self,
         listener: std::net::TcpListener,
         operators: SocketAddr,
         release: oneshot::Sender<()>,
     ) -> io::Result<SupervisorChannel> {
-        let trial = std::net::TcpListener::bind("127.0.0.1:0")?;
-        trial.set_nonblocking(true)?;
-        let process_info =
-            ProcessInfo { digest: self.digest, operators, trial: trial.local_addr()?, accepts: false };
+        let trial_listener = std::net::TcpListener::bind("127.0.0.1:0")?;
+        trial_listener.set_nonblocking(true)?;
+        let process_info = ProcessInfo {
+            digest: self.digest,
+            operators,
+            trial: trial_listener.local_addr()?,
+            accepts: false,
+        };
         let (command_sender, commands) = mpsc::channel(MAX_QUEUED_COMMANDS);
         let (sibling_sender, sibling) = watch::channel(false);
         control_socket::serve(&self.path, listener, process_info, move |command| match command {
             SupervisorCommand::SiblingAccepts(has_sibling) => drop(sibling_sender.send_replace(has_sibling)),
-            // A supervisor that floods is told nothing.
+            // Commands beyond the queue's capacity are dropped.
             command => drop(command_sender.try_send(command)),
         })?;
         Ok(SupervisorChannel {
-            trial: Some(TcpListener::from_std(trial)?),
+            trial_listener: Some(TcpListener::from_std(trial_listener)?),
             commands,
             sibling,
             _release: release,
@@ -64,35 +69,35 @@
     }
 }
 
-/// The way from the supervisor.
+/// Commands of the supervisor, and the listener for its trial requests.
 pub struct SupervisorChannel {
-    trial: Option<TcpListener>,
+    trial_listener: Option<TcpListener>,
     commands: mpsc::Receiver<SupervisorCommand>,
     sibling: watch::Receiver<bool>,
-    /// Lets go of the operators' address when it is dropped.
+    /// Releases the shared admin address when it is dropped.
     _release: oneshot::Sender<()>,
 }
 
-/// What became of a trial.
+/// Command that ends a trial.
 pub enum TrialOutcome {
-    /// It may accept, and says so there.
+    /// Accept clients, then acknowledge the command by this sender.
     Accept(SyncSender<()>),
-    /// It is to end.
+    /// End the process.
     Shutdown,
 }
 
 impl SupervisorChannel {
-    /// Where it is tried; once.
-    pub fn trial(&mut self) -> Option<TcpListener> {
-        self.trial.take()
+    /// Returns the listener for trial requests, at the first call only.
+    pub fn take_trial_listener(&mut self) -> Option<TcpListener> {
+        self.trial_listener.take()
     }
 
-    /// Whether another process of this balancer accepts, too.
+    /// Returns a receiver that holds whether another process of this balancer accepts clients.
     pub fn watch_sibling(&self) -> watch::Receiver<bool> {
         self.sibling.clone()
     }
 
-    /// Waits until it may accept.
+    /// Waits for the command that ends the trial. SIGTERM counts as a shutdown command.
     pub async fn wait_for_trial_outcome(
         &mut self,
         term: &mut Signal,
@@ -102,17 +107,17 @@
             command = self.commands.recv() => match command {
                 Some(SupervisorCommand::Accept(acknowledge)) => Ok(TrialOutcome::Accept(acknowledge)),
                 Some(SupervisorCommand::Shutdown) => Ok(TrialOutcome::Shutdown),
-                _ => Err("the supervisor is gone, and has not told this process to accept".into()),
+                _ => Err("the supervisor closed its connection before it sent the command to accept".into()),
             }
         }
     }
 
-    /// Waits until the whole balancer is to end.
+    /// Waits for the command to shut down the whole balancer, as opposed to this process only.
     pub async fn wait_for_shutdown(&mut self) {
         loop {
             match self.commands.recv().await {
                 Some(SupervisorCommand::Shutdown) => return,
-                // A supervisor that was killed just now may not have heard the answer.
+                // A restarted supervisor repeats the command if it was killed before it received the acknowledgement.
                 Some(SupervisorCommand::Accept(acknowledge)) => drop(acknowledge.try_send(())),
                 Some(_) => {}
                 None => std::future::pending().await,
@@ -121,13 +126,14 @@
     }
 }
 
-/// The settings of one of `beside` two processes of a balancer: together they grant what one does.
+/// Doubles the number of balancers that share the guarantees if `has_sibling` is true: two processes of one
+/// balancer together grant what one process grants.
 pub fn share_with_sibling(settings: Settings, has_sibling: bool) -> Settings {
     let balancers = settings.balancers.saturating_mul(1 + u32::from(has_sibling));
     Settings { balancers, ..settings }
 }
 
-/// Waits until another process comes or goes; for good, where none can.
+/// Waits until a sibling process starts or stops to accept. Never returns without a supervisor.
 pub async fn sibling_changed(sibling: Option<&mut watch::Receiver<bool>>) {
     if let Some(sibling) = sibling
         && sibling.changed().await.is_ok()
@@ -137,11 +143,11 @@
     std::future::pending().await
 }
 
-/// Retunes the decisions of a balancer whose settings stay, as another process comes or goes.
+/// Updates the driver whenever a sibling process starts or stops to accept.
 pub async fn follow_sibling(settings: Settings, mut sibling: watch::Receiver<bool>, driver: Rc<Driver>) {
     while sibling.changed().await.is_ok() {
         let has_sibling = *sibling.borrow_and_update();
-        tracing::info!(has_sibling, "guarantees are shared with another process, or no more");
+        tracing::info!(two = has_sibling, "the number of processes that share the guarantees changed");
         driver.update_settings(share_with_sibling(settings.clone(), has_sibling), Vec::new());
     }
 }
--- a/crates/proxy/src/tier.rs
+++ b/crates/proxy/src/tier.rs
@@ -1,4 +1,4 @@
-//! A balancer's part in its tier, as its file says, and what operators are told of it.
+//! Status of a balancer's tier, and the client of the admin API.
 
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Bytes;
@@ -17,79 +17,95 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Descriptors beside the links: two sockets, the poller's, callers that greet.
+/// Descriptors besides connections to peers: two sockets, the poller's, and incoming connections before their
+/// handshake.
 const BASE_DESCRIPTORS: usize = 24;
-/// Others that there may be links to at once, as far as descriptors are set aside for them.
+/// Maximum number of peers for which a balancer that is not a voter reserves descriptors.
 const MAX_BUDGETED_PEERS: usize = 20;
-/// How long an operator waits for an answer, for one to a wish (a proposal waits for the lease of whoever is lost), and the longest.
+/// Time limits for responses to `GET` and `POST`, and the largest response in bytes. The response to a proposal can
+/// be delayed until the lease of an unreachable member expires.
 const GET_TIMEOUT: Duration = Duration::from_secs(4);
 const POST_TIMEOUT: Duration = Duration::from_secs(20);
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Descriptors that it may hold.
+/// Returns the number of descriptors to reserve for the tier.
 pub fn max_descriptors(tier: &Tier) -> usize {
-    // A voter may lead, and then all others call it.
+    // A voter can become the leader, to which all other balancers connect.
     let is_voter = tier.agreement.as_ref().is_some_and(|agreement| agreement.voters.contains(&tier.name));
     let peer_count = if is_voter { tier.peers.len() } else { tier.peers.len().min(MAX_BUDGETED_PEERS) };
     BASE_DESCRIPTORS + 2 * peer_count
 }
 
-/// A member as `GET /control/tier` shows it.
+/// Tier member in the response to `GET /control/tier`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TierMember {
-    /// Its name.
+    /// Name of the balancer.
     pub name: String,
-    /// Its start.
+    /// Incarnation, which grows with each start of the process.
     pub incarnation: u64,
-    /// `alive`, `suspect`, `dead` or `left`.
+    /// State in the membership protocol: `alive`, `suspect`, `dead` or `left`.
     pub state: String,
-    /// Its program's version.
+    /// Version of the member's program.
     pub program: String,
-    /// The newest wire version that its program speaks.
-    pub wire: u8,
-    /// For how long that has been believed.
+    /// Newest wire version that the member's program supports.
+    #[serde(rename = "wire")]
+    pub wire_version: u8,
+    /// Time that the member has been in this state, in milliseconds.
     pub since_ms: u64,
-    /// Why it takes no part here, where it does not.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub apart: Option<String>,
+    /// Reason why this balancer excludes the member, if it does.
+    #[serde(rename = "apart", default, skip_serializing_if = "Option::is_none")]
+    pub exclusion_reason: Option<String>,
 }
 
-/// Counters of the ways between balancers.
+/// Counters of datagrams and connections between balancers.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[allow(missing_docs, reason = "docs/TIER.md has them")]
 pub struct LinkCounters {
-    pub datagrams_taken: u64,
-    pub datagrams_refused: u64,
+    #[serde(rename = "datagrams_taken")]
+    pub datagrams_accepted: u64,
+    #[serde(rename = "datagrams_refused")]
+    pub datagrams_rejected: u64,
     pub datagrams_forged: u64,
     pub datagrams_sent: u64,
     pub bytes_sent: u64,
-    pub open: u64,
-    pub calls_failed: u64,
-    pub broken: u64,
-    pub refused: u64,
+    #[serde(rename = "open")]
+    pub open_connections: u64,
+    #[serde(rename = "calls_failed")]
+    pub dial_failures: u64,
+    #[serde(rename = "broken")]
+    pub lost_connections: u64,
+    #[serde(rename = "refused")]
+    pub rejected_connections: u64,
     pub messages: u64,
-    pub dropped: u64,
-    pub renewed: u64,
-    pub stopped: u64,
-    pub health: u32,
+    #[serde(rename = "dropped")]
+    pub dropped_messages: u64,
+    #[serde(rename = "renewed")]
+    pub rejoined: u64,
+    #[serde(rename = "stopped")]
+    pub pauses: u64,
+    #[serde(rename = "health")]
+    pub local_health: u32,
 }
 
-/// What `GET /control/tier` shows.
+/// Response to `GET /control/tier`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TierStatus {
-    /// The balancer's name.
+    /// Name of the balancer.
     pub name: String,
-    /// Its start.
+    /// Incarnation of the balancer's process.
     pub incarnation: u64,
-    /// Whether it speaks: not after a later start of its name was seen.
-    pub speaks: bool,
-    /// All that were seen, itself among them.
+    /// False once the balancer has detected a later process with its name and is inactive in the tier.
+    #[serde(rename = "speaks")]
+    pub is_active: bool,
+    /// This balancer and all members that it has detected.
     pub members: Vec<TierMember>,
-    /// Those of its file that are not here.
-    pub away: Vec<String>,
-    /// Upstreams that there are words of.
-    pub words: usize,
-    /// Counters.
+    /// Names of configured peers that are absent.
+    #[serde(rename = "away")]
+    pub absent_peers: Vec<String>,
+    /// Number of upstreams with gossip.
+    #[serde(rename = "words")]
+    pub gossiped_endpoints: usize,
+    /// Counters of the connections.
     pub link: LinkCounters,
 }
 
@@ -98,98 +114,102 @@
 }
 
 impl TierStatus {
-    /// How it stands.
-    pub fn of(status: &NodeStatus) -> Self {
+    /// Converts a node's status.
+    pub fn from_node_status(status: &NodeStatus) -> Self {
         let local = TierMember {
             name: status.name.to_string(),
             incarnation: status.generation,
             state: "alive".into(),
             program: status.program.to_string(),
-            wire: maplehook_cluster::WIRE_VERSIONS.version,
+            wire_version: maplehook_cluster::WIRE_VERSIONS.version,
             since_ms: ms(status.uptime),
-            apart: None,
+            exclusion_reason: None,
         };
         let remote = |member: &MemberStatus| TierMember {
             name: member.name.to_string(),
             incarnation: member.generation,
             state: member.state.as_str().into(),
             program: member.program.to_string(),
-            wire: member.wire.version,
+            wire_version: member.wire.version,
             since_ms: ms(member.in_state_for),
-            apart: member.excluded.map(|reason| reason.as_str().into()),
+            exclusion_reason: member.excluded.map(|reason| reason.as_str().into()),
         };
         let (datagrams, links) = (status.datagrams, status.connections);
         Self {
             name: status.name.to_string(),
             incarnation: status.generation,
-            speaks: status.is_active,
+            is_active: status.is_active,
             members: std::iter::once(local).chain(status.members.iter().map(remote)).collect(),
-            away: status.absent_peers.iter().map(ToString::to_string).collect(),
-            words: status.gossiped_endpoints,
+            absent_peers: status.absent_peers.iter().map(ToString::to_string).collect(),
+            gossiped_endpoints: status.gossiped_endpoints,
             link: LinkCounters {
-                datagrams_taken: datagrams.accepted,
-                datagrams_refused: datagrams.rejected,
+                datagrams_accepted: datagrams.accepted,
+                datagrams_rejected: datagrams.rejected,
                 datagrams_forged: status.forged,
                 datagrams_sent: datagrams.sent,
                 bytes_sent: datagrams.sent_bytes,
-                open: links.open,
-                calls_failed: links.dial_failures,
-                broken: links.lost,
-                refused: links.rejected,
+                open_connections: links.open,
+                dial_failures: links.dial_failures,
+                lost_connections: links.lost,
+                rejected_connections: links.rejected,
                 messages: links.messages,
-                dropped: links.dropped,
-                renewed: datagrams.rejoined,
-                stopped: datagrams.pauses,
-                health: status.local_health,
+                dropped_messages: links.dropped,
+                rejoined: datagrams.rejoined,
+                pauses: datagrams.pauses,
+                local_health: status.local_health,
             },
         }
     }
 
-    /// Whether nobody of the file is missing, and this balancer speaks.
+    /// Returns true if no configured peer is absent, all members are alive, and this balancer is active in the tier.
     pub fn is_complete(&self) -> bool {
-        let is_healthy = |member: &TierMember| member.state == "alive" && member.apart.is_none();
-        self.speaks && self.away.is_empty() && self.members.iter().all(is_healthy)
+        let is_healthy = |member: &TierMember| member.state == "alive" && member.exclusion_reason.is_none();
+        self.is_active && self.absent_peers.is_empty() && self.members.iter().all(is_healthy)
     }
 
-    /// As a table.
+    /// Formats the status as a table.
     pub fn table(&self) -> String {
         let mut text =
             format!("{:<32} {:<8} {:>12} {:<10} {:>4}  start\n", "name", "state", "for", "program", "wire");
         for member in &self.members {
-            let apart = member.apart.as_ref().map_or(String::new(), |why| format!("  {why}"));
+            let exclusion = member.exclusion_reason.as_ref().map_or(String::new(), |why| format!("  {why}"));
             // Writing to a string can't fail.
             let _ = writeln!(
                 text,
-                "{:<32} {:<8} {:>10} s {:<10} {:>4}  {}{apart}",
+                "{:<32} {:<8} {:>10} s {:<10} {:>4}  {}{exclusion}",
                 member.name,
                 member.state,
                 format!("{:.1}", member.since_ms as f64 / 1e3),
                 member.program,
-                member.wire,
+                member.wire_version,
                 member.incarnation
             );
         }
-        let unseen = self.away.iter().filter(|name| !self.members.iter().any(|m| m.name == **name));
+        let unseen = self.absent_peers.iter().filter(|name| !self.members.iter().any(|m| m.name == **name));
         for name in unseen {
             let _ = writeln!(text, "{name:<32} {:<8}", "unseen");
         }
-        if !self.speaks {
-            let _ = writeln!(text, "{} speaks no more: a later start of its name was seen", self.name);
+        if !self.is_active {
+            let _ = writeln!(
+                text,
+                "{} is inactive in the tier: a later process with its name was detected",
+                self.name
+            );
         }
         text
     }
 }
 
-/// An answer at an operators' address.
+/// Response of the admin API.
 pub struct AdminResponse {
-    /// Its status.
+    /// Status code of the response.
     pub status: StatusCode,
-    /// Its body.
+    /// Complete body of the response.
     pub body: Bytes,
 }
 
-/// Asks a balancer's operators' address; another answer than 200 is an error.
-pub fn get(address: SocketAddr, path: &str) -> Result<Bytes, Box<dyn Error>> {
+/// Sends a `GET` to an admin address and returns the body. A status other than 200 is an error.
+pub fn get_body(address: SocketAddr, path: &str) -> Result<Bytes, Box<dyn Error>> {
     let AdminResponse { status, body } = send_request(address, path, None)?;
     if status == StatusCode::OK {
         Ok(body)
@@ -198,7 +218,7 @@
     }
 }
 
-/// The same, with a body and its MAC.
+/// Sends a `GET`, or a `POST` if a body and its MAC are given, and returns the response with any status.
 pub fn send_request(
     address: SocketAddr,
     path: &str,
@@ -222,6 +242,6 @@
         Ok::<_, Box<dyn Error + Send + Sync>>(AdminResponse { status, body })
     };
     let result = runtime.block_on(async { timeout(request_timeout, exchange).await });
-    let result = result.map_err(|_| format!("{address} does not answer"))?;
+    let result = result.map_err(|_| format!("{address} did not respond in time"))?;
     Ok(result.map_err(|e| format!("{address}: {e}"))?)
 }
--- a/crates/proxy/src/versions.rs
+++ b/crates/proxy/src/versions.rs
@@ -1,7 +1,7 @@
-//! The version in force, on the thread that serves: new rules take the place of the old ones while requests go on.
+//! Application of configuration versions on the serving thread, without interrupting requests.
 //!
-//! A class, a tenant and a zone have one number for the life of the process, so that a request under way means the same before
-//! and after. Learned state, tokens and connections stay.
+//! A class, tenant or zone keeps its id for the life of the process, so that an id in a request in flight means
+//! the same before and after a change. Learned state, token buckets and connections survive a change.
 
 use crate::admission::AdmissionController;
 use crate::counts::RolloutLink;
@@ -25,40 +25,40 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// What is acted on: the epoch, how it is read, and the change and side of a stage.
+/// Configuration that is applied: epoch, enforcement mode, and the rollout's number and side.
 type AppliedKey = (u64, EnforcementMode, Option<(u64, Side)>);
 
-/// Whom a version concerns.
+/// Applies each version to the parts of the balancer that depend on it.
 pub struct VersionApplier {
     stable_ids: StableIds,
-    /// Whether another process of this balancer grants, too.
+    /// True while another process of this balancer serves as well, so that guarantees are halved.
     has_sibling: bool,
-    /// The list, where it is the file's.
+    /// Endpoint list of the configuration; `None` if a registry provides the endpoints.
     pub lists: Option<Rc<Lists>>,
-    /// The reader of requests.
-    pub requests: Rc<RequestReader>,
-    /// The door.
+    /// Reader that holds the rules of requests.
+    pub request_reader: Rc<RequestReader>,
+    /// Admission controller that enforces guarantees of tenants.
     pub admission: Rc<AdmissionController>,
-    /// The connections.
+    /// Upstream connections, which depend on the lease.
     pub upstreams: Rc<Upstreams>,
-    /// Whether everything is refused, as operators hear.
+    /// True while the balancer rejects all requests; read by the readiness endpoint.
     pub rejects_all: Arc<AtomicBool>,
-    /// The places of the version in force, and the names that numbers have.
-    pub localities: LocalityNotifier,
-    /// Changes in stages, where there are any.
+    /// Channels to the failover agent.
+    pub locality_notifier: LocalityNotifier,
+    /// Channels to the rollout agent; `None` without a rollout agent.
     pub rollout: Option<RolloutLink>,
 }
 
-/// Whoever has a part in places hears of versions by these.
+/// Channels that pass the applied configuration to the failover agent.
 pub struct LocalityNotifier {
-    /// What places rest on.
+    /// Topology, rules and addresses; `None` without localities.
     pub config: watch::Sender<Option<Arc<Config>>>,
-    /// Names of classes, tenants and zones.
+    /// Names of classes, tenants and zones by id.
     pub names: watch::Sender<NamesById>,
 }
 
 impl LocalityNotifier {
-    /// A version is in force from now on, or a file from the start on.
+    /// Publishes the configuration that applies from now on, if it differs from the last one.
     pub fn notify(&self, proxy: &Proxy, resolved: &ResolvedRules) {
         let names = NamesById::from_rules(resolved);
         self.names.send_if_modified(|current| {
@@ -76,32 +76,32 @@
 }
 
 impl VersionApplier {
-    /// With the numbers that a process has from its start on.
+    /// Assigns the ids of the configuration that the process starts with.
     pub fn new(
         initial_proxy: &Proxy,
         lists: Option<Rc<Lists>>,
-        requests: Rc<RequestReader>,
+        request_reader: Rc<RequestReader>,
         admission: Rc<AdmissionController>,
         upstreams: Rc<Upstreams>,
         rejects_all: Arc<AtomicBool>,
-        localities: LocalityNotifier,
+        locality_notifier: LocalityNotifier,
     ) -> Self {
         let mut stable_ids = StableIds::default();
-        localities.notify(initial_proxy, &stable_ids.assign(initial_proxy));
+        locality_notifier.notify(initial_proxy, &stable_ids.assign(initial_proxy));
         Self {
             stable_ids,
             has_sibling: false,
             lists,
-            requests,
+            request_reader,
             admission,
             upstreams,
             rejects_all,
-            localities,
+            locality_notifier,
             rollout: None,
         }
     }
 
-    /// Follows what is to be acted on, as long as the process lives.
+    /// Applies each new version and stage until the sender of versions is dropped.
     pub async fn follow(
         mut self,
         mut active_version: watch::Receiver<ActiveVersion>,
@@ -112,7 +112,7 @@
     ) {
         let mut applied_key: Option<AppliedKey> = None;
         let mut staged_receiver = self.rollout.as_ref().map(|link| link.channels.staged.clone());
-        // A list that was set acts once the decisions have been told it, and only then is the step acted on.
+        // The epoch is reported as applied only after the driver has read a changed endpoint list.
         let mut list_count = driver.full_list_count();
         let mut pending_list_count: Option<u64> = None;
         loop {
@@ -124,7 +124,7 @@
             let latest_staged = staged_receiver
                 .as_mut()
                 .and_then(|staged_receiver| staged_receiver.borrow_and_update().clone());
-            // It takes the place of this very version, as long as that is acted on in full.
+            // A stage replaces the version that it is based on, and only while that version is fully enforced.
             let stage = latest_staged
                 .clone()
                 .filter(|stage| mode == EnforcementMode::Current && stage.rests_on == active.label);
@@ -139,7 +139,7 @@
             pending_list_count =
                 pending_list_count.filter(|pending| *list_count.borrow_and_update() <= *pending);
             if pending_list_count.is_none() {
-                // What is acted on careful reading is within the step, too.
+                // Conservative mode also counts as applied, since conservative rules satisfy the phase.
                 applied.send_if_modified(|current| std::mem::replace(current, active.epoch) != active.epoch);
                 self.acknowledge(latest_staged.as_deref(), stage.as_deref());
             }
@@ -153,7 +153,7 @@
                 _ = list_count.changed(), if pending_list_count.is_some() => {}
                 () = supervised::sibling_changed(sibling.as_mut()) => {
                     self.has_sibling = sibling.as_mut().is_some_and(|sibling| *sibling.borrow_and_update());
-                    tracing::info!(has_sibling = self.has_sibling, "guarantees are shared with another process, or no more");
+                    tracing::info!(two = self.has_sibling, "the number of processes that share the guarantees changed");
                     applied_key = None;
                 }
                 () = sleep_until(lease_end.unwrap_or(now)), if can_expire && lease_end.is_some() => {}
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Says on which side this balancer stands: whatever is not the new one's is as before.
+    /// Reports the side that this balancer is on. Without an applied stage it is the old side.
     fn acknowledge(&self, latest_staged: Option<&Staged>, applied_stage: Option<&Staged>) {
         let Some(link) = &self.rollout else { return };
         let side = applied_stage.map_or(Side::Old, |stage| stage.side);
@@ -172,8 +172,8 @@
             .send_if_modified(|current| std::mem::replace(current, acknowledgement) != acknowledgement);
     }
 
-    /// The decisions come first: no request may come by a class or tenant that they do not know. Whether the list is another
-    /// one, which the decisions are still to be told.
+    /// Applies a version or stage. Returns true if the endpoint list changed and the driver has yet to read it.
+    /// Settings of the driver change first: it must know every class and tenant before requests use them.
     fn apply(
         &mut self,
         active_version: &ActiveVersion,
@@ -184,7 +184,7 @@
     ) -> bool {
         let proxy = stage.map_or_else(|| active_version.rules_for(mode), |stage| &stage.rules);
         let resolved = self.stable_ids.assign(proxy);
-        self.localities.notify(proxy, &resolved);
+        self.locality_notifier.notify(proxy, &resolved);
         let guarantees: Vec<f64> = resolved.settings.tenants.iter().map(|t| t.allowance_per_s).collect();
         if let Some(link) = &self.rollout {
             link.counts.set_latency_objectives(
@@ -205,8 +205,13 @@
             Some(Side::Old) | None => active_version.label_for(mode),
         });
         let rejected_networks = proxy.clients.refused.clone();
-        self.requests.replace_rules(resolved.rules, resolved.passages, rejected_networks, label.as_deref());
-        self.requests.set_reject_all(mode == EnforcementMode::RejectAll);
+        self.request_reader.replace_rules(
+            resolved.rules,
+            resolved.passages,
+            rejected_networks,
+            label.as_deref(),
+        );
+        self.request_reader.set_reject_all(mode == EnforcementMode::RejectAll);
         self.rejects_all.store(mode == EnforcementMode::RejectAll, Ordering::Release);
         match mode {
             EnforcementMode::Current => {
@@ -214,12 +219,12 @@
             }
             EnforcementMode::Conservative => tracing::warn!(
                 version = active_version.label,
-                "no word from the other balancers: nothing is sent twice until there is"
+                "no valid lease: conservative rules, without retries and hedges, apply until there is one"
             ),
             EnforcementMode::RejectAll => {
                 tracing::warn!(
                     version = active_version.label,
-                    "no word from the other balancers: all is refused"
+                    "no valid lease: all requests are rejected until there is one"
                 )
             }
         }
