--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,7 @@
-//! The balancer as a program: the way in for HTTP/1.1, for the platform's protocol and for any application.
+//! Load balancer for HTTP/1.1, configured by the platform or by an operator's file.
 //!
-//! Every decision is the `maplehook_core` library's; who is let in is `maplehook-admission`'s; what a request is and what
-//! an answer means is `maplehook-http-semantics`'. Other programs start one beside themselves with [`Daemon`]:
+//! `maplehook_core` makes the balancing decisions, `maplehook-admission` admits clients, and
+//! `maplehook-http-semantics` interprets requests and responses. Other programs start a balancer with [`Daemon`]:
 //!
 //! ```
 //! let file = r#"
@@ -19,10 +19,12 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
+pub mod admin_target;
 mod admission;
 mod client;
 pub mod command;
 pub mod config;
+pub mod config_reload;
 mod control;
 mod counts;
 mod daemon;
@@ -30,28 +32,26 @@
 mod framing;
 #[cfg(test)]
 mod golden_tests;
+mod gossip_source;
 mod handover;
-mod hearsay;
 mod inbound;
 pub mod inherited;
 pub mod locality_command;
 pub mod places;
 pub mod places_command;
 mod rejections;
+mod request_signing;
 mod requests;
 mod responses;
-pub mod retune;
 pub mod rollout;
 pub mod rollout_command;
 pub mod serve;
 mod server;
 pub mod settings;
-mod signed;
+pub mod settings_api;
 pub mod supervise_command;
 pub mod supervised;
 pub mod tier;
 mod versions;
-pub mod whom;
-pub mod wishes;
 
 pub use daemon::Daemon;
--- a/crates/proxy/src/locality_command.rs
+++ b/crates/proxy/src/locality_command.rs
@@ -1,8 +1,8 @@
-//! The command line of rules of nearness: `maplehook locality check | fmt | explain`.
+//! Commands for locality rules: `maplehook locality check | fmt | explain`.
 
-use crate::places::PLACES;
+use crate::places::PLACES_PATH;
 use crate::settings::Outcome;
-use crate::tier::ask;
+use crate::tier::get_body;
 use maplehook_config::{Operator, Places};
 use maplehook_failover_agent::status::FailoverStatus;
 use maplehook_locality::explain::explain;
@@ -57,101 +57,101 @@
     action: LocalityAction,
 }
 
-fn read(path: &Path) -> Result<String, Box<dyn Error>> {
+fn read_file(path: &Path) -> Result<String, Box<dyn Error>> {
     Ok(std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?)
 }
 
-fn faults(of: &str, faults: &[language::Fault]) -> Outcome {
-    let lines = faults.iter().fold(String::new(), |text, fault| text + &format!("{of}: {fault}\n"));
+fn fault_outcome(file_name: &str, faults: &[language::Fault]) -> Outcome {
+    let lines = faults.iter().fold(String::new(), |text, fault| text + &format!("{file_name}: {fault}\n"));
     Outcome { text: lines, code: 3 }
 }
 
 impl Locality {
-    /// Does it.
+    /// Runs the command.
     pub fn run(&self, operator: &Operator) -> Result<Outcome, Box<dyn Error>> {
         match &self.action {
             LocalityAction::Fmt { file, write } => {
-                let before = read(file)?;
-                let text = match language::format(&before) {
+                let original = read_file(file)?;
+                let text = match language::format(&original) {
                     Ok(text) => text,
-                    Err(wrong) => return Ok(faults(&file.display().to_string(), &wrong)),
+                    Err(faults) => return Ok(fault_outcome(&file.display().to_string(), &faults)),
                 };
                 if !write {
                     return Ok(Outcome { text, code: 0 });
                 }
-                if text != before {
+                if text != original {
                     std::fs::write(file, &text).map_err(|e| format!("{}: {e}", file.display()))?;
                 }
                 Ok(Outcome { text: String::new(), code: 0 })
             }
             LocalityAction::Check { file } => {
-                let (places, proxy) = of(operator)?;
+                let (places, proxy) = locality_config(operator)?;
                 let Some(file) = file else {
-                    return Ok(Outcome { text: "the rules are good\n".into(), code: 0 });
+                    return Ok(Outcome { text: "the rules are valid\n".into(), code: 0 });
                 };
-                let tenants = tenants(&proxy.tenants);
+                let tenants = tenants_or_default(&proxy.tenants);
                 let names = Names { topology: &places.topology, classes: &proxy.classes, tenants: &tenants };
-                match language::compile(&read(file)?, &names) {
+                match language::compile(&read_file(file)?, &names) {
                     Ok(rules) => {
-                        let text = format!("the rules are good: {}\n", rules.all().len());
+                        let text = format!("the rules are valid; number of rules: {}\n", rules.all().len());
                         Ok(Outcome { text, code: 0 })
                     }
-                    Err(wrong) => Ok(faults(&file.display().to_string(), &wrong)),
+                    Err(faults) => Ok(fault_outcome(&file.display().to_string(), &faults)),
                 }
             }
             LocalityAction::Explain { class, tenant, zone, state, address } => {
-                let (places, proxy) = of(operator)?;
-                let tenants = tenants(&proxy.tenants);
-                let position = |names: &[String], name: &str, what: &str| {
-                    let found = names.iter().position(|known| known == name);
-                    found
-                        .ok_or_else(|| format!("there is no {what} {name:?}; there are {}", names.join(", ")))
+                let (places, proxy) = locality_config(operator)?;
+                let tenants = tenants_or_default(&proxy.tenants);
+                let index_of = |names: &[String], name: &str, kind: &str| {
+                    let index = names.iter().position(|known| known == name);
+                    index.ok_or_else(|| format!("unknown {kind} {name:?}; known: {}", names.join(", ")))
                 };
-                let class = position(&proxy.classes, class, "class")?;
-                let tenant = tenant.as_ref().map_or(Ok(0), |name| position(&tenants, name, "tenant"))?;
+                let class = index_of(&proxy.classes, class, "class")?;
+                let tenant = tenant.as_ref().map_or(Ok(0), |name| index_of(&tenants, name, "tenant"))?;
                 let topology = &places.topology;
                 let from = match zone {
-                    Some(name) => topology.zone(name).ok_or_else(|| format!("there is no zone {name:?}"))?,
+                    Some(name) => topology.zone(name).ok_or_else(|| format!("unknown zone {name:?}"))?,
                     None => places.own,
                 };
-                let shown: Option<FailoverStatus> = match (state, address) {
-                    (Some(path), _) => Some(serde_json::from_str(&read(path)?)?),
-                    (None, Some(address)) => Some(serde_json::from_slice(&ask(*address, PLACES)?)?),
+                let status: Option<FailoverStatus> = match (state, address) {
+                    (Some(path), _) => Some(serde_json::from_str(&read_file(path)?)?),
+                    (None, Some(address)) => Some(serde_json::from_slice(&get_body(*address, PLACES_PATH)?)?),
                     (None, None) => None,
                 };
-                // What is measured stands in what a balancer shows; what the file states stands before it.
+                // The status provides measured round-trip times; configured ones are already in the topology.
                 let mut topology = topology.clone();
-                let measured = shown.iter().flat_map(|shown| &shown.rtts).filter(|trip| !trip.stated);
-                let ways: Vec<_> = measured
+                let measured = status.iter().flat_map(|status| &status.rtts).filter(|trip| !trip.stated);
+                let measured_rtts: Vec<_> = measured
                     .filter_map(|trip| {
-                        let took = Duration::try_from_secs_f64(trip.rtt_ms / 1e3).ok()?;
-                        Some((topology.zone(&trip.a)?, topology.zone(&trip.b)?, took))
+                        let rtt = Duration::try_from_secs_f64(trip.rtt_ms / 1e3).ok()?;
+                        Some((topology.zone(&trip.a)?, topology.zone(&trip.b)?, rtt))
                     })
                     .collect();
-                topology.set_measured_rtts(ways);
+                topology.set_measured_rtts(measured_rtts);
                 let topology = &topology;
-                let seen = topology.zones().map(|zone| seen(shown.as_ref(), topology.zone_name(zone)));
+                let observations =
+                    topology.zones().map(|zone| zone_observation(status.as_ref(), topology.zone_name(zone)));
                 let names = Names { topology, classes: &proxy.classes, tenants: &tenants };
                 let explained =
-                    explain(&places.rules, &names, class, tenant, from, &seen.collect::<Vec<_>>());
+                    explain(&places.rules, &names, class, tenant, from, &observations.collect::<Vec<_>>());
                 let mut text = format!("{explained}\n");
-                if let Some(shown) = shown.filter(|shown| shown.uses_shared_plan) {
-                    let row = shown
+                if let Some(status) = status.filter(|status| status.uses_shared_plan) {
+                    let row = status
                         .plan
                         .iter()
                         .find(|row| row.rule == explained.rule.name && row.from == topology.zone_name(from));
-                    let to = row.map(|row| {
+                    let shares = row.map(|row| {
                         row.shares.iter().map(|share| format!("{} {:.1} %", share.zone, 100.0 * share.share))
                     });
                     // Writing to a string can't fail.
-                    let _ = match to {
-                        Some(to) => writeln!(
+                    let _ = match shares {
+                        Some(shares) => writeln!(
                             text,
-                            "plan {} sends it to {}",
-                            shown.epoch,
-                            to.collect::<Vec<_>>().join(", ")
+                            "plan {} forwards the request to {}",
+                            status.epoch,
+                            shares.collect::<Vec<_>>().join(", ")
                         ),
-                        None => writeln!(text, "plan {} leaves it at the first step", shown.epoch),
+                        None => writeln!(text, "plan {} keeps the request at the first step", status.epoch),
                     };
                 }
                 Ok(Outcome { text, code: 0 })
@@ -160,23 +160,23 @@
     }
 }
 
-fn of(operator: &Operator) -> Result<(&Places, &maplehook_config::Proxy), Box<dyn Error>> {
-    let proxy = operator.proxy.as_ref().ok_or("which file? maplehook --config FILE locality ...")?;
+fn locality_config(operator: &Operator) -> Result<(&Places, &maplehook_config::Proxy), Box<dyn Error>> {
+    let proxy = operator.proxy.as_ref().ok_or("no file given; use: maplehook --config FILE locality ...")?;
     let places = proxy.places.as_ref().ok_or("the file of --config has no [locality]")?;
     Ok((places, proxy))
 }
 
-fn tenants(named: &[String]) -> Vec<String> {
-    if named.is_empty() { vec![String::new()] } else { named.to_vec() }
+fn tenants_or_default(names: &[String]) -> Vec<String> {
+    if names.is_empty() { vec![String::new()] } else { names.to_vec() }
 }
 
-/// How a zone stands, by what is shown; well and empty where nothing is.
-fn seen(shown: Option<&FailoverStatus>, zone: &str) -> LocalityHealth {
-    let place = shown.and_then(|shown| shown.zones.iter().find(|place| place.zone == zone));
-    let Some(place) = place else { return LocalityHealth { load: 0.0, usable: 1.0 } };
-    let usable = match place.state.as_str() {
+/// Returns the load and health of a zone in a status. Without a status the zone counts as healthy and idle.
+fn zone_observation(status: Option<&FailoverStatus>, zone: &str) -> LocalityHealth {
+    let locality = status.and_then(|status| status.zones.iter().find(|locality| locality.zone == zone));
+    let Some(locality) = locality else { return LocalityHealth { load: 0.0, usable: 1.0 } };
+    let usable = match locality.state.as_str() {
         "lost" | "evacuated" => 0.0,
-        _ => f64::from(u8::from(place.usable > 0.0)),
+        _ => f64::from(u8::from(locality.usable > 0.0)),
     };
-    LocalityHealth { load: f64::from(place.load), usable }
+    LocalityHealth { load: f64::from(locality.load), usable }
 }
--- a/crates/proxy/src/places_command.rs
+++ b/crates/proxy/src/places_command.rs
@@ -1,9 +1,9 @@
-//! The command lines of places, addresses and rules: `maplehook places ...`, `maplehook addresses ...`, `maplehook locality ...`.
+//! Commands for localities and shared addresses: `maplehook places ...` and `maplehook addresses ...`.
 
-use crate::places::{ADDRESSES, PLACES};
+use crate::admin_target::AdminTarget;
+use crate::places::{ADDRESSES_PATH, PLACES_PATH};
 use crate::settings::Outcome;
-use crate::tier::ask;
-use crate::whom::Whom;
+use crate::tier::get_body;
 use maplehook_config::Operator;
 use maplehook_failover_agent::messages::OperatorRequest;
 use maplehook_failover_agent::status::{FailoverStatus, RowStatus};
@@ -12,8 +12,8 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Between two looks with `--watch`.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval between status requests with `--watch`.
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What to do with places.
 #[derive(clap::Subcommand)]
@@ -51,103 +51,115 @@
     },
 }
 
-fn wished(whom: &Whom, operator: &Operator, wish: &OperatorRequest) -> Result<Outcome, Box<dyn Error>> {
-    let ended = whom.wish(operator, PLACES, wish)?;
-    if ended.code != 0 || whom.json {
-        return Ok(ended);
+fn submit(
+    target: &AdminTarget,
+    operator: &Operator,
+    request: &OperatorRequest,
+) -> Result<Outcome, Box<dyn Error>> {
+    let outcome = target.send(operator, PLACES_PATH, request)?;
+    if outcome.code != 0 || target.json {
+        return Ok(outcome);
     }
-    Ok(Outcome { text: "done; it is in force within a lease\n".into(), code: 0 })
+    Ok(Outcome { text: "done; takes effect within one lease\n".into(), code: 0 })
 }
 
 /// Places.
 #[derive(clap::Args)]
 pub struct Places {
     #[command(flatten)]
-    whom: Whom,
+    target: AdminTarget,
     #[command(subcommand)]
     action: PlacesAction,
 }
 
 impl Places {
-    /// Does it. An error is the exit code 1: there was no answer.
+    /// Runs the command. Returns an error, for exit code 1, if no response was received.
     pub fn run(&self, operator: &Operator) -> Result<Outcome, Box<dyn Error>> {
-        let read = |query: &str| -> Result<String, Box<dyn Error>> {
-            let path = format!("{PLACES}{query}");
-            Ok(String::from_utf8_lossy(&ask(self.whom.address(operator)?, &path)?).into_owned())
+        let fetch = |query: &str| -> Result<String, Box<dyn Error>> {
+            let path = format!("{PLACES_PATH}{query}");
+            Ok(String::from_utf8_lossy(&get_body(self.target.address(operator)?, &path)?).into_owned())
         };
         match &self.action {
             PlacesAction::Status { watch } => loop {
-                let text = read("")?;
+                let text = fetch("")?;
                 let shown: FailoverStatus = serde_json::from_str(&text)?;
-                let text = if self.whom.json { text } else { table(&shown) };
+                let text = if self.target.json { text } else { status_table(&shown) };
                 if !watch {
-                    let serving =
+                    let is_serving =
                         |place: &maplehook_failover_agent::status::ZoneStatus| place.state == "serving";
-                    let fine = shown.uses_shared_plan && shown.zones.iter().all(serving);
-                    return Ok(Outcome { text, code: if fine { 0 } else { 2 } });
+                    let all_serving = shown.uses_shared_plan && shown.zones.iter().all(is_serving);
+                    return Ok(Outcome { text, code: if all_serving { 0 } else { 2 } });
                 }
                 print!("{text}");
-                std::thread::sleep(LOOK);
+                std::thread::sleep(WATCH_INTERVAL);
             },
             PlacesAction::History => {
-                let text = read("?history")?;
-                let past: Vec<PastPlan> = serde_json::from_str(&text)?;
-                let row = |past: &PastPlan| {
-                    let odd: Vec<String> = past
+                let text = fetch("?history")?;
+                let past_plans: Vec<PastPlan> = serde_json::from_str(&text)?;
+                let row = |past_plan: &PastPlan| {
+                    let not_serving: Vec<String> = past_plan
                         .shown
                         .zones
                         .iter()
                         .filter(|p| p.state != "serving")
                         .map(|p| format!("{} {}", p.zone, p.state))
                         .collect();
-                    let odd = if odd.is_empty() { "all serve".into() } else { odd.join(", ") };
+                    let not_serving = if not_serving.is_empty() {
+                        "all zones serve".into()
+                    } else {
+                        not_serving.join(", ")
+                    };
                     format!(
-                        "{:>8}  at {} ms  {} rows  {odd}\n",
-                        past.shown.epoch,
-                        past.at_ms,
-                        past.shown.plan.len()
+                        "{:>8}  at {} ms  {} rules  {not_serving}\n",
+                        past_plan.shown.epoch,
+                        past_plan.at_ms,
+                        past_plan.shown.plan.len()
                     )
                 };
-                let table = past.iter().map(row).collect();
-                Ok(Outcome { text: if self.whom.json { text } else { table }, code: 0 })
+                let table = past_plans.iter().map(row).collect();
+                Ok(Outcome { text: if self.target.json { text } else { table }, code: 0 })
             }
             PlacesAction::Explain { epoch } => {
-                let text = read(&format!("?explain={epoch}"))?;
-                let past: PastPlan = serde_json::from_str(&text)?;
-                let said = format!("acted on here from {} ms on\n{}", past.at_ms, table(&past.shown));
-                Ok(Outcome { text: if self.whom.json { text } else { said }, code: 0 })
+                let text = fetch(&format!("?explain={epoch}"))?;
+                let past_plan: PastPlan = serde_json::from_str(&text)?;
+                let explanation = format!(
+                    "applied by this balancer since {} ms\n{}",
+                    past_plan.at_ms,
+                    status_table(&past_plan.shown)
+                );
+                Ok(Outcome { text: if self.target.json { text } else { explanation }, code: 0 })
             }
             PlacesAction::Evacuate { place, lasts, anyway } => {
                 let for_ms = lasts.map(|seconds| seconds.saturating_mul(1000));
-                wished(
-                    &self.whom,
+                submit(
+                    &self.target,
                     operator,
                     &OperatorRequest::Evacuate { place: place.clone(), for_ms, anyway: *anyway },
                 )
             }
-            PlacesAction::Hold => wished(&self.whom, operator, &OperatorRequest::Hold),
+            PlacesAction::Hold => submit(&self.target, operator, &OperatorRequest::Hold),
             PlacesAction::Release { place } => {
-                wished(&self.whom, operator, &OperatorRequest::Release { place: place.clone() })
+                submit(&self.target, operator, &OperatorRequest::Release { place: place.clone() })
             }
         }
     }
 }
 
-fn rows(text: &mut String, rows: &[RowStatus]) {
+fn write_rows(text: &mut String, rows: &[RowStatus]) {
     for row in rows {
         let to: Vec<String> =
             row.shares.iter().map(|share| format!("{} {:.1} %", share.zone, 100.0 * share.share)).collect();
         let total: f64 = row.shares.iter().map(|share| share.share).sum();
-        let refused =
-            if total < 0.9995 { format!(", {:.1} % refused", 100.0 * (1.0 - total)) } else { String::new() };
+        let rejected =
+            if total < 0.9995 { format!(", {:.1} % rejected", 100.0 * (1.0 - total)) } else { String::new() };
         // Writing to a string can't fail.
-        let _ = writeln!(text, "  {:<20} from {:<16} to {}{refused}", row.rule, row.from, to.join(", "));
+        let _ = writeln!(text, "  {:<20} from {:<16} to {}{rejected}", row.rule, row.from, to.join(", "));
     }
 }
 
-fn table(shown: &FailoverStatus) -> String {
+fn status_table(shown: &FailoverStatus) -> String {
     let mut text = format!(
-        "plan {}, leader {}; in zone {} of region {}: acts by {}\n",
+        "plan {}, leader {}; zone {} of region {}; basis of forwarding: {}\n",
         shown.epoch,
         shown.leader.as_deref().unwrap_or("unknown"),
         shown.own_zone,
@@ -155,14 +167,15 @@
         shown.routing_reason
     );
     if let Some(why) = &shown.shared_cause {
-        let _ = writeln!(text, "nothing moves: {why}");
+        let _ = writeln!(text, "failover is suspended: {why}");
     }
     if let Some(by) = &shown.held_by {
         let _ = writeln!(text, "the plan is held by {by}");
     }
-    for (zones, by, left) in &shown.evacuated {
-        let left = left.map_or("until it is released".into(), |left| format!("{} s still", left / 1000));
-        let _ = writeln!(text, "{} taken out by {by}, {left}", zones.join(", "));
+    for (zones, by, remaining_ms) in &shown.evacuated {
+        let remaining = remaining_ms
+            .map_or("until released".into(), |remaining_ms| format!("{} s remaining", remaining_ms / 1000));
+        let _ = writeln!(text, "{} evacuated by {by}, {remaining}", zones.join(", "));
     }
     let _ = writeln!(
         text,
@@ -191,15 +204,19 @@
         }
     }
     if !shown.plan.is_empty() {
-        text += "rows that differ from the first step:\n";
-        rows(&mut text, &shown.plan);
+        text += "rules that differ from their first step:\n";
+        write_rows(&mut text, &shown.plan);
     }
     if !shown.uses_shared_plan {
-        text += "acts here on:\n";
-        rows(&mut text, &shown.active_rows);
+        text += "rules that this balancer applies:\n";
+        write_rows(&mut text, &shown.active_rows);
     }
     if !shown.members_without_failover.is_empty() {
-        let _ = writeln!(text, "programs without places: {}", shown.members_without_failover.join(", "));
+        let _ = writeln!(
+            text,
+            "members whose program has no support for localities: {}",
+            shown.members_without_failover.join(", ")
+        );
     }
     text
 }
@@ -242,52 +259,58 @@
 #[derive(clap::Args)]
 pub struct Addresses {
     #[command(flatten)]
-    whom: Whom,
+    target: AdminTarget,
     #[command(subcommand)]
     action: AddressesAction,
 }
 
 impl Addresses {
-    /// Does it. An error is the exit code 1: there was no answer.
+    /// Runs the command. Returns an error, for exit code 1, if no response was received.
     pub fn run(&self, operator: &Operator) -> Result<Outcome, Box<dyn Error>> {
         match &self.action {
             AddressesAction::Status => {
                 let text =
-                    String::from_utf8_lossy(&ask(self.whom.address(operator)?, ADDRESSES)?).into_owned();
+                    String::from_utf8_lossy(&get_body(self.target.address(operator)?, ADDRESSES_PATH)?)
+                        .into_owned();
                 let shown: Vec<AddressStatus> = serde_json::from_str(&text)?;
-                let announced =
+                let is_announced =
                     |address: &AddressStatus| address.sites.iter().any(|s| s.preference.is_some());
-                let fine = shown.iter().all(announced);
-                let text = if self.whom.json { text } else { listed(&shown) };
-                Ok(Outcome { text, code: if fine { 0 } else { 2 } })
+                let all_announced = shown.iter().all(is_announced);
+                let text = if self.target.json { text } else { address_table(&shown) };
+                Ok(Outcome { text, code: if all_announced { 0 } else { 2 } })
             }
             AddressesAction::Move { name, site, anyway } => {
                 let (name, site) = (name.clone(), site.clone());
-                wished(&self.whom, operator, &OperatorRequest::Move { name, site, anyway: *anyway })
+                submit(&self.target, operator, &OperatorRequest::Move { name, site, anyway: *anyway })
             }
             AddressesAction::Withdraw { name, site, anyway } => {
                 let (name, site) = (name.clone(), site.clone());
-                wished(&self.whom, operator, &OperatorRequest::Withdraw { name, site, anyway: *anyway })
+                submit(&self.target, operator, &OperatorRequest::Withdraw { name, site, anyway: *anyway })
             }
             AddressesAction::Restore { name, site } => {
                 let (name, site) = (name.clone(), site.clone());
-                wished(&self.whom, operator, &OperatorRequest::Restore { name, site })
+                submit(&self.target, operator, &OperatorRequest::Restore { name, site })
             }
         }
     }
 }
 
-fn listed(addresses: &[AddressStatus]) -> String {
+fn address_table(addresses: &[AddressStatus]) -> String {
     let mut text = String::new();
     for address in addresses {
         let kind = format!("{:?}", address.announce).to_lowercase();
         // Writing to a string can't fail.
-        let _ = writeln!(text, "{} ({}), by {kind}, epoch {}", address.name, address.address, address.epoch);
+        let _ = writeln!(
+            text,
+            "{} ({}), announced by {kind}, epoch {}",
+            address.name, address.address, address.epoch
+        );
         if let Some(why) = &address.all_stay {
-            let _ = writeln!(text, "  all stay: {why}");
+            let _ = writeln!(text, "  no site is withdrawn: {why}");
         }
         if let Some(next) = &address.next {
-            let _ = writeln!(text, "  handed over to {next}, once the one before can announce no more");
+            let _ =
+                writeln!(text, "  moves to {next} when the previous site can no longer announce the address");
         }
         for site in &address.sites {
             let preference =
--- a/crates/proxy/src/rollout.rs
+++ b/crates/proxy/src/rollout.rs
@@ -1,64 +1,64 @@
-//! Operators' calls on changes in stages, and those of whoever starts programs: `GET` and `POST /control/rollout`,
-//! `GET /control/rollout/own`.
+//! Endpoints for rollouts: `GET` and `POST /control/rollout` for operators, and `GET /control/rollout/own` for the
+//! supervisor.
 
-use crate::signed::Seal;
+use crate::request_signing::RequestVerifier;
 use hyper::StatusCode;
 use maplehook_rollout_agent::StatusBoard;
 use maplehook_rollout_agent::messages::{OperatorRequest, Reply};
 use serde::Serialize;
 use std::sync::Arc;
 
-/// Where changes are shown, and wishes taken.
+/// Path of the rollout's status (`GET`) and of admin requests (`POST`).
 pub const PATH: &str = "/control/rollout";
-/// Where this balancer is to be.
-pub const OWN: &str = "/control/rollout/own";
-/// The longest body of a wish: a text of settings, escaped.
-pub const BODY_MOST: usize = 512 << 10;
+/// Path of the program and side that this balancer should run.
+pub const OWN_TARGET_PATH: &str = "/control/rollout/own";
+/// Largest body of an admin request, which can hold a complete configuration as an escaped string.
+pub const MAX_BODY_BYTES: usize = 512 << 10;
 
-/// Answers these calls.
+/// Handlers of the rollout endpoints.
 #[derive(Clone)]
-pub struct Desk {
+pub struct RolloutApi {
     board: StatusBoard,
-    seal: Arc<Seal>,
+    verifier: Arc<RequestVerifier>,
 }
 
-fn json(shown: &impl Serialize) -> String {
-    // What is shown has nothing that JSON can't say.
-    serde_json::to_string(shown).unwrap_or_default() + "\n"
+fn to_json(value: &impl Serialize) -> String {
+    // The types contain no values that fail to serialize.
+    serde_json::to_string(value).unwrap_or_default() + "\n"
 }
 
-impl Desk {
-    /// Of calls under this seal.
-    pub fn new(board: StatusBoard, seal: Arc<Seal>) -> Self {
-        Self { board, seal }
+impl RolloutApi {
+    /// Creates the handlers. `verifier` checks the signatures of admin requests.
+    pub fn new(board: StatusBoard, verifier: Arc<RequestVerifier>) -> Self {
+        Self { board, verifier }
     }
 
-    /// The answer to `GET /control/rollout`, by its query.
-    pub fn show(&self, query: Option<&str>) -> (StatusCode, String) {
+    /// Returns the response to `GET /control/rollout` for a query.
+    pub fn handle_get(&self, query: Option<&str>) -> (StatusCode, String) {
         match query {
-            None | Some("") => (StatusCode::OK, json(&self.board.status())),
-            Some("history") => (StatusCode::OK, json(&self.board.history())),
+            None | Some("") => (StatusCode::OK, to_json(&self.board.status())),
+            Some("history") => (StatusCode::OK, to_json(&self.board.history())),
             Some(_) => (StatusCode::BAD_REQUEST, "?history\n".into()),
         }
     }
 
-    /// The answer to `GET /control/rollout/own`.
-    pub fn own(&self) -> (StatusCode, String) {
+    /// Returns the response to `GET /control/rollout/own`.
+    pub fn own_target(&self) -> (StatusCode, String) {
         match self.board.target() {
-            Some(own) => (StatusCode::OK, json(&own)),
+            Some(target) => (StatusCode::OK, to_json(&target)),
             None => (StatusCode::NOT_FOUND, "there was no change in stages\n".into()),
         }
     }
 
-    /// The answer to a `POST`.
-    pub async fn wish(&self, header: Option<&str>, body: &[u8]) -> (StatusCode, String) {
-        let wish: OperatorRequest = match self.seal.opened(header, body) {
-            Ok(wish) => wish,
-            Err(answer) => return answer,
+    /// Verifies and submits the admin request in a `POST`.
+    pub async fn handle_post(&self, header: Option<&str>, body: &[u8]) -> (StatusCode, String) {
+        let request: OperatorRequest = match self.verifier.verify_and_parse(header, body) {
+            Ok(request) => request,
+            Err(response) => return response,
         };
-        match self.board.request(wish).await {
+        match self.board.request(request).await {
             Reply::Done(number) => (StatusCode::OK, format!("{{\"number\":{number}}}\n")),
-            Reply::Planned(preview) => (StatusCode::OK, json(&preview)),
+            Reply::Planned(preview) => (StatusCode::OK, to_json(&preview)),
             Reply::Refused(why) => (StatusCode::CONFLICT, why + "\n"),
             Reply::Unavailable(why) => (StatusCode::SERVICE_UNAVAILABLE, why + "\n"),
         }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,19 +1,20 @@
-//! A balancer from its start to its planned end.
+//! Runs a balancer from its start to its graceful shutdown.
 
+mod components;
 mod file;
-mod parts;
 mod platform;
 
-pub use file::by_file;
-pub use platform::on_platform;
+pub use file::run_from_file;
+pub use platform::run_on_platform;
 
 use crate::client::ClientTimeouts;
 use crate::command;
-use crate::hearsay::Hearsay;
+use crate::config_reload::SharedGrace;
+use crate::gossip_source::GossipSource;
 use crate::requests::{ClientAuthentication, RequestReader};
-use crate::retune::Grace;
 use crate::server::{Server, ShutdownPhase};
-use crate::supervised::{Supervised, Tried};
+use crate::supervised::{SupervisorEnvironment, TrialOutcome};
+use components::Components;
 use hyper::header::HeaderName;
 use maplehook::ledger::Bounds;
 use maplehook::metrics::RequestMetrics;
@@ -26,7 +27,6 @@
 use maplehook_core::Settings;
 use maplehook_eureka::Registrar;
 use maplehook_http_semantics::{Forwarding, Own};
-use parts::Parts;
 use std::error::Error;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -39,50 +39,52 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::timeout;
 
-/// After SIGTERM the front goes on dealing out new connections for 0.4 s at most.
-const ACCEPT_AFTER_TERM: Duration = Duration::from_millis(600);
-/// SIGKILL may come when the longest deadline, 3 s at most, and 0.7 s more have passed; this is a bit before.
-const KILL_DEADLINE_MOST: Duration = Duration::from_secs(3);
+/// Time to accept connections after SIGTERM if the listener is not shared. The platform's front end assigns new
+/// connections for up to 0.4 s after SIGTERM.
+const UNSHARED_DRAIN_TIME: Duration = Duration::from_millis(600);
+/// Largest class deadline that a shutdown on the platform waits for. The platform sends SIGKILL 0.7 s after the
+/// longest class deadline, of which at most 3 s count; the shutdown ends 0.1 s earlier.
+const MAX_KILL_DEADLINE: Duration = Duration::from_secs(3);
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(600);
-/// Where the listening socket is shared, whoever follows accepts at once, and idle connections stay for this long: each
-/// that is used meanwhile ends with its answer, so that hardly any request meets the end of its connection.
-const IDLE_AFTER_TERM: Duration = Duration::from_millis(2000);
-/// For the answers to what is then still held.
-const LAST_WORDS: Duration = Duration::from_millis(200);
+/// Time that idle connections stay open after SIGTERM if the listener is shared. The next process accepts at
+/// once. A connection that is used in this time closes after its response, so that few requests meet a close.
+const SHARED_DRAIN_TIME: Duration = Duration::from_millis(2000);
+/// Time for the last responses after attempts are aborted.
+const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(200);
 
-/// What a balancer is made of, whoever describes it.
-struct Plan {
+/// Settings of a balancer, from the operator's file or the platform.
+struct BalancerSetup {
     listen: SocketAddr,
-    /// The socket that clients come to, where the platform holds it.
+    /// Listener that was passed by the parent process; `None` if the balancer binds its own.
     inherited: Option<std::net::TcpListener>,
-    /// How its supervisor reaches it, if it has one.
-    supervised: Option<Supervised>,
-    /// Where operators call, and how that is told in the log.
+    /// Environment from the supervisor, if one started this process.
+    supervisor: Option<SupervisorEnvironment>,
+    /// Address of the admin API, and the key under which the log names it.
     control: Option<SocketAddr>,
-    control_told: &'static str,
-    /// What the classes are called.
+    control_log_key: &'static str,
+    /// Names of the classes by id.
     classes: Vec<String>,
     settings: Settings,
     seed: u64,
     sockets: usize,
-    room: BodyMemory,
+    body_memory: BodyMemory,
     forwarding: Forwarding,
-    own: bool,
+    signs_own_responses: bool,
     client_timeouts: ClientTimeouts,
-    /// From SIGTERM until the end.
-    grace: Grace,
+    /// Longest time from SIGTERM to the end of the process.
+    grace: SharedGrace,
     operator: Operator,
-    /// The operator's file, where it is there.
-    file: Option<String>,
-    /// Who is told that it serves, inside another program.
-    told: Option<Told>,
+    /// Text of the operator's file, if it was read from a file.
+    operator_file_text: Option<String>,
+    /// Callbacks for a balancer inside another program.
+    hooks: Option<ServingHooks>,
 }
 
-/// Who is told that a balancer serves, and where, and what ends it beside SIGTERM.
-pub struct Told {
-    /// Told once.
-    pub ready: Box<dyn FnOnce(SocketAddr) + Send>,
-    /// Ends it, when it is sent or dropped.
+/// Callbacks of a program that runs a balancer on one of its threads.
+pub struct ServingHooks {
+    /// Called once with the listener's address when the balancer serves.
+    pub on_ready: Box<dyn FnOnce(SocketAddr) + Send>,
+    /// Shuts the balancer down when a message is sent or the sender is dropped.
     pub stop: oneshot::Receiver<()>,
 }
 
@@ -93,32 +95,32 @@
 }
 
 async fn serve(
-    plan: Plan,
-    parts: Parts,
-    requests: Rc<RequestReader>,
+    setup: BalancerSetup,
+    components: Components,
+    request_reader: Rc<RequestReader>,
     (source, known): (Rc<dyn Source>, EndpointUpdate),
-    begun: impl FnOnce(Rc<Driver>, Rc<RequestMetrics>),
+    on_start: impl FnOnce(Rc<Driver>, Rc<RequestMetrics>),
     registrar: Option<Registrar>,
-    rest: impl FnOnce() + Send + 'static,
+    finish: impl FnOnce() + Send + 'static,
 ) -> Result<(), Box<dyn Error>> {
-    let Parts {
-        mut term,
+    let Components {
+        mut sigterm,
         listener,
         descriptors,
         upstreams,
         admission,
         balancer,
-        board,
-        shared,
-        mut member,
-        mut led,
+        admin_state,
+        is_listener_shared,
+        mut node,
+        mut supervisor,
         ..
-    } = parts;
-    let source = match (&member, &plan.operator.tier) {
-        (Some(member), Some(tier)) => Hearsay::new(source, &known, member, tier.drains_most),
+    } = components;
+    let source = match (&node, &setup.operator.tier) {
+        (Some(node), Some(tier)) => GossipSource::new(source, &known, node, tier.drains_most),
         _ => source,
     };
-    let pushed = !plan.settings.has_endpoint_discovery;
+    let is_list_pushed = !setup.settings.has_endpoint_discovery;
     let address = listener.local_addr()?;
     tracing::info!(
         listen = %address,
@@ -127,106 +129,121 @@
         "serving"
     );
     let driver = Driver::start(balancer, upstreams, source, known);
-    if pushed {
+    if is_list_pushed {
         driver.follow_pushed_list();
     }
-    let counting = RequestMetrics::new(Arc::clone(&board.tally), &plan.classes);
-    let desk = Dispatcher::new(Rc::clone(&driver), Rc::clone(&counting), Bounds::default(), plan.seed)?;
-    begun(Rc::clone(&driver), counting);
-    let (phase, phases) = watch::channel(ShutdownPhase::Serving);
-    let words = Own { signed: plan.own };
-    let server = Server::new(desk, requests, admission, Rc::clone(&descriptors), words, phases);
-    let (ready_to, knowing) = (Arc::clone(&board.ready), Rc::clone(&driver));
+    let counting = RequestMetrics::new(Arc::clone(&admin_state.tally), &setup.classes);
+    let dispatcher =
+        Dispatcher::new(Rc::clone(&driver), Rc::clone(&counting), Bounds::default(), setup.seed)?;
+    on_start(Rc::clone(&driver), counting);
+    let (phase, phase_receiver) = watch::channel(ShutdownPhase::Serving);
+    let own = Own { signed: setup.signs_own_responses };
+    let server =
+        Server::new(dispatcher, request_reader, admission, Rc::clone(&descriptors), own, phase_receiver);
+    let (ready_flag, driver_for_ready) = (Arc::clone(&admin_state.is_ready), Rc::clone(&driver));
     let ready = spawn_local(async move {
-        knowing.wait_for_list().await;
-        ready_to.store(true, Ordering::Release);
+        driver_for_ready.wait_for_list().await;
+        ready_flag.store(true, Ordering::Release);
     });
     spawn_local(Rc::clone(&descriptors).watch_process_limit());
-    let mut accepts = None;
-    if let Some(led) = &mut led {
-        let trial = led.trial().map(|trial| spawn_local(Rc::clone(&server).run(trial)));
-        match led.tried(&mut term).await? {
-            Tried::Accepts(tell) => accepts = Some(tell),
-            Tried::Ends => return Ok(()),
+    let mut accept_acknowledgement = None;
+    if let Some(supervisor) = &mut supervisor {
+        let trial =
+            supervisor.take_trial_listener().map(|listener| spawn_local(Rc::clone(&server).run(listener)));
+        match supervisor.wait_for_trial_outcome(&mut sigterm).await? {
+            TrialOutcome::Accept(acknowledge) => accept_acknowledgement = Some(acknowledge),
+            TrialOutcome::Shutdown => return Ok(()),
         }
         trial.inspect(JoinHandle::abort);
         tracing::info!("accepting");
     }
     let mut accepting = spawn_local(server.run(listener));
-    if let Some(accepts) = accepts {
-        // It has gone if it did not wait for so long.
-        let _ = accepts.try_send(());
+    if let Some(accept_acknowledgement) = accept_acknowledgement {
+        // The supervisor's request may have timed out, in which case nobody receives this.
+        let _ = accept_acknowledgement.try_send(());
     }
 
     let registrar = registrar.map(Rc::new);
-    let kept = registrar.clone().map(|registrar| spawn_local(async move { registrar.keep().await }));
-    // Another process goes on with the registration, unless the whole balancer ends.
-    let mut ends = led.is_none();
-    match plan.told {
-        Some(Told { ready, stop }) => {
-            ready(address);
-            tokio::select! { _ = term.recv() => {} _ = stop => {} }
+    let registration_task =
+        registrar.clone().map(|registrar| spawn_local(async move { registrar.keep().await }));
+    // The next process keeps the registration alive, unless the supervisor shuts the whole balancer down.
+    let mut is_shutting_down = supervisor.is_none();
+    match setup.hooks {
+        Some(ServingHooks { on_ready, stop }) => {
+            on_ready(address);
+            tokio::select! { _ = sigterm.recv() => {} _ = stop => {} }
         }
-        None => match &mut led {
-            Some(led) => tokio::select! { _ = term.recv() => {} () = led.ends() => ends = true },
-            None => drop(term.recv().await),
+        None => match &mut supervisor {
+            Some(supervisor) => {
+                tokio::select! { _ = sigterm.recv() => {} () = supervisor.wait_for_shutdown() => is_shutting_down = true }
+            }
+            None => drop(sigterm.recv().await),
         },
     }
     tracing::info!("leaving");
-    // Whoever ends this process goes by the settings of this moment, whatever SIGHUP brings from here on.
-    let grace = plan.grace.get();
-    if let (Some(registrar), Some(kept)) = (registrar.filter(|_| ends), &kept) {
-        // Whoever reads the registry sends nothing new from here on. Nothing else waits for it.
-        kept.abort();
+    // The shutdown uses the present grace time, even if SIGHUP changes the settings later.
+    let grace = setup.grace.get();
+    if let (Some(registrar), Some(registration_task)) =
+        (registrar.filter(|_| is_shutting_down), &registration_task)
+    {
+        // Clients of the registry stop sending requests after the deregistration. The shutdown does not wait for it.
+        registration_task.abort();
         spawn_local(async move {
             if !registrar.deregister().await {
-                tracing::warn!("the registry did not take the deregistration; the lease ends by itself");
+                tracing::warn!(
+                    "deregistration failed; the registry removes the instance when its lease expires"
+                );
             }
         });
     }
-    kept.inspect(JoinHandle::abort);
-    let mut rest = Some(rest);
-    if led.take().is_some() {
-        // What the next process waits for; the threads' last steps may take a disk's time.
-        let (first, member) = (rest.take(), member.take());
+    registration_task.inspect(JoinHandle::abort);
+    let mut finish = Some(finish);
+    if supervisor.take().is_some() {
+        // The next process waits for these resources. Closing them can block on the disk, so a thread does it.
+        let (first_finish, node) = (finish.take(), node.take());
         std::thread::spawn(move || {
-            if let Some(first) = first {
-                first();
+            if let Some(first_finish) = first_finish {
+                first_finish();
             }
-            drop(member);
-            if let Some(rest) = rest {
-                rest();
+            drop(node);
+            if let Some(finish) = finish {
+                finish();
             }
         });
     }
     ready.abort();
-    board.ready.store(false, Ordering::Release);
-    let until_idle_end = if shared { IDLE_AFTER_TERM } else { ACCEPT_AFTER_TERM };
-    phase.send_replace(if shared { ShutdownPhase::Draining } else { ShutdownPhase::NotReady });
-    if timeout(until_idle_end, &mut accepting).await.is_err() {
+    admin_state.is_ready.store(false, Ordering::Release);
+    let drain_time = if is_listener_shared { SHARED_DRAIN_TIME } else { UNSHARED_DRAIN_TIME };
+    phase.send_replace(if is_listener_shared { ShutdownPhase::Draining } else { ShutdownPhase::NotReady });
+    if timeout(drain_time, &mut accepting).await.is_err() {
         phase.send_replace(ShutdownPhase::Closing);
-        let rest = grace.saturating_sub(until_idle_end + LAST_WORDS);
-        if timeout(rest, &mut accepting).await.is_err() {
+        let remaining = grace.saturating_sub(drain_time + FINAL_RESPONSE_TIME);
+        if timeout(remaining, &mut accepting).await.is_err() {
             phase.send_replace(ShutdownPhase::Stopped);
             driver.abort_attempts();
-            let _ = timeout(LAST_WORDS, &mut accepting).await;
+            let _ = timeout(FINAL_RESPONSE_TIME, &mut accepting).await;
         }
     }
-    drop(member);
+    drop(node);
     tracing::info!("gone");
     Ok(())
 }
 
-/// By what clients show that they are known; a tenant that there is not is a slip worth a word.
+/// Returns the settings by which clients authenticate.
+///
+/// # Errors
+///
+/// If `admission.known_tenants` names an unknown tenant, or the secret of the token can't be read.
 fn client_authentication(
     operator: &Operator,
     tenants: &[String],
 ) -> Result<ClientAuthentication, Box<dyn Error>> {
     if let Some(name) = operator.known_tenants.iter().find(|name| !tenants.contains(name)) {
-        return Err(format!("admission.known_tenants: there is no tenant {name:?}").into());
+        return Err(format!("admission.known_tenants: unknown tenant {name:?}").into());
     }
     let token = operator.token.as_ref().map(|token| {
-        let signer = command::signer(&token.secret_file).map_err(|e| format!("token.secret_file: {e}"))?;
+        let signer =
+            command::token_signer(&token.secret_file).map_err(|e| format!("token.secret_file: {e}"))?;
         Ok::<_, Box<dyn Error>>((HeaderName::try_from(&token.header)?, signer))
     });
     Ok(ClientAuthentication { trusted_tenants: operator.known_tenants.clone(), token: token.transpose()? })
--- a/crates/proxy/src/supervised.rs
+++ b/crates/proxy/src/supervised.rs
@@ -1,7 +1,8 @@
-//! A balancer that a supervisor has started: it is tried on an address of its own and accepts clients once it is told to.
+//! Process of a balancer that was started by a supervisor. It is tested on a private address and accepts clients
+//! only on the supervisor's command.
 //!
-//! What another process of the same balancer may still hold - the operators' address, the tier's port and directory - it takes
-//! when that has let go, and lets go of first of all when it ends.
+//! Another process of the same balancer can still hold the admin address, the tier's port and the tier's directory.
+//! This process acquires them after their release, and releases them first when it ends.
 
 use crate::control;
 use maplehook::parts::driver::Driver;
@@ -17,95 +18,107 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Descriptors beside those of a balancer on its own: a second operators' address, and the way to the supervisor.
+/// Additional descriptors under a supervisor: a second admin listener and the control socket.
 pub const DESCRIPTORS: usize = control::DESCRIPTORS + control_socket::DESCRIPTORS;
-/// Words that may wait.
-const WORDS: usize = 16;
+/// Commands of the supervisor that can be queued.
+const MAX_QUEUED_COMMANDS: usize = 16;
 
-/// How a supervisor reaches this process.
+/// Environment of a process that was started by a supervisor.
 #[derive(Debug)]
-pub struct Supervised {
+pub struct SupervisorEnvironment {
     path: PathBuf,
     digest: String,
 }
 
-impl Supervised {
-    /// By the environment; `None` without a supervisor.
+impl SupervisorEnvironment {
+    /// Reads the environment variables of the supervisor. Returns `None` without a supervisor.
     pub fn from_env() -> Option<Self> {
         let path = std::env::var_os(control_socket::SOCKET_VARIABLE)?.into();
         let digest = std::env::var(control_socket::DIGEST_VARIABLE).unwrap_or_default();
         Some(Self { path, digest })
     }
 
-    /// Lets the supervisor come. `operators`: where it may always ask.
-    pub fn begin(
+    /// Opens the control socket. `operators` is the private admin address, which the supervisor can always reach.
+    pub fn open_control_socket(
         self,
         listener: std::net::TcpListener,
         operators: SocketAddr,
         release: oneshot::Sender<()>,
-    ) -> io::Result<Led> {
-        let trial = std::net::TcpListener::bind("127.0.0.1:0")?;
-        trial.set_nonblocking(true)?;
-        let shown =
-            ProcessInfo { digest: self.digest, operators, trial: trial.local_addr()?, accepts: false };
-        let (tell, words) = mpsc::channel(WORDS);
-        let (beside_to, beside) = watch::channel(false);
-        control_socket::serve(&self.path, listener, shown, move |word| match word {
-            SupervisorCommand::SiblingAccepts(two) => drop(beside_to.send_replace(two)),
-            // A supervisor that floods is told nothing.
-            word => drop(tell.try_send(word)),
+    ) -> io::Result<SupervisorChannel> {
+        let trial_listener = std::net::TcpListener::bind("127.0.0.1:0")?;
+        trial_listener.set_nonblocking(true)?;
+        let process_info = ProcessInfo {
+            digest: self.digest,
+            operators,
+            trial: trial_listener.local_addr()?,
+            accepts: false,
+        };
+        let (command_sender, commands) = mpsc::channel(MAX_QUEUED_COMMANDS);
+        let (sibling_sender, sibling) = watch::channel(false);
+        control_socket::serve(&self.path, listener, process_info, move |command| match command {
+            SupervisorCommand::SiblingAccepts(has_sibling) => drop(sibling_sender.send_replace(has_sibling)),
+            // Commands beyond the queue's capacity are dropped.
+            command => drop(command_sender.try_send(command)),
         })?;
-        Ok(Led { trial: Some(TcpListener::from_std(trial)?), words, beside, _release: release })
+        Ok(SupervisorChannel {
+            trial_listener: Some(TcpListener::from_std(trial_listener)?),
+            commands,
+            sibling,
+            _release: release,
+        })
     }
 }
 
-/// The way from the supervisor.
-pub struct Led {
-    trial: Option<TcpListener>,
-    words: mpsc::Receiver<SupervisorCommand>,
-    beside: watch::Receiver<bool>,
-    /// Lets go of the operators' address when it is dropped.
+/// Commands of the supervisor, and the listener for its trial requests.
+pub struct SupervisorChannel {
+    trial_listener: Option<TcpListener>,
+    commands: mpsc::Receiver<SupervisorCommand>,
+    sibling: watch::Receiver<bool>,
+    /// Releases the shared admin address when it is dropped.
     _release: oneshot::Sender<()>,
 }
 
-/// What became of a trial.
-pub enum Tried {
-    /// It may accept, and says so there.
-    Accepts(SyncSender<()>),
-    /// It is to end.
-    Ends,
+/// Command that ends a trial.
+pub enum TrialOutcome {
+    /// Accept clients, then acknowledge the command by this sender.
+    Accept(SyncSender<()>),
+    /// End the process.
+    Shutdown,
 }
 
-impl Led {
-    /// Where it is tried; once.
-    pub fn trial(&mut self) -> Option<TcpListener> {
-        self.trial.take()
+impl SupervisorChannel {
+    /// Returns the listener for trial requests, at the first call only.
+    pub fn take_trial_listener(&mut self) -> Option<TcpListener> {
+        self.trial_listener.take()
     }
 
-    /// Whether another process of this balancer accepts, too.
-    pub fn beside(&self) -> watch::Receiver<bool> {
-        self.beside.clone()
+    /// Returns a receiver that holds whether another process of this balancer accepts clients.
+    pub fn watch_sibling(&self) -> watch::Receiver<bool> {
+        self.sibling.clone()
     }
 
-    /// Waits until it may accept.
-    pub async fn tried(&mut self, term: &mut Signal) -> Result<Tried, Box<dyn Error>> {
+    /// Waits for the command that ends the trial. SIGTERM counts as a shutdown command.
+    pub async fn wait_for_trial_outcome(
+        &mut self,
+        term: &mut Signal,
+    ) -> Result<TrialOutcome, Box<dyn Error>> {
         tokio::select! {
-            _ = term.recv() => Ok(Tried::Ends),
-            word = self.words.recv() => match word {
-                Some(SupervisorCommand::Accept(tell)) => Ok(Tried::Accepts(tell)),
-                Some(SupervisorCommand::Shutdown) => Ok(Tried::Ends),
-                _ => Err("the supervisor is gone, and has not told this process to accept".into()),
+            _ = term.recv() => Ok(TrialOutcome::Shutdown),
+            command = self.commands.recv() => match command {
+                Some(SupervisorCommand::Accept(acknowledge)) => Ok(TrialOutcome::Accept(acknowledge)),
+                Some(SupervisorCommand::Shutdown) => Ok(TrialOutcome::Shutdown),
+                _ => Err("the supervisor closed its connection before it sent the command to accept".into()),
             }
         }
     }
 
-    /// Waits until the whole balancer is to end.
-    pub async fn ends(&mut self) {
+    /// Waits for the command to shut down the whole balancer, as opposed to this process only.
+    pub async fn wait_for_shutdown(&mut self) {
         loop {
-            match self.words.recv().await {
+            match self.commands.recv().await {
                 Some(SupervisorCommand::Shutdown) => return,
-                // A supervisor that was killed just now may not have heard the answer.
-                Some(SupervisorCommand::Accept(tell)) => drop(tell.try_send(())),
+                // A restarted supervisor repeats the command if it was killed before it received the acknowledgement.
+                Some(SupervisorCommand::Accept(acknowledge)) => drop(acknowledge.try_send(())),
                 Some(_) => {}
                 None => std::future::pending().await,
             }
@@ -113,28 +126,29 @@
     }
 }
 
-/// The settings of one of `beside` two processes of a balancer: together they grant what one does.
-pub fn halved(settings: Settings, beside: bool) -> Settings {
-    let balancers = settings.balancers.saturating_mul(1 + u32::from(beside));
+/// Doubles the number of balancers that share the guarantees if `has_sibling` is true: two processes of one
+/// balancer together grant what one process grants.
+pub fn share_with_sibling(settings: Settings, has_sibling: bool) -> Settings {
+    let balancers = settings.balancers.saturating_mul(1 + u32::from(has_sibling));
     Settings { balancers, ..settings }
 }
 
-/// Waits until another process comes or goes; for good, where none can.
-pub async fn changes(beside: Option<&mut watch::Receiver<bool>>) {
-    if let Some(beside) = beside
-        && beside.changed().await.is_ok()
+/// Waits until a sibling process starts or stops to accept. Never returns without a supervisor.
+pub async fn sibling_changed(sibling: Option<&mut watch::Receiver<bool>>) {
+    if let Some(sibling) = sibling
+        && sibling.changed().await.is_ok()
     {
         return;
     }
     std::future::pending().await
 }
 
-/// Retunes the decisions of a balancer whose settings stay, as another process comes or goes.
-pub async fn follow(settings: Settings, mut beside: watch::Receiver<bool>, driver: Rc<Driver>) {
-    while beside.changed().await.is_ok() {
-        let two = *beside.borrow_and_update();
-        tracing::info!(two, "guarantees are shared with another process, or no more");
-        driver.update_settings(halved(settings.clone(), two), Vec::new());
+/// Updates the driver whenever a sibling process starts or stops to accept.
+pub async fn follow_sibling(settings: Settings, mut sibling: watch::Receiver<bool>, driver: Rc<Driver>) {
+    while sibling.changed().await.is_ok() {
+        let has_sibling = *sibling.borrow_and_update();
+        tracing::info!(two = has_sibling, "the number of processes that share the guarantees changed");
+        driver.update_settings(share_with_sibling(settings.clone(), has_sibling), Vec::new());
     }
 }
 
@@ -143,9 +157,9 @@
     use super::*;
 
     #[test]
-    fn two_processes_grant_what_one_does() {
+    fn two_processes_together_grant_what_one_grants() {
         let settings = Settings { balancers: 3, ..Settings::default() };
-        assert_eq!(halved(settings.clone(), true).balancers, 6);
-        assert_eq!(halved(settings, false).balancers, 3);
+        assert_eq!(share_with_sibling(settings.clone(), true).balancers, 6);
+        assert_eq!(share_with_sibling(settings, false).balancers, 3);
     }
 }
--- a/crates/proxy/src/versions.rs
+++ b/crates/proxy/src/versions.rs
@@ -1,7 +1,7 @@
-//! The version in force, on the thread that serves: new rules take the place of the old ones while requests go on.
+//! Application of configuration versions on the serving thread, without interrupting requests.
 //!
-//! A class, a tenant and a zone have one number for the life of the process, so that a request under way means the same before
-//! and after. Learned state, tokens and connections stay.
+//! A class, tenant or zone keeps its id for the life of the process, so that an id in a request in flight means
+//! the same before and after a change. Learned state, token buckets and connections survive a change.
 
 use crate::admission::AdmissionController;
 use crate::counts::RolloutLink;
@@ -25,192 +25,219 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// What is acted on: the epoch, how it is read, and the change and side of a stage.
-type Present = (u64, EnforcementMode, Option<(u64, Side)>);
+/// Configuration that is applied: epoch, enforcement mode, and the rollout's number and side.
+type AppliedKey = (u64, EnforcementMode, Option<(u64, Side)>);
 
-/// Whom a version concerns.
-pub struct Versions {
-    numbers: StableIds,
-    /// Whether another process of this balancer grants, too.
-    two: bool,
-    /// The list, where it is the file's.
+/// Applies each version to the parts of the balancer that depend on it.
+pub struct VersionApplier {
+    stable_ids: StableIds,
+    /// True while another process of this balancer serves as well, so that guarantees are halved.
+    has_sibling: bool,
+    /// Endpoint list of the configuration; `None` if a registry provides the endpoints.
     pub lists: Option<Rc<EndpointList>>,
-    /// The reader of requests.
-    pub requests: Rc<RequestReader>,
-    /// The door.
+    /// Reader that holds the rules of requests.
+    pub request_reader: Rc<RequestReader>,
+    /// Admission controller that enforces guarantees of tenants.
     pub admission: Rc<AdmissionController>,
-    /// The connections.
+    /// Upstream connections, which depend on the lease.
     pub upstreams: Rc<Upstreams>,
-    /// Whether everything is refused, as operators hear.
-    pub refuses: Arc<AtomicBool>,
-    /// The places of the version in force, and the names that numbers have.
-    pub places: PlacesOf,
-    /// Changes in stages, where there are any.
-    pub stages: Option<RolloutLink>,
+    /// True while the balancer rejects all requests; read by the readiness endpoint.
+    pub rejects_all: Arc<AtomicBool>,
+    /// Channels to the failover agent.
+    pub locality_notifier: LocalityNotifier,
+    /// Channels to the rollout agent; `None` without a rollout agent.
+    pub rollout: Option<RolloutLink>,
 }
 
-/// Whoever has a part in places hears of versions by these.
-pub struct PlacesOf {
-    /// What places rest on.
+/// Channels that pass the applied configuration to the failover agent.
+pub struct LocalityNotifier {
+    /// Topology, rules and addresses; `None` without localities.
     pub config: watch::Sender<Option<Arc<Config>>>,
-    /// Names of classes, tenants and zones.
+    /// Names of classes, tenants and zones by id.
     pub names: watch::Sender<NamesById>,
 }
 
-impl PlacesOf {
-    /// A version is in force from now on, or a file from the start on.
-    pub fn tell(&self, proxy: &Proxy, numbered: &ResolvedRules) {
-        let names = NamesById::from_rules(numbered);
-        self.names.send_if_modified(|before| {
-            let news = *before != names;
-            *before = names;
-            news
+impl LocalityNotifier {
+    /// Publishes the configuration that applies from now on, if it differs from the last one.
+    pub fn notify(&self, proxy: &Proxy, resolved: &ResolvedRules) {
+        let names = NamesById::from_rules(resolved);
+        self.names.send_if_modified(|current| {
+            let is_changed = *current != names;
+            *current = names;
+            is_changed
         });
         let config = Config::from_proxy(proxy).map(Arc::new);
-        self.config.send_if_modified(|before| {
-            let news = *before != config;
-            *before = config;
-            news
+        self.config.send_if_modified(|current| {
+            let is_changed = *current != config;
+            *current = config;
+            is_changed
         });
     }
 }
 
-impl Versions {
-    /// With the numbers that a process has from its start on.
+impl VersionApplier {
+    /// Assigns the ids of the configuration that the process starts with.
     pub fn new(
-        began_with: &Proxy,
+        initial_proxy: &Proxy,
         lists: Option<Rc<EndpointList>>,
-        requests: Rc<RequestReader>,
+        request_reader: Rc<RequestReader>,
         admission: Rc<AdmissionController>,
         upstreams: Rc<Upstreams>,
-        refuses: Arc<AtomicBool>,
-        places: PlacesOf,
+        rejects_all: Arc<AtomicBool>,
+        locality_notifier: LocalityNotifier,
     ) -> Self {
-        let mut numbers = StableIds::default();
-        places.tell(began_with, &numbers.assign(began_with));
-        Self { numbers, two: false, lists, requests, admission, upstreams, refuses, places, stages: None }
+        let mut stable_ids = StableIds::default();
+        locality_notifier.notify(initial_proxy, &stable_ids.assign(initial_proxy));
+        Self {
+            stable_ids,
+            has_sibling: false,
+            lists,
+            request_reader,
+            admission,
+            upstreams,
+            rejects_all,
+            locality_notifier,
+            rollout: None,
+        }
     }
 
-    /// Follows what is to be acted on, as long as the process lives.
+    /// Applies each new version and stage until the sender of versions is dropped.
     pub async fn follow(
         mut self,
-        mut acting: watch::Receiver<ActiveVersion>,
+        mut active_version: watch::Receiver<ActiveVersion>,
         applied: watch::Sender<u64>,
         driver: Rc<Driver>,
         counting: Rc<RequestMetrics>,
-        mut beside: Option<watch::Receiver<bool>>,
+        mut sibling: Option<watch::Receiver<bool>>,
     ) {
-        let mut present: Option<Present> = None;
-        let mut staged = self.stages.as_ref().map(|part| part.channels.staged.clone());
-        // A list that was set acts once the decisions have been told it, and only then is the step acted on.
-        let mut told = driver.full_list_count();
-        let mut waits: Option<u64> = None;
+        let mut applied_key: Option<AppliedKey> = None;
+        let mut staged_receiver = self.rollout.as_ref().map(|link| link.channels.staged.clone());
+        // The epoch is reported as applied only after the driver has read a changed endpoint list.
+        let mut list_count = driver.full_list_count();
+        let mut pending_list_count: Option<u64> = None;
         loop {
             let now = Instant::now();
-            let wanted = acting.borrow_and_update().clone();
-            let until = wanted.lease_end.map(Instant::from_std);
-            let mode = wanted.mode(now.into_std());
-            let holds = mode == EnforcementMode::Current;
-            let told_staged = staged.as_mut().and_then(|staged| staged.borrow_and_update().clone());
-            // It takes the place of this very version, as long as that is acted on in full.
-            let stage = told_staged
+            let active = active_version.borrow_and_update().clone();
+            let lease_end = active.lease_end.map(Instant::from_std);
+            let mode = active.mode(now.into_std());
+            let can_expire = mode == EnforcementMode::Current;
+            let latest_staged = staged_receiver
+                .as_mut()
+                .and_then(|staged_receiver| staged_receiver.borrow_and_update().clone());
+            // A stage replaces the version that it is based on, and only while that version is fully enforced.
+            let stage = latest_staged
                 .clone()
-                .filter(|stage| mode == EnforcementMode::Current && stage.base_version == wanted.label);
-            let key = (wanted.epoch, mode, stage.as_ref().map(|stage| (stage.number, stage.side)));
-            self.upstreams.set_lease(maplehook_config_follower::engine_lease(&wanted, mode, now.into_std()));
-            if present.replace(key) != Some(key) {
-                let before = *told.borrow_and_update();
-                if self.apply(&wanted, mode, stage.as_deref(), &driver, &counting) {
-                    waits = Some(before);
+                .filter(|stage| mode == EnforcementMode::Current && stage.base_version == active.label);
+            let key = (active.epoch, mode, stage.as_ref().map(|stage| (stage.number, stage.side)));
+            self.upstreams.set_lease(maplehook_config_follower::engine_lease(&active, mode, now.into_std()));
+            if applied_key.replace(key) != Some(key) {
+                let current = *list_count.borrow_and_update();
+                if self.apply(&active, mode, stage.as_deref(), &driver, &counting) {
+                    pending_list_count = Some(current);
                 }
             }
-            waits = waits.filter(|before| *told.borrow_and_update() <= *before);
-            if waits.is_none() {
-                // What is acted on careful reading is within the step, too.
-                applied.send_if_modified(|before| std::mem::replace(before, wanted.epoch) != wanted.epoch);
-                self.ack(told_staged.as_deref(), stage.as_deref());
+            pending_list_count =
+                pending_list_count.filter(|pending| *list_count.borrow_and_update() <= *pending);
+            if pending_list_count.is_none() {
+                // Conservative mode also counts as applied, since conservative rules satisfy the phase.
+                applied.send_if_modified(|current| std::mem::replace(current, active.epoch) != active.epoch);
+                self.acknowledge(latest_staged.as_deref(), stage.as_deref());
             }
             tokio::select! {
-                changed = acting.changed() => {
+                changed = active_version.changed() => {
                     if changed.is_err() {
                         return;
                     }
                 }
-                () = changed(&mut staged) => {}
-                _ = told.changed(), if waits.is_some() => {}
-                () = supervised::changes(beside.as_mut()) => {
-                    self.two = beside.as_mut().is_some_and(|beside| *beside.borrow_and_update());
-                    tracing::info!(two = self.two, "guarantees are shared with another process, or no more");
-                    present = None;
+                () = staged_changed(&mut staged_receiver) => {}
+                _ = list_count.changed(), if pending_list_count.is_some() => {}
+                () = supervised::sibling_changed(sibling.as_mut()) => {
+                    self.has_sibling = sibling.as_mut().is_some_and(|sibling| *sibling.borrow_and_update());
+                    tracing::info!(two = self.has_sibling, "the number of processes that share the guarantees changed");
+                    applied_key = None;
                 }
-                () = sleep_until(until.unwrap_or(now)), if holds && until.is_some() => {}
+                () = sleep_until(lease_end.unwrap_or(now)), if can_expire && lease_end.is_some() => {}
             }
         }
     }
 
-    /// Says on which side this balancer stands: whatever is not the new one's is as before.
-    fn ack(&self, told: Option<&StagedSettings>, acts: Option<&StagedSettings>) {
-        let Some(part) = &self.stages else { return };
-        let side = acts.map_or(Side::Old, |stage| stage.side);
-        let acked = told.map(|stage| AppliedSide { number: stage.number, step: stage.step, side });
-        part.channels.applied.send_if_modified(|before| std::mem::replace(before, acked) != acked);
+    /// Reports the side that this balancer is on. Without an applied stage it is the old side.
+    fn acknowledge(&self, latest_staged: Option<&StagedSettings>, applied_stage: Option<&StagedSettings>) {
+        let Some(link) = &self.rollout else { return };
+        let side = applied_stage.map_or(Side::Old, |stage| stage.side);
+        let acknowledgement =
+            latest_staged.map(|stage| AppliedSide { number: stage.number, step: stage.step, side });
+        link.channels
+            .applied
+            .send_if_modified(|current| std::mem::replace(current, acknowledgement) != acknowledgement);
     }
 
-    /// The decisions come first: no request may come by a class or tenant that they do not know. Whether the list is another
-    /// one, which the decisions are still to be told.
+    /// Applies a version or stage. Returns true if the endpoint list changed and the driver has yet to read it.
+    /// Settings of the driver change first: it must know every class and tenant before requests use them.
     fn apply(
         &mut self,
-        acting: &ActiveVersion,
+        active_version: &ActiveVersion,
         mode: EnforcementMode,
         stage: Option<&StagedSettings>,
         driver: &Rc<Driver>,
         counting: &RequestMetrics,
     ) -> bool {
-        let proxy = stage.map_or_else(|| acting.rules_for(mode), |stage| &stage.rules);
-        let numbered = self.numbers.assign(proxy);
-        self.places.tell(proxy, &numbered);
-        let guarantees: Vec<f64> = numbered.settings.tenants.iter().map(|t| t.allowance_per_s).collect();
-        if let Some(part) = &self.stages {
-            part.counts.set_latency_objectives(
-                numbered.settings.classes.iter().map(|class| class.latency_objective).collect(),
+        let proxy = stage.map_or_else(|| active_version.rules_for(mode), |stage| &stage.rules);
+        let resolved = self.stable_ids.assign(proxy);
+        self.locality_notifier.notify(proxy, &resolved);
+        let guarantees: Vec<f64> = resolved.settings.tenants.iter().map(|t| t.allowance_per_s).collect();
+        if let Some(link) = &self.rollout {
+            link.counts.set_latency_objectives(
+                resolved.settings.classes.iter().map(|class| class.latency_objective).collect(),
             );
         }
-        let entries = Fixed::listed(proxy.listed(|zone| numbered.zone_id(zone))).into_entries();
-        driver.update_settings(supervised::halved(numbered.settings, self.two), numbered.removed_tenants);
-        counting.set_classes(&numbered.class_names);
+        let entries = Fixed::listed(proxy.listed(|zone| resolved.zone_id(zone))).into_entries();
+        driver.update_settings(
+            supervised::share_with_sibling(resolved.settings, self.has_sibling),
+            resolved.removed_tenants,
+        );
+        counting.set_classes(&resolved.class_names);
         self.admission.set_tenant_guarantees(&guarantees);
         self.admission.set_known_networks(proxy.clients.known.clone());
-        let listed = self.lists.as_ref().is_some_and(|lists| lists.set(entries));
+        let list_changed = self.lists.as_ref().is_some_and(|lists| lists.set(entries));
         let label = proxy.version.then(|| match stage.map(|stage| stage.side) {
-            Some(Side::New) => acting.label_for(mode) + ";new",
-            Some(Side::Old) | None => acting.label_for(mode),
+            Some(Side::New) => active_version.label_for(mode) + ";new",
+            Some(Side::Old) | None => active_version.label_for(mode),
         });
-        let refused = proxy.clients.refused.clone();
-        self.requests.replace_rules(numbered.rules, numbered.passages, refused, label.as_deref());
-        self.requests.set_reject_all(mode == EnforcementMode::RejectAll);
-        self.refuses.store(mode == EnforcementMode::RejectAll, Ordering::Release);
+        let rejected_networks = proxy.clients.refused.clone();
+        self.request_reader.replace_rules(
+            resolved.rules,
+            resolved.passages,
+            rejected_networks,
+            label.as_deref(),
+        );
+        self.request_reader.set_reject_all(mode == EnforcementMode::RejectAll);
+        self.rejects_all.store(mode == EnforcementMode::RejectAll, Ordering::Release);
         match mode {
             EnforcementMode::Current => {
-                tracing::info!(version = acting.label, stage = ?stage.map(|stage| (stage.number, stage.side)), "in force here");
+                tracing::info!(version = active_version.label, stage = ?stage.map(|stage| (stage.number, stage.side)), "in force here");
             }
             EnforcementMode::Conservative => tracing::warn!(
-                version = acting.label,
-                "no word from the other balancers: nothing is sent twice until there is"
+                version = active_version.label,
+                "no valid lease: conservative rules, without retries and hedges, apply until there is one"
             ),
             EnforcementMode::RejectAll => {
-                tracing::warn!(version = acting.label, "no word from the other balancers: all is refused")
+                tracing::warn!(
+                    version = active_version.label,
+                    "no valid lease: all requests are rejected until there is one"
+                )
             }
         }
-        listed
+        list_changed
     }
 }
 
-async fn changed(staged: &mut Option<watch::Receiver<Option<Arc<StagedSettings>>>>) {
-    let told = match staged {
+async fn staged_changed(staged: &mut Option<watch::Receiver<Option<Arc<StagedSettings>>>>) {
+    let is_open = match staged {
         Some(staged) => staged.changed().await.is_ok(),
         None => false,
     };
-    if !told {
+    if !is_open {
         std::future::pending().await
     }
 }
