--- a/crates/endpoints/src/fleet.rs
+++ b/crates/endpoints/src/fleet.rs
@@ -121,7 +121,6 @@
     bounds: Bounds,
     sources: Vec<Source>,
     now: Duration,
-    /// Number of updates ignored because [`Bounds::max_instances`] was reached.
     overflow: usize,
 }
 
@@ -147,11 +146,10 @@
         self.overflow
     }
 
-    /// Applies a complete list of a source. Up instances that the list lacks are held if the list is empty or
-    /// too many of them are missing.
+    /// Applies a complete list of a source. Holds the missing up instances if the list lacks too many.
     pub fn apply_list(&mut self, now: Duration, origin: Origin, list: Vec<Instance>) {
         self.record_update(now, origin);
-        let listed_keys: FxHashSet<String> = list.iter().map(|instance| instance.key.clone()).collect();
+        let keys: FxHashSet<String> = list.iter().map(|instance| instance.key.clone()).collect();
         for instance in list {
             self.update_instance(origin, instance);
         }
@@ -161,14 +159,12 @@
         let missing = source
             .records
             .values()
-            .filter(|r| {
-                r.instance.status.is_up() && (r.missing.is_some() || !listed_keys.contains(&r.instance.key))
-            })
+            .filter(|r| r.instance.status.is_up() && (r.missing.is_some() || !keys.contains(&r.instance.key)))
             .count();
-        // A single missing instance is never too many, even if it is half of the fleet.
-        let too_many = listed_keys.is_empty()
-            || (missing as f64 > bounds.max_missing_share * up_count as f64 && missing > 1);
-        for record in source.records.values_mut().filter(|r| !listed_keys.contains(&r.instance.key)) {
+        // One missing instance is never too many, even of two. An empty list always lacks too many.
+        let too_many =
+            keys.is_empty() || (missing as f64 > bounds.max_missing_share * up_count as f64 && missing > 1);
+        for record in source.records.values_mut().filter(|r| !keys.contains(&r.instance.key)) {
             let up = record.instance.status.is_up();
             let missing = record.missing.get_or_insert(Missing {
                 since: now,
@@ -255,8 +251,7 @@
         records.filter_map(|record| record.missing.as_mut())
     }
 
-    /// Advances the time and expires holds. A `now` before the last one is ignored. After a failed query of a
-    /// source, call only this method.
+    /// Advances the time, never backwards, and ends holds. After a failed query, call only this method.
     pub fn advance(&mut self, now: Duration) {
         self.now = self.now.max(now);
         for source in 0..self.sources.len() {
@@ -319,9 +314,8 @@
             // An instance that is not held is removed once `confirming_lists` lists in a row lack it.
             missing.is_held || missing.lists < bounds.confirming_lists
         });
-        let is_expired = |(at, _): &(Duration, String)| now > *at + bounds.max_replica_lag;
-        while let Some((at, key)) = source.deleted_in_order.front().filter(|entry| is_expired(entry)).cloned()
-        {
+        let is_old = |(at, _): &(Duration, String)| now > *at + bounds.max_replica_lag;
+        while let Some((at, key)) = source.deleted_in_order.front().filter(|entry| is_old(entry)).cloned() {
             source.deleted_in_order.pop_front();
             if source.deleted.get(&key).is_some_and(|(_, when)| *when == at) {
                 source.deleted.remove(&key);
@@ -359,8 +353,7 @@
         first
     }
 
-    /// Returns all members ordered by key. If several available keys have one address, the key with the
-    /// latest start stays available and the others drain.
+    /// Returns all members ordered by key. Of several available keys at an address, all but the newest drain.
     pub fn members(&self) -> Vec<Member> {
         let mut keys: Vec<&String> = self.sources.iter().flat_map(|source| source.records.keys()).collect();
         keys.sort_unstable();
@@ -394,7 +387,6 @@
 }
 
 impl Missing {
-    /// Returns the latest end of the hold.
     fn until(&self, bounds: &Bounds) -> Duration {
         let without_answers = self.since + bounds.max_hold;
         // Each answer extends the hold by `max_hold`, up to `max_hold_answering`.
