--- a/crates/failover-agent/src/messaging.rs
+++ b/crates/failover-agent/src/messaging.rs
@@ -113,7 +113,7 @@
                 self.handle_request(request, Requester::Remote(from.clone(), ticket), Some(by))
             }
             AgentMessage::RequestOutcome { ticket, reply } => {
-                if let Some((requester, _)) = self.forwarded_requests.remove(&ticket) {
+                if let Some((requester, _)) = self.forwarded.remove(&ticket) {
                     let _ = requester.send(reply);
                 }
             }
@@ -144,11 +144,9 @@
         }
         let leader = self.document_status().leader.filter(|leader| leader.as_str() != self.setup.name);
         match (requester, leader) {
-            (Requester::Local(reply), Some(leader))
-                if self.forwarded_requests.len() < MAX_PENDING_REQUESTS =>
-            {
+            (Requester::Local(reply), Some(leader)) if self.forwarded.len() < MAX_PENDING_REQUESTS => {
                 let ticket = fastrand::u64(..);
-                self.forwarded_requests.insert(ticket, (reply, Instant::now() + LEADER_REPLY_TIMEOUT));
+                self.forwarded.insert(ticket, (reply, Instant::now() + LEADER_REPLY_TIMEOUT));
                 let by = self.setup.name.clone();
                 self.send(&leader, &AgentMessage::ForwardedRequest { ticket, by, request });
             }
--- a/crates/failover-agent/src/runner.rs
+++ b/crates/failover-agent/src/runner.rs
@@ -1,8 +1,6 @@
-//! Thread of the failover agent: reports observations, acts as leader if elected, and publishes the active
-//! routing.
+//! Thread of the failover agent: reports observations, leads if elected, and publishes the active routing.
 //!
-//! Exchanges watched values with the serving thread: observations in, shares out. Requests never wait for
-//! this thread.
+//! Exchanges watched values with the serving thread: observations in, shares out. Requests never wait here.
 
 use crate::agent::{ActiveRouting, Link, Setup};
 use crate::config::Config;
@@ -33,11 +31,10 @@
 /// Timeout for a forwarded request and for a proposal.
 pub(crate) const LEADER_REPLY_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// A proposal that is in flight.
+/// A proposal that is in flight, and the requester to notify of its outcome.
 pub(crate) struct PendingProposal {
-    outcome_receiver: oneshot::Receiver<Result<u64, ProposalError>>,
+    outcome: oneshot::Receiver<Result<u64, ProposalError>>,
     deadline: Instant,
-    /// Requester to notify of the outcome.
     requester: Option<Requester>,
 }
 
@@ -65,7 +62,7 @@
     /// Time at which the current document status was received; remaining times in it count from here.
     pub(crate) status_received_at: Instant,
     pub(crate) pending_proposal: Option<PendingProposal>,
-    pub(crate) forwarded_requests: BTreeMap<u64, (oneshot::Sender<Reply>, Instant)>,
+    pub(crate) forwarded: BTreeMap<u64, (oneshot::Sender<Reply>, Instant)>,
     pub(crate) reports: u64,
     pub(crate) ticks: u64,
     /// Epoch and plan flag of the last routing record in the history.
@@ -94,7 +91,7 @@
             base_number: 0,
             status_received_at: Instant::now(),
             pending_proposal: None,
-            forwarded_requests: BTreeMap::new(),
+            forwarded: BTreeMap::new(),
             reports: 0,
             ticks: 0,
             recorded_routing: None,
@@ -128,7 +125,7 @@
         self.apply_config();
         loop {
             // A version without zones needs no ticks.
-            let is_active = self.routing.is_some() || !self.forwarded_requests.is_empty();
+            let is_active = self.routing.is_some() || !self.forwarded.is_empty();
             let lease_end = self.document_status().lease_end.map(tokio::time::Instant::from_std);
             let lease_end = lease_end.filter(|end| *end > tokio::time::Instant::now());
             tokio::select! {
@@ -176,9 +173,7 @@
         self.prober.clear();
         self.probed_endpoints = None;
         match &mut self.routing {
-            Some(routing) => {
-                routing.reconfigure(config.topology.clone(), config.rules.clone(), config.own_zone)
-            }
+            Some(old) => old.reconfigure(config.topology.clone(), config.rules.clone(), config.own_zone),
             None => {
                 let (topology, rules) = (config.topology.clone(), config.rules.clone());
                 let mut routing = BalancerRouting::new(topology, rules, config.own_zone, now);
@@ -198,33 +193,30 @@
 
     /// Handles a change of the agreed state, the leader or the lease.
     fn apply_document_status(&mut self) {
-        let document_status = self.document_status();
-        if let Some(shared_document) =
-            document_status.received.as_ref().filter(|shared_document| shared_document.number != self.number)
-        {
-            match AgreedState::decode(&shared_document.body) {
+        let status = self.document_status();
+        if let Some(document) = status.received.as_ref().filter(|document| document.number != self.number) {
+            match AgreedState::decode(&document.body) {
                 Some(agreed) => {
                     self.record_agreed_epoch(&agreed);
                     if let Some(routing) = &mut self.routing {
                         routing.set_rtt_table(&agreed.rtts);
                         routing.set_document(&agreed.places);
                     }
-                    (self.agreed, self.number) = (Some(Arc::new(agreed)), shared_document.number);
-                    self.local_state.send_modify(|local_state| {
-                        local_state.agreed =
-                            self.agreed.clone().map(|agreed| (agreed, self.status_received_at));
-                        local_state.number = self.number;
+                    (self.agreed, self.number) = (Some(Arc::new(agreed)), document.number);
+                    self.local_state.send_modify(|state| {
+                        state.agreed = self.agreed.clone().map(|agreed| (agreed, self.status_received_at));
+                        state.number = self.number;
                     });
                 }
                 None => {
                     tracing::error!(
-                        number = shared_document.number,
+                        number = document.number,
                         "cannot decode the agreed failover state in the shared document"
                     );
                 }
             }
         }
-        self.update_leadership(&document_status);
+        self.update_leadership(&status);
         self.update_routing();
         if let Some(link) = &self.setup.link {
             let number = self.number;
@@ -233,28 +225,25 @@
     }
 
     /// Starts or stops acting as leader.
-    fn update_leadership(&mut self, document_status: &SharedDocumentStatus) {
-        let Some(config) = self.config().filter(|_| document_status.is_leader) else {
+    fn update_leadership(&mut self, status: &SharedDocumentStatus) {
+        let Some(config) = self.config().filter(|_| status.is_leader) else {
             if self.leader_state.take().is_some() {
                 tracing::info!("no longer leads failover decisions");
                 self.abandon_proposal("the leader has lost its place");
             }
             return;
         };
-        let number = document_status.committed.as_ref().map_or(0, |document| document.number);
+        let number = status.committed.as_ref().map_or(0, |document| document.number);
         if self.pending_proposal.is_none() && number > self.base_number {
             // The log contains an abandoned proposal or another leader's proposal, so the state is rebuilt.
             self.leader_state = None;
         }
         if self.leader_state.is_none() {
             self.base_number = number;
-            let committed =
-                document_status.committed.as_ref().map(|document| AgreedState::decode(&document.body));
+            let committed = status.committed.as_ref().map(|document| AgreedState::decode(&document.body));
             let committed = match committed {
                 Some(None) => {
-                    tracing::error!(
-                        "cannot decode the committed failover state: starting from an empty state"
-                    );
+                    tracing::error!("cannot decode the committed failover state: starts from an empty state");
                     AgreedState::default()
                 }
                 Some(Some(agreed)) => {
@@ -265,7 +254,7 @@
             };
             tracing::info!("leads failover decisions");
             let mut leader_state = LeaderState::new((*config).clone(), committed, self.now());
-            leader_state.set_max_lease(document_status.max_lease);
+            leader_state.set_max_lease(status.max_lease);
             self.leader_state = Some(leader_state);
         }
     }
@@ -289,14 +278,10 @@
         self.update_served_share();
         self.update_routing();
         let now = Instant::now();
-        let expired: Vec<u64> = self
-            .forwarded_requests
-            .iter()
-            .filter(|(_, (_, deadline))| now > *deadline)
-            .map(|(ticket, _)| *ticket)
-            .collect();
+        let expired: Vec<u64> =
+            self.forwarded.iter().filter(|(_, (_, deadline))| now > *deadline).map(|(id, _)| *id).collect();
         for ticket in expired {
-            if let Some((reply, _)) = self.forwarded_requests.remove(&ticket) {
+            if let Some((reply, _)) = self.forwarded.remove(&ticket) {
                 let _ = reply.send(Reply::Unavailable("the leader does not answer".into()));
             }
         }
@@ -307,25 +292,22 @@
     }
 
     fn decide(&mut self) {
-        let (now, document_status) = (self.now(), self.document_status());
+        let (now, status) = (self.now(), self.document_status());
         let Some(leader_state) = &mut self.leader_state else { return };
         // The lagging members refer to the committed number and say nothing about an earlier one.
-        let number = document_status.committed.as_ref().map_or(0, |document| document.number);
+        let number = status.committed.as_ref().map_or(0, |document| document.number);
         if self.pending_proposal.is_some() || number != self.base_number {
             return;
         }
         let status_age = self.status_received_at.elapsed();
-        let behind: Vec<(String, Duration)> = document_status
+        let behind: Vec<(String, Duration)> = status
             .lagging_members
             .iter()
             .map(|member| (member.name.to_string(), member.max_remaining.saturating_sub(status_age)))
             .filter(|(_, remaining)| !remaining.is_zero())
             .collect();
-        let in_touch: Vec<(String, bool)> = document_status
-            .members
-            .iter()
-            .map(|(name, applied)| (name.to_string(), applied.is_some()))
-            .collect();
+        let in_touch: Vec<(String, bool)> =
+            status.members.iter().map(|(name, applied)| (name.to_string(), applied.is_some())).collect();
         if let Some(body) = leader_state.tick(now, &behind, &in_touch) {
             self.submit_proposal(body, None);
         }
@@ -333,20 +315,15 @@
 
     pub(crate) fn submit_proposal(&mut self, body: Vec<u8>, requester: Option<Requester>) {
         let expected = self.base_number;
-        let (outcome_sender, outcome) = oneshot::channel();
+        let (sender, outcome) = oneshot::channel();
         let is_queued = match &self.setup.link {
-            Some(link) => link
-                .channels
-                .proposals
-                .try_send(PartProposal { expected, body, outcome: outcome_sender })
-                .is_ok(),
+            Some(link) => {
+                link.channels.proposals.try_send(PartProposal { expected, body, outcome: sender }).is_ok()
+            }
             None => false,
         };
-        self.pending_proposal = Some(PendingProposal {
-            outcome_receiver: outcome,
-            deadline: Instant::now() + LEADER_REPLY_TIMEOUT,
-            requester,
-        });
+        self.pending_proposal =
+            Some(PendingProposal { outcome, deadline: Instant::now() + LEADER_REPLY_TIMEOUT, requester });
         if !is_queued {
             self.finish_proposal(Err("the agreement's thread is busy".into()));
         }
@@ -372,8 +349,8 @@
             // The outcome is unknown, so the state is read from the log again.
             _ => {
                 self.leader_state = None;
-                let document_status = self.document_status();
-                self.update_leadership(&document_status);
+                let status = self.document_status();
+                self.update_leadership(&status);
             }
         }
         if let Some(requester) = requester {
@@ -389,12 +366,12 @@
 }
 
 async fn status_changed(
-    document_status: &mut Option<watch::Receiver<SharedDocumentStatus>>,
+    status: &mut Option<watch::Receiver<SharedDocumentStatus>>,
 ) -> Result<(), watch::error::RecvError> {
-    match document_status {
-        Some(document_status) => {
-            document_status.changed().await?;
-            document_status.borrow_and_update();
+    match status {
+        Some(status) => {
+            status.changed().await?;
+            status.borrow_and_update();
             Ok(())
         }
         None => std::future::pending().await,
@@ -410,7 +387,7 @@
 
 async fn proposal_outcome(pending_proposal: &mut Option<PendingProposal>) -> Result<u64, String> {
     match pending_proposal {
-        Some(pending) => match (&mut pending.outcome_receiver).await {
+        Some(pending) => match (&mut pending.outcome).await {
             Ok(outcome) => outcome.map_err(|error| error.to_string()),
             Err(_) => Err("this voter leads no more".into()),
         },
--- a/crates/rollout-agent/src/document.rs
+++ b/crates/rollout-agent/src/document.rs
@@ -82,7 +82,7 @@
     }
 
     /// Returns true if a stage contains all balancers, so that none are left for comparison.
-    pub fn stage_includes_all_members(&self, stage: usize) -> bool {
+    pub fn stage_has_all_members(&self, stage: usize) -> bool {
         self.rollout.order.stage(stage).len() == self.rollout.order.members().len()
     }
 }
@@ -161,7 +161,7 @@
 }
 
 /// Returns a readable description of a rollout state.
-pub fn describe_state(state: &RolloutState) -> String {
+pub fn state_text(state: &RolloutState) -> String {
     match state {
         RolloutState::Running(stage) => format!("running stage {}", stage + 1),
         RolloutState::Paused { stage, why, .. } => format!("held at stage {}: {why}", stage + 1),
@@ -181,7 +181,7 @@
         started_at_ms: change.started_at_ms,
         by: change.by.clone(),
         content: change.content.describe(),
-        outcome: describe_state(&change.rollout.state) + &version,
+        outcome: state_text(&change.rollout.state) + &version,
     }
 }
 
--- a/crates/rollout-agent/src/evaluation.rs
+++ b/crates/rollout-agent/src/evaluation.rs
@@ -209,7 +209,7 @@
 fn new_judge(change: &Change, stage: usize, usual_bad_fractions: &[f64]) -> Judge {
     let thresholds = change.rollout.plan.thresholds.clone();
     match &change.baseline {
-        Some(reference) if change.stage_includes_all_members(stage) => {
+        Some(reference) if change.stage_has_all_members(stage) => {
             Judge::with_reference(thresholds, reference.clone())
         }
         _ => Judge::new(thresholds, usual_bad_fractions),
--- a/crates/rollout-agent/src/leader.rs
+++ b/crates/rollout-agent/src/leader.rs
@@ -3,7 +3,7 @@
 //! Continues from the stage in the log, whichever balancer proposed it. One proposal is in flight at a time.
 
 use crate::document::{
-    Change, Content, Document, MAX_EVIDENCE_LINES, MAX_SETTINGS_BYTES, StageRecord, describe_state,
+    Change, Content, Document, MAX_EVIDENCE_LINES, MAX_SETTINGS_BYTES, StageRecord, state_text,
 };
 use crate::evaluation::{MemberState, StageEvaluation};
 use crate::messages::{MemberReport, OperatorRequest, Preview, Reply, RequestedContent};
@@ -36,27 +36,19 @@
     names: Vec<String>,
     committed: Document,
     proposed: Option<Document>,
-    member_states: BTreeMap<String, MemberState>,
+    members: BTreeMap<String, MemberState>,
     evaluation: Option<StageEvaluation>,
     /// Time at which the next interval ends.
-    next_interval_at: Duration,
+    interval_end: Duration,
     /// Change that is rolling back, and the start of its rollback.
-    rollback_started: Option<(u64, Duration)>,
+    rollback_at: Option<(u64, Duration)>,
 }
 
 impl LeaderState {
     /// Starts leading from the committed document, without reports or an evaluation.
     pub fn new(names: Vec<String>, committed: Document, now: Duration) -> Self {
-        let (member_states, evaluation) = (BTreeMap::new(), None);
-        Self {
-            names,
-            committed,
-            proposed: None,
-            member_states,
-            evaluation,
-            next_interval_at: now,
-            rollback_started: None,
-        }
+        let (members, evaluation) = (BTreeMap::new(), None);
+        Self { names, committed, proposed: None, members, evaluation, interval_end: now, rollback_at: None }
     }
 
     /// Returns the newest document in the log that this leader knows.
@@ -67,7 +59,7 @@
     /// Stores the report of a balancer; ignores unknown balancers.
     pub fn record_report(&mut self, now: Duration, from: &str, member_report: MemberReport) {
         if self.names.iter().any(|name| name == from) {
-            self.member_states.entry(from.to_owned()).or_default().record(now, member_report);
+            self.members.entry(from.to_owned()).or_default().record(now, member_report);
         }
     }
 
@@ -103,11 +95,10 @@
     fn apply_reported_sides(&self, change: &mut Change) {
         let number = change.rollout.number;
         let is_rolling_back = change.rollout.rollback_step > 0;
-        for (name, state) in &self.member_states {
+        for (name, state) in &self.members {
             let Some((number_of_report, side, step)) = state.reported else { continue };
             let known = change.rollout.sides.get(name);
-            // The known step matters during a rollback only, so other step changes are not written to the
-            // log.
+            // Only a rollback needs the known step, so other step changes are not written to the log.
             let is_changed = known.is_none_or(|(known_side, known_step)| {
                 *known_side != side || (is_rolling_back && *known_step < change.rollout.rollback_step)
             });
@@ -121,12 +112,11 @@
     /// Rolls back a settings change when another version came into force, because its base no longer applies.
     fn roll_back_if_superseded(&self, change: &mut Change, in_force: Option<u64>) {
         let Content::Settings { base_version, .. } = change.content else { return };
-        let is_rolled_back =
-            change.rollout.rollback_step > 0 || change.rollout.state == RolloutState::Completed;
-        if let Some(version) = in_force.filter(|version| *version > base_version && !is_rolled_back) {
-            let (step, reason) =
+        let is_decided = change.rollout.rollback_step > 0 || change.rollout.state == RolloutState::Completed;
+        if let Some(version) = in_force.filter(|version| *version > base_version && !is_decided) {
+            let (step, why) =
                 (change.rollout.step, format!("version {version} has come into force meanwhile"));
-            apply_command(change, &Command::RollBack { step, why: reason });
+            apply_command(change, &Command::RollBack { step, why });
         }
     }
 
@@ -141,15 +131,14 @@
             self.evaluation = Some(StageEvaluation::new(change, stage, &usual_bad_fractions, now));
         }
         let Some(evaluation) = &mut self.evaluation else { return };
-        if now < self.next_interval_at {
+        if now < self.interval_end {
             return;
         }
-        self.next_interval_at = (self.next_interval_at + change.rollout.plan.report_interval).max(now);
-        if let Some(verdict) = evaluation.evaluate_interval(now, change, &mut self.member_states) {
+        self.interval_end = (self.interval_end + change.rollout.plan.report_interval).max(now);
+        if let Some(verdict) = evaluation.evaluate_interval(now, change, &mut self.members) {
             let is_next_to_last = change.baseline.is_none() && stage + 1 < change.rollout.order.stages();
-            let baseline = evaluation
-                .baseline()
-                .filter(|_| is_next_to_last && change.stage_includes_all_members(stage + 1));
+            let baseline =
+                evaluation.baseline().filter(|_| is_next_to_last && change.stage_has_all_members(stage + 1));
             let step = change.rollout.step;
             if apply_command(change, &Command::ApplyVerdict { step, stage, verdict })
                 && change.rollout.passed_stages > stage
@@ -162,10 +151,10 @@
     fn give_up_rollback(&mut self, now: Duration, change: &mut Change) {
         let number = change.rollout.number;
         if !matches!(change.rollout.state, RolloutState::RollingBack { .. }) {
-            self.rollback_started = None;
+            self.rollback_at = None;
             return;
         }
-        let (rollback_number, since) = *self.rollback_started.get_or_insert((number, now));
+        let (rollback_number, since) = *self.rollback_at.get_or_insert((number, now));
         if rollback_number == number
             && now.saturating_sub(since) >= change.rollout.plan.lost_contact_after + ROLLBACK_GRACE_PERIOD
         {
@@ -187,7 +176,7 @@
             change.rollout.order.stage(*stage).iter().map(|member| member.name.clone()).collect();
         let candidates = stage_members.difference(&change.released).cloned().collect();
         let is_silent = |name: &String| {
-            self.member_states
+            self.members
                 .get(name)
                 .is_some_and(|state| now.saturating_sub(state.last_report_at) > Duration::from_secs(5))
         };
@@ -195,9 +184,8 @@
         let unavailable = names
             .filter(|name| is_silent(name) || (change.released.contains(name) && !is_new(name)))
             .collect();
-        let selected =
-            change.rollout.order.select_for_change(&change.rollout.plan, &candidates, &unavailable);
-        change.released.extend(selected);
+        let chosen = change.rollout.order.select_for_change(&change.rollout.plan, &candidates, &unavailable);
+        change.released.extend(chosen);
     }
 
     fn propose(&mut self, document: Document) -> Result<Vec<u8>, String> {
@@ -213,8 +201,7 @@
         }
     }
 
-    /// Returns settings that passed all stages, with their base version. The text must become the next
-    /// version.
+    /// Returns settings that passed all stages and must become the next version, with their base version.
     pub fn completed_settings(&self) -> Option<(&str, u64)> {
         let change = self.committed.change.as_ref().filter(|change| change.version.is_none())?;
         match &change.content {
@@ -310,9 +297,7 @@
         let change = self.committed.change.as_ref().filter(|change| change.is_active())?;
         let plan = maplehook_rollout::plan::parse(plan).ok()?;
         let is_same_content = match (content, &change.content) {
-            (RequestedContent::Settings { text }, Content::Settings { text: running_text, .. }) => {
-                text == running_text
-            }
+            (RequestedContent::Settings { text }, Content::Settings { text: current, .. }) => text == current,
             (
                 RequestedContent::Program { path, digest },
                 Content::Program { path: running_path, digest: running_digest },
@@ -330,11 +315,7 @@
         context: &PlanContext<'_>,
     ) -> Result<(Change, Preview), String> {
         if let Some(change) = self.committed.change.as_ref().filter(|change| change.is_active()) {
-            return Err(format!(
-                "change {} is {}",
-                change.rollout.number,
-                describe_state(&change.rollout.state)
-            ));
+            return Err(format!("change {} is {}", change.rollout.number, state_text(&change.rollout.state)));
         }
         let plan = maplehook_rollout::plan::parse(plan).map_err(|faults| faults.to_string())?;
         let mut preview = Preview::default();
@@ -359,8 +340,7 @@
                 Content::Program { path: path.clone(), digest: digest.to_ascii_lowercase() }
             }
         };
-        let zone =
-            |name: &String| self.member_states.get(name).map_or(String::new(), |state| state.zone.clone());
+        let zone = |name: &String| self.members.get(name).map_or(String::new(), |state| state.zone.clone());
         let members: Vec<Member> =
             self.names.iter().map(|name| Member { name: name.clone(), zone: zone(name) }).collect();
         let rollout = Rollout::new(self.committed.number + 1, plan, &members).map_err(|e| e.to_string())?;
@@ -374,7 +354,7 @@
             released: BTreeSet::new(),
             version: None,
         };
-        if change.stage_includes_all_members(0) {
+        if change.stage_has_all_members(0) {
             return Err("the first stage is everybody: nobody is left to compare with".into());
         }
         let mut listed_count = 0;
@@ -397,30 +377,19 @@
 }
 
 /// Records the starts and ends of stages.
-fn update_stage_records(change: &mut Change, evaluation: Option<&StageEvaluation>, unix_ms: u64) {
+fn update_stage_records(change: &mut Change, evaluation: Option<&StageEvaluation>, now_ms: u64) {
     let running = change.rollout.stage();
-    let verdict = describe_state(&change.rollout.state);
-    if let Some(last_record) = change
-        .stage_records
-        .last_mut()
-        .filter(|last_record| last_record.until_ms.is_none() && running != Some(last_record.stage))
+    let verdict = state_text(&change.rollout.state);
+    if let Some(last) =
+        change.stage_records.last_mut().filter(|last| last.until_ms.is_none() && running != Some(last.stage))
     {
-        last_record.until_ms = Some(unix_ms);
-        last_record.verdict =
-            if change.rollout.passed_stages > last_record.stage { "not worse".into() } else { verdict };
-        last_record.evidence = evaluation.map(StageEvaluation::evidence).unwrap_or_default();
-        last_record.evidence.truncate(MAX_EVIDENCE_LINES);
+        last.until_ms = Some(now_ms);
+        last.verdict = if change.rollout.passed_stages > last.stage { "not worse".into() } else { verdict };
+        last.evidence = evaluation.map(StageEvaluation::evidence).unwrap_or_default();
+        last.evidence.truncate(MAX_EVIDENCE_LINES);
     }
-    if let Some(stage) = running
-        .filter(|stage| change.stage_records.last().is_none_or(|last_record| last_record.stage < *stage))
-    {
+    if let Some(stage) = running.filter(|n| change.stage_records.last().is_none_or(|last| last.stage < *n)) {
         let (evidence, verdict) = (Vec::new(), String::new());
-        change.stage_records.push(StageRecord {
-            stage,
-            since_ms: unix_ms,
-            until_ms: None,
-            evidence,
-            verdict,
-        });
+        change.stage_records.push(StageRecord { stage, since_ms: now_ms, until_ms: None, evidence, verdict });
     }
 }
--- a/crates/rollout-agent/src/member.rs
+++ b/crates/rollout-agent/src/member.rs
@@ -1,6 +1,6 @@
 //! Target side of a balancer.
 
-use crate::document::{Content, Document, describe_state};
+use crate::document::{Content, Document, state_text};
 use maplehook_canary::Side;
 use maplehook_rollout::side_without_leader;
 use maplehook_rollout::{Rollout, RolloutState};
@@ -37,7 +37,7 @@
             Some((path.clone(), digest.clone()))
         }
     };
-    let mut state_description = describe_state(state);
+    let mut state_description = state_text(state);
     if side_without_leader(plan, side, *state == RolloutState::Completed, silence) != side {
         side = Side::Old;
         state_description = format!("cut off for {} s: as before ({state_description})", silence.as_secs());
--- a/crates/rollout-agent/src/status.rs
+++ b/crates/rollout-agent/src/status.rs
@@ -1,6 +1,6 @@
 //! Rollout status as operators see it.
 
-use crate::document::{Change, Document, describe_state};
+use crate::document::{Change, Document, state_text};
 use crate::messages::Preview;
 use maplehook_canary::Side;
 use maplehook_rollout::RolloutState;
@@ -93,7 +93,7 @@
         Self {
             number: rollout.number,
             state: rollout.state.name().into(),
-            state_description: describe_state(&rollout.state),
+            state_description: state_text(&rollout.state),
             step: rollout.step,
             content: change.content.describe(),
             by: change.by.clone(),
