--- a/crates/proxy/src/command.rs
+++ b/crates/proxy/src/command.rs
@@ -77,7 +77,7 @@
 }
 
 impl TierCommand {
-    /// Requests the status. Returns its text, and whether the tier is complete.
+    /// Requests the tier's status. Returns its text, and true if the tier is complete.
     pub fn run(&self) -> Result<(String, bool), Box<dyn Error>> {
         let Self::Status { address, json } = self;
         let body = tier::get_body(*address, "/control/tier")?;
@@ -110,7 +110,7 @@
     }
 }
 
-/// Reads the secret for signing tokens.
+/// Reads the secret file and creates the signer for the tokens of known clients.
 pub fn token_signer(path: &Path) -> Result<TokenSigner, Box<dyn Error>> {
     let secret = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
     TokenSigner::new(secret.trim_ascii())
@@ -122,8 +122,8 @@
     path.map_or_else(|| Ok(Operator::default()), |path| Ok(load_operator_with_text(path)?.0))
 }
 
-/// Replaces `locality.rules_file` by the rules in that file, relative to the operator's file. A shared configuration
-/// must not depend on files of one balancer.
+/// Replaces `locality.rules_file` by the rules in that file. The path is relative to the operator's file. A
+/// shared configuration must not depend on a file that only one balancer has.
 pub fn inline_rules_file(path: &Path, text: String) -> Result<String, Box<dyn Error>> {
     let read_rules = |file: &str| {
         let file = path.parent().unwrap_or(Path::new("")).join(file);
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,4 +1,4 @@
-//! Platform's configuration of a balancer: the JSON file that `NODE_CONFIG` names.
+//! Balancer configuration from the platform: the JSON file that `NODE_CONFIG` names.
 
 use crate::command::read_utf8_file;
 use maplehook_admission::descriptor_budget::{MIN_DESCRIPTORS, TooFewDescriptorsError};
@@ -11,13 +11,14 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Buffered long responses can use memory divided by this number. A response takes twice its size while it is read.
+/// Fraction of the memory limit for buffered long responses, as a divisor: 5 means one fifth. A response
+/// takes twice its size while it is read.
 const RESPONSE_BUFFER_MEMORY_DIVISOR: usize = 5;
 
-/// Configuration of a balancer by the platform.
+/// Parsed and validated configuration file of the platform.
 #[derive(Debug)]
 pub struct Config {
-    /// Name of the balancer.
+    /// Name of the balancer, which is also part of the name of its handover file.
     pub name: String,
     /// Address that clients connect to.
     pub listen: SocketAddr,
@@ -31,9 +32,9 @@
     pub limits: Limits,
     /// Endpoint list of an earlier discovery, in the discovery's JSON format; empty if there is none.
     pub cached_endpoints: String,
-    /// Settings of the site.
+    /// Classes, tenants and other settings, which a reload can change.
     pub settings_state: ActiveSettings,
-    /// Keys that a reloaded file must also have. Values other than the limits are null.
+    /// Keys that a reloaded file must have, too. All values except the limits are replaced by null.
     required_shape: Value,
 }
 
@@ -72,9 +73,9 @@
 pub struct Limits {
     /// CPU cores; can be a fraction.
     pub cores: f64,
-    /// Memory, in MiB.
+    /// Memory limit, in MiB.
     pub memory_mb: u64,
-    /// File descriptors.
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
 }
 
@@ -92,12 +93,12 @@
     Ok((path.to_string_lossy().into_owned(), text))
 }
 
-/// Parses JSON. Errors name the key, line and column.
+/// Deserializes JSON. Errors name the key, line and column.
 fn parse_json<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, ConfigError> {
     let mut json = serde_json::Deserializer::from_str(text);
     let result = serde_path_to_error::deserialize(&mut json).map_err(|e| {
         let path = e.path().to_string();
-        // An error before the first key has a question mark as its path.
+        // If parsing fails before the first key, the error path is a question mark.
         let key = path.trim_end_matches(['.', '?']);
         ConfigError(if key.is_empty() { e.inner().to_string() } else { format!("{key}: {}", e.inner()) })
     })?;
@@ -117,8 +118,8 @@
         Ok(config)
     }
 
-    /// Reads the file again and returns the discovery address and the updated settings. The rest can't change while
-    /// the process runs. `now` is the time since the start of the process.
+    /// Reads the file again and returns the discovery address and the updated settings. Other values can't
+    /// change while the process runs. `now` is the time since the start of the process.
     pub fn reload(
         &self,
         now: Duration,
@@ -143,7 +144,7 @@
         Ok((raw.discovery, settings_state))
     }
 
-    /// Parses the text of the file.
+    /// Parses and validates the text of a configuration file.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let mut required_shape: Value = parse_json(text)?;
         let raw: RawConfig<'_> = parse_json(text)?;
--- a/crates/proxy/src/config_reload.rs
+++ b/crates/proxy/src/config_reload.rs
@@ -1,5 +1,5 @@
-//! Reload of the platform's configuration file on SIGHUP. Only the discovery address and the settings can change,
-//! and only if the complete file is valid.
+//! Reloads the platform's configuration file on SIGHUP. Only the discovery address and the settings can
+//! change, and only if the complete file is valid.
 
 use crate::admission::AdmissionController;
 use crate::config::Config;
@@ -20,12 +20,13 @@
 /// Longest time from SIGTERM to the end of the process, updated with the settings.
 pub type SharedGrace = Rc<Cell<Duration>>;
 
-/// Installs a handler for SIGHUP, which otherwise ends the process. The platform can send SIGHUP as soon as the
-/// process exists. A signal that arrives while the configuration is read is delivered to [`ConfigReloader::run`].
+/// Installs a handler for SIGHUP, which would end the process without a handler. The platform can send SIGHUP
+/// as soon as the process exists. A signal that arrives while the configuration is read is delivered to
+/// [`ConfigReloader::run`].
 pub fn install_hangup_handler() -> io::Result<()> {
     let runtime = Builder::new_current_thread().enable_io().build()?;
     let _entered = runtime.enter();
-    // The handler stays installed. The serving runtime delivers signals that were recorded here.
+    // The handler outlives this runtime. The serving runtime delivers the signals that the handler recorded.
     signal(SignalKind::hangup()).map(drop)
 }
 
@@ -35,15 +36,15 @@
     pub config: Config,
     /// Connection to the discovery service.
     pub discovery: Rc<Discovery>,
-    /// Reader that holds the rules of requests.
+    /// Parser of client requests. A reload replaces its rules.
     pub request_reader: Rc<RequestReader>,
-    /// Admission controller that enforces guarantees of tenants.
+    /// Admission controller, which enforces the tenants' guarantees.
     pub admission: Rc<AdmissionController>,
-    /// Descriptors, of which reading the file needs one.
+    /// Descriptor budget. Reading the file takes one descriptor.
     pub descriptors: Rc<Descriptors>,
     /// Longest time from SIGTERM to the end of the process.
     pub grace: SharedGrace,
-    /// Computes the grace time from settings.
+    /// Computes the longest time from SIGTERM to the end of the process from the settings.
     pub grace_from_settings: fn(&ActiveSettings) -> Duration,
 }
 
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Applies new settings. The driver's settings change first: it must know every class and tenant before requests
-    /// use them.
+    /// Applies new settings. The driver's settings change first: the driver must know every class and tenant
+    /// before requests use them.
     fn apply_settings(&self, settings: &ActiveSettings, driver: &Rc<Driver>, counting: &RequestMetrics) {
         let site = settings.current();
         driver.update_settings(site.settings.clone(), settings.removed_tenants());
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -1,5 +1,5 @@
 //! Admin API: `GET /control/ready` and `/control/counters`; the tier, settings, locality and rollout endpoints exist
-//! if the balancer has these parts. HTTP/1.1 with one request per connection.
+//! only if these features are configured. It serves HTTP/1.1 with one request per connection.
 //!
 //! The API runs on its own thread and reads counters in place, so that clients and large bodies can't delay it.
 //! Requests have a time limit. While the maximum number of connections is open, the oldest is closed to admit others.
@@ -32,19 +32,20 @@
 use tokio::task::{JoinHandle, spawn};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Connections that can be open at once.
+/// Maximum number of simultaneously open connections per listener.
 const MAX_CONNECTIONS: usize = 16;
-/// Descriptors of the API: its connections, one connection before its admission, and the listener with its poller.
+/// Descriptors that the API needs: open connections, one accepted connection that is not yet counted, the
+/// listener and its poller.
 pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 5;
 /// Time limit for receiving a request.
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time limit for the response after that. An admin request can wait until a lease expires.
+/// Time limit for the response, once the request is received. An admin request can be delayed until a lease expires.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Minimum time that a connection stays open while others wait. Clients normally send their request sooner.
 const MIN_CONNECTION_TIME: Duration = Duration::from_millis(200);
-/// Largest request head.
+/// Maximum size of the request line and headers.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Time limit for the tier thread's status.
+/// Time limit for the tier thread to return its status.
 const TIER_STATUS_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause before bind or accept is called again after an error.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
@@ -52,7 +53,7 @@
 /// Data and handlers behind the admin API.
 #[derive(Clone, Default)]
 pub struct AdminState {
-    /// Counters.
+    /// Request counters that `GET /control/counters` returns.
     pub tally: Arc<Metrics>,
     /// True while this process accepts clients.
     pub is_ready: Arc<AtomicBool>,
@@ -68,13 +69,13 @@
     pub rollout: Option<rollout::RolloutApi>,
 }
 
-/// Admin address that another process of this balancer may still hold.
+/// Admin address that another process of this balancer may still have bound.
 pub struct DeferredAddress {
     /// Address to bind as soon as it is free.
     pub address: SocketAddr,
     /// Key under which the log names the bound address.
     pub log_key: &'static str,
-    /// Closes the listener when a message is sent or the sender is dropped.
+    /// The listener closes when this channel receives a message or its sender is dropped.
     pub release: oneshot::Receiver<()>,
 }
 
@@ -130,7 +131,7 @@
     }
 }
 
-/// Open connection and the time of its acceptance.
+/// Task that serves an open connection, and the time when the connection was accepted.
 struct OpenConnection {
     task: JoinHandle<()>,
     since: Instant,
@@ -143,7 +144,7 @@
         if connections.len() >= MAX_CONNECTIONS
             && let Some(mut oldest) = connections.pop_front()
         {
-            // The oldest connection is closed after its minimum time.
+            // The limit is reached: close the oldest connection once it has been open for the minimum time.
             tokio::select! {
                 _ = &mut oldest.task => {}
                 () = sleep_until(oldest.since + MIN_CONNECTION_TIME) => {
@@ -170,7 +171,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, state: AdminState) {
-    // Without the option responses are only slower.
+    // If TCP_NODELAY can't be set, responses are only slower.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let state = state.clone();
@@ -282,7 +283,8 @@
     })
 }
 
-/// Returns the MAC and body of a `POST`, or the response to an unreadable body; `None` for other methods.
+/// Reads a `POST` and returns its MAC and body, or the error response if the body can't be read. Returns
+/// `None` for other methods.
 async fn read_post(
     request: Request<Incoming>,
     max_bytes: usize,
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Balancer on a thread of another program.
+//! Runs a balancer on a thread of another program.
 
 use crate::config::Config;
 use crate::serve::{self, ServingHooks};
@@ -8,7 +8,7 @@
 use std::thread::JoinHandle;
 use tokio::sync::oneshot;
 
-/// Running balancer. Dropping it shuts the balancer down as SIGTERM does, and waits for the end.
+/// Running balancer. Dropping the handle shuts the balancer down as SIGTERM does, and waits for its end.
 pub struct Daemon {
     /// Address that the balancer listens on.
     pub address: SocketAddr,
--- a/crates/proxy/src/gossip_source.rs
+++ b/crates/proxy/src/gossip_source.rs
@@ -1,7 +1,8 @@
 //! Endpoint source that merges the tier's gossip into the list of another source.
 //!
-//! `maplehook_cluster::merge_policy` decides how the two are merged. This module publishes the local list to the
-//! tier as claims and reports gossip as endpoint updates. Gossip can only add drains and later boot times.
+//! `maplehook_cluster::merge_policy` decides how the list and the gossip are merged. This module publishes
+//! the local list to the tier as claims and reports gossip as endpoint updates. Gossip can only add drains
+//! and later boot times.
 
 use maplehook::source::{EndpointUpdate, Entry, Reachability, Source, Task};
 use maplehook_cluster::endpoint_gossip::EndpointClaim;
@@ -16,10 +17,10 @@
 use tokio::sync::watch;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Time after the boot of an upstream during which the boot is published to other balancers, in milliseconds.
+/// Time for which a boot of an upstream is published to other balancers, in milliseconds since the boot.
 const STARTUP_CLAIM_MS: u64 = 20_000;
-/// Interval at which claims and gossip are refreshed, so that reads of the inner source take effect and old boots
-/// are no longer published.
+/// Interval at which claims and gossip are refreshed. A refresh applies reads of the inner source and stops
+/// publishing old boots.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Source whose endpoints are merged with gossip from other balancers.
@@ -104,7 +105,7 @@
         EndpointUpdate { scope: update.scope, entries: merged_entries }
     }
 
-    /// Returns an entry of the inner source with the merged availability and boot time.
+    /// Returns a copy of an inner source's entry with availability and boot time merged from gossip.
     fn merged_entry(&self, entry: &Entry) -> Entry {
         let mut entry = entry.clone();
         if let Some(MergedEndpoint { is_draining, boot_ms }) = self.policy.borrow().published(entry.id.0) {
@@ -164,7 +165,7 @@
         });
     }
 
-    /// Reports changes through gossip. Never returns.
+    /// Passes endpoint changes that result from gossip to `notify`. Never returns.
     async fn follow_gossip(&self, notify: &RefCell<&mut dyn FnMut(EndpointUpdate)>) {
         let mut gossip = self.gossip.borrow().clone();
         let mut publish_tick = interval(PUBLISH_INTERVAL);
@@ -220,7 +221,7 @@
     use maplehook_cluster::endpoint_gossip::GossipedEndpoint;
     use maplehook_core::{CellId, KindId, ZoneId};
 
-    /// Source whose watch reports the queued updates.
+    /// Test source whose watch reports updates that the test has queued.
     #[derive(Default)]
     struct ScriptedSource {
         update: RefCell<Vec<EndpointUpdate>>,
@@ -294,7 +295,7 @@
                 "slow start follows the boot time from gossip"
             );
             assert_eq!(last(3), None, "an unchanged upstream is not reported again");
-            // The inner source still lists upstream 1 as ready; the drain by gossip remains.
+            // The inner source still lists upstream 1 as ready, but the drain reported by gossip must remain.
             scripted
                 .update
                 .borrow_mut()
@@ -316,7 +317,7 @@
                 published.borrow().iter().map(|c| (c.upstream, c.is_draining)).collect::<Vec<_>>(),
                 [(3, true)]
             );
-            // The drain by gossip expires, but the inner source was not read after the drain.
+            // The gossiped drain expires, but the inner source has not been read since that drain.
             gossip_sender.send_replace(snapshot(vec![drained_by_gossip(1, Duration::ZERO)]));
             pause().await;
             assert_eq!(
@@ -329,7 +330,7 @@
             () = source.watch(&mut notify) => unreachable!(),
             () = scenario => {}
         }
-        // The drain by gossip expires, and the inner source was read after the drain.
+        // The gossiped drain expires, and the inner source has been read since that drain.
         let (gossip_sender, gossip_receiver) =
             watch::channel(snapshot(vec![drained_by_gossip(1, Duration::from_nanos(1))]));
         let (claims, _published) = watch::channel(Arc::default());
--- a/crates/proxy/src/locality_command.rs
+++ b/crates/proxy/src/locality_command.rs
@@ -118,7 +118,7 @@
                     (None, Some(address)) => Some(serde_json::from_slice(&get_body(*address, PLACES_PATH)?)?),
                     (None, None) => None,
                 };
-                // The status provides measured round-trip times; configured ones are already in the topology.
+                // Measured round-trip times come from the status; the topology already has the configured ones.
                 let mut topology = topology.clone();
                 let measured = status.iter().flat_map(|status| &status.rtts).filter(|trip| !trip.stated);
                 let measured_rtts: Vec<_> = measured
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -13,7 +13,7 @@
 use tracing::level_filters::LevelFilter;
 
 fn main() -> ExitCode {
-    // Must run before the process opens any descriptor.
+    // Must run before the process opens a descriptor, which could be mistaken for an inherited one.
     let inherited = inherited::take();
     let command_line = CommandLine::parse();
     let level = std::env::var("NODE_LOG").ok().and_then(|level| level.parse().ok());
@@ -91,7 +91,7 @@
         }
         None => {
             config_reload::install_hangup_handler()?;
-            // Errors in the operator's file are reported first, whether or not the platform started the process.
+            // The operator's file is loaded first, so that its errors are reported on the platform, too.
             let operator = command::load_operator(command_line.config.as_deref())?;
             serve::run_on_platform(Config::from_env()?, operator, inherited, None)?;
         }
--- a/crates/proxy/src/places.rs
+++ b/crates/proxy/src/places.rs
@@ -1,5 +1,5 @@
-//! Endpoints for localities and shared addresses: `GET` and `POST /control/places`, `GET /control/addresses`, and
-//! `GET /announce/NAME` for routers.
+//! Admin API endpoints for localities and shared addresses: `GET` and `POST /control/places`,
+//! `GET /control/addresses`, and `GET /announce/NAME` for routers.
 
 use crate::request_signing::RequestVerifier;
 use hyper::StatusCode;
@@ -12,9 +12,9 @@
 pub const PLACES_PATH: &str = "/control/places";
 /// Path of the shared addresses' status.
 pub const ADDRESSES_PATH: &str = "/control/addresses";
-/// Prefix of the paths that routers request, followed by an address name.
+/// Prefix of the paths that routers request. The name of a shared address follows it.
 pub const ANNOUNCE_PREFIX: &str = "/announce/";
-/// Largest body of an admin request.
+/// Maximum size of an admin request's body.
 pub const MAX_BODY_BYTES: usize = 4096;
 
 /// Handlers of the locality and address endpoints.
@@ -25,17 +25,17 @@
 }
 
 fn to_json(value: &impl Serialize) -> String {
-    // The types contain no values that fail to serialize.
+    // Serialization can't fail for the types that are passed here.
     serde_json::to_string(value).unwrap_or_default() + "\n"
 }
 
 impl PlacesApi {
-    /// Without a verifier no shared plan exists, and all admin requests are rejected.
+    /// Creates the handlers. `verifier` is `None` without a shared plan, and all `POST`s are then rejected.
     pub fn new(board: StatusBoard, verifier: Option<Arc<RequestVerifier>>) -> Self {
         Self { board, verifier }
     }
 
-    /// Returns the response to `GET /control/places` for a query.
+    /// Returns the response to `GET /control/places` with the given query string.
     pub fn handle_get(&self, query: Option<&str>) -> (StatusCode, String) {
         match query {
             None | Some("") => (StatusCode::OK, to_json(&self.board.status())),
@@ -57,7 +57,7 @@
         (StatusCode::OK, to_json(&self.board.addresses()))
     }
 
-    /// Returns the announcement of an address, for routers.
+    /// Returns the response to a router that requests the announcement of the address `name`.
     pub fn announce(&self, name: &str) -> (StatusCode, String) {
         #[derive(Serialize)]
         struct Withdrawn {
--- a/crates/proxy/src/request_signing.rs
+++ b/crates/proxy/src/request_signing.rs
@@ -1,5 +1,5 @@
-//! Signatures of admin requests that change state. A `POST` carries a MAC over its time, a random nonce and its body,
-//! computed with the tier's secret. A signature is valid for a minute and can be used once.
+//! Signs and verifies admin requests that change state. A `POST` carries a MAC over its time, a random nonce
+//! and its body, computed with the tier's secret. A signature is valid for a minute and can be used once.
 
 use hyper::StatusCode;
 use maplehook_transport::{SecretKey, unix_ms};
@@ -11,7 +11,8 @@
 pub const MAC_HEADER: &str = "x-maplehook-mac";
 /// Largest difference between the time of a request and the local clock, in milliseconds.
 const MAX_REQUEST_AGE_MS: u64 = 60_000;
-/// Maximum number of remembered requests. Requests beyond it are rejected, since replays could not be detected.
+/// Maximum number of recent signatures that are stored to detect replays. Further requests are rejected,
+/// because their replays could not be detected.
 const MAX_SEEN_REQUESTS: usize = 1024;
 fn derive_key(secret: &SecretKey) -> SecretKey {
     secret.derive(&[b"maplehook operator 1"])
@@ -21,7 +22,7 @@
     (time.to_be_bytes(), nonce.to_be_bytes())
 }
 
-/// Returns the header value for a request body.
+/// Returns the value of [`MAC_HEADER`] for a request body.
 pub fn sign_request(secret: &SecretKey, body: &[u8]) -> String {
     let (time, nonce) = (unix_ms(), fastrand::u64(..));
     let (time_bytes, nonce_bytes) = to_be_bytes(time, nonce);
--- a/crates/proxy/src/rollout.rs
+++ b/crates/proxy/src/rollout.rs
@@ -1,5 +1,5 @@
-//! Endpoints for rollouts: `GET` and `POST /control/rollout` for operators, and `GET /control/rollout/own` for the
-//! supervisor.
+//! Admin API endpoints for rollouts: `GET` and `POST /control/rollout` for operators, and
+//! `GET /control/rollout/own` for the supervisor.
 
 use crate::request_signing::RequestVerifier;
 use hyper::StatusCode;
@@ -10,9 +10,9 @@
 
 /// Path of the rollout's status (`GET`) and of admin requests (`POST`).
 pub const PATH: &str = "/control/rollout";
-/// Path of the program and side that this balancer should run.
+/// Path at which the supervisor reads the program and the rollout side that this balancer should run.
 pub const OWN_TARGET_PATH: &str = "/control/rollout/own";
-/// Largest body of an admin request, which can hold a complete configuration as an escaped string.
+/// Maximum size of an admin request's body. The body can hold a complete configuration as an escaped string.
 pub const MAX_BODY_BYTES: usize = 512 << 10;
 
 /// Handlers of the rollout endpoints.
@@ -23,7 +23,7 @@
 }
 
 fn to_json(value: &impl Serialize) -> String {
-    // The types contain no values that fail to serialize.
+    // Serialization can't fail for the types that are passed here.
     serde_json::to_string(value).unwrap_or_default() + "\n"
 }
 
@@ -33,7 +33,7 @@
         Self { board, verifier }
     }
 
-    /// Returns the response to `GET /control/rollout` for a query.
+    /// Returns the response to `GET /control/rollout` with the given query string.
     pub fn handle_get(&self, query: Option<&str>) -> (StatusCode, String) {
         match query {
             None | Some("") => (StatusCode::OK, to_json(&self.board.status())),
--- a/crates/proxy/src/rollout_command.rs
+++ b/crates/proxy/src/rollout_command.rs
@@ -124,8 +124,8 @@
     }
 }
 
-/// Reads a plan and the settings or program that it names, relative to the plan. The inner error lists the faults
-/// of either file with their lines.
+/// Reads a plan and the settings or program that it names, relative to the plan. The inner error lists the
+/// faults of both files with their lines.
 fn load_plan(path: &Path) -> Result<Result<(String, RequestedContent), String>, Box<dyn Error>> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let plan = match maplehook_rollout::plan::parse(&text) {
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -39,17 +39,20 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::timeout;
 
-/// Time to accept connections after SIGTERM if the listener is not shared. The platform's front end assigns new
-/// connections for up to 0.4 s after SIGTERM.
+/// Time for which connections are still accepted after SIGTERM if the listener is not shared. The platform's
+/// front end assigns new connections for up to 0.4 s after SIGTERM.
 const UNSHARED_DRAIN_TIME: Duration = Duration::from_millis(600);
-/// Largest class deadline that a shutdown on the platform waits for. The platform sends SIGKILL 0.7 s after the
-/// longest class deadline, of which at most 3 s count; the shutdown ends 0.1 s earlier.
+/// Longest class deadline for which the platform delays SIGKILL. The platform sends SIGKILL 0.7 s after the
+/// longest class deadline, or after this limit if it is shorter.
 const MAX_KILL_DEADLINE: Duration = Duration::from_secs(3);
+/// Time between the longest class deadline and the end of a shutdown, which is 0.1 s before the platform's
+/// SIGKILL.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(600);
-/// Time that idle connections stay open after SIGTERM if the listener is shared. The next process accepts at
-/// once. A connection that is used in this time closes after its response, so that few requests meet a close.
+/// Time that idle connections stay open after SIGTERM if the listener is shared. The next process accepts new
+/// connections at once. A connection used in this time closes after its response, so that few requests are
+/// sent on a closing connection.
 const SHARED_DRAIN_TIME: Duration = Duration::from_millis(2000);
-/// Time for the last responses after attempts are aborted.
+/// Time for sending the last responses after the attempts in flight are aborted.
 const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(200);
 
 /// Settings of a balancer, from the operator's file or the platform.
@@ -159,7 +162,7 @@
     }
     let mut accepting = spawn_local(server.run(listener));
     if let Some(accept_acknowledgement) = accept_acknowledgement {
-        // The supervisor's request may have timed out, in which case nobody receives this.
+        // Sending fails if the supervisor's request has timed out.
         let _ = accept_acknowledgement.try_send(());
     }
 
@@ -181,7 +184,7 @@
         },
     }
     tracing::info!("leaving");
-    // The shutdown uses the present grace time, even if SIGHUP changes the settings later.
+    // A SIGHUP during the shutdown must not change its time limit.
     let grace = setup.grace.get();
     if let (Some(registrar), Some(registration_task)) =
         (registrar.filter(|_| is_shutting_down), &registration_task)
@@ -199,7 +202,8 @@
     registration_task.inspect(JoinHandle::abort);
     let mut finish = Some(finish);
     if supervisor.take().is_some() {
-        // The next process waits for these resources. Closing them can block on the disk, so a thread does it.
+        // The next process waits until these resources are released. Releasing them can block on the disk, so
+        // it runs on a separate thread.
         let (first_finish, node) = (finish.take(), node.take());
         std::thread::spawn(move || {
             if let Some(first_finish) = first_finish {
--- a/crates/proxy/src/serve/components.rs
+++ b/crates/proxy/src/serve/components.rs
@@ -39,7 +39,7 @@
     pub(super) is_listener_shared: bool,
     /// Membership in a tier. Dropping it announces that the balancer leaves.
     pub(super) node: Option<ClusterNode>,
-    /// Consensus service of the tier, if versions are agreed on.
+    /// Consensus service of the tier, if the tier agrees on configuration versions.
     pub(super) consensus: Option<ConsensusService>,
     /// Failover agent, if the configuration has localities or can receive them by a version.
     pub(super) failover_agent: Option<failover::FailoverAgent>,
@@ -57,14 +57,14 @@
             descriptors::set_limit(limit).map_err(|e| format!("descriptors.limit: {e}"))?;
         }
         let balancer = Balancer::new(setup.settings.clone(), setup.seed)?;
-        // The handler must exist before this process can be known to be ready: an unhandled SIGTERM kills it.
+        // The handler is installed before this process reports readiness: an unhandled SIGTERM kills it.
         let sigterm = signal(SignalKind::terminate())?;
         let supervisor_environment = setup.supervisor.take();
         let operator_descriptors = if setup.control.is_some() { control::DESCRIPTORS } else { 0 };
         let operator_descriptors =
             operator_descriptors + if supervisor_environment.is_some() { supervised::DESCRIPTORS } else { 0 };
         let has_agreement = setup.operator.tier.as_ref().is_some_and(|tier| tier.agreement.is_some());
-        // If versions are agreed on, a later version can add localities.
+        // If the tier agrees on configuration versions, a later version can add localities.
         let proxy = proxy.filter(|proxy| has_agreement || proxy.places.is_some());
         let failover_descriptors = if proxy.is_some() { failover::DESCRIPTORS } else { 0 };
         let reserved_descriptors = operator_descriptors
@@ -220,8 +220,9 @@
     socket.listen(backlog)
 }
 
-/// Registers which components release descriptors, and which ones follow changed limits. Idle upstream
-/// connections are closed first, since they cost less than a client.
+/// Registers the components that release descriptors under pressure and those that adapt to a changed
+/// descriptor limit. Idle upstream connections close first, since closing them costs less than closing a
+/// client connection.
 fn share_descriptors(
     descriptors: &Rc<Descriptors>,
     upstreams: &Rc<Upstreams>,
--- a/crates/proxy/src/serve/file.rs
+++ b/crates/proxy/src/serve/file.rs
@@ -1,4 +1,4 @@
-//! Balancer that is configured by the operator's file alone.
+//! Runs a balancer that is configured by the operator's file alone.
 
 use super::components::Components;
 use super::{BalancerSetup, KILL_AFTER_DEADLINE, ServingHooks, block_on, client_authentication, serve};
@@ -27,7 +27,8 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::spawn_local;
 
-/// Longest pause of a client within a request. A streaming body has the limit of its class instead.
+/// Longest time without data from a client within a request. A streaming body has the limit of its class
+/// instead.
 const REQUEST_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Serves according to the operator's file until SIGTERM.
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -195,7 +195,8 @@
             );
             let (_, status) = self.status(address)?;
             if status.in_force > 0 {
-                // The leader can be unreachable for a moment. The proposal does not depend on the difference.
+                // The leader can be unreachable for a moment. The difference is only displayed, so the
+                // proposal is sent anyway.
                 output += &match fetch_version(address, status.in_force) {
                     Ok((active, _)) => unified_diff(&active.text, &shared),
                     Err(e) => format!("the difference is not available: {e}\n"),
@@ -225,7 +226,7 @@
             .parse()
             .or_else(|_| serde_json::from_str::<VersionReply>(&reply.text).map(|done| done.version))?;
         loop {
-            // A balancer that does not answer now can answer later.
+            // A failed status request is repeated: the balancer can be unreachable for a moment.
             let status = self.status(address).ok();
             if status.as_ref().is_some_and(|(_, status)| status.is_in_force_everywhere(number)) {
                 let text = if self.json {
--- a/crates/proxy/src/settings_api.rs
+++ b/crates/proxy/src/settings_api.rs
@@ -1,4 +1,4 @@
-//! Endpoints for configuration versions: `GET` and `POST /control/settings`.
+//! Admin API endpoints for configuration versions: `GET` and `POST /control/settings`.
 
 use crate::request_signing::RequestVerifier;
 use hyper::StatusCode;
@@ -13,7 +13,7 @@
 
 /// Path of the endpoints.
 pub const PATH: &str = "/control/settings";
-/// Largest body of an admin request.
+/// Maximum size of an admin request's body, which can hold a complete configuration.
 pub const MAX_BODY_BYTES: usize = 3 << 20;
 
 /// Handlers of the settings endpoints.
@@ -33,7 +33,7 @@
         Self { verifier, admin_client, rollout_board }
     }
 
-    /// Returns the response to a `GET` for a query.
+    /// Returns the response to `GET /control/settings` with the given query string.
     pub async fn handle_get(&self, query: Option<&str>) -> (StatusCode, String) {
         let request = match query {
             None | Some("") => AdminRequest::Status,
@@ -73,7 +73,7 @@
             AdminReply::Status(overview) => {
                 (StatusCode::OK, to_json(&SettingsStatus::from_local_and_cluster(&local, Some(&overview))))
             }
-            // Without a leader, the local status is still returned.
+            // Without a leader, the response holds the local status only.
             AdminReply::Unavailable(_) if is_status => {
                 (StatusCode::OK, to_json(&SettingsStatus::from_local_and_cluster(&local, None)))
             }
@@ -87,7 +87,7 @@
 }
 
 fn to_json(value: &impl Serialize) -> String {
-    // The types contain no values that fail to serialize.
+    // Serialization can't fail for the types that are passed here.
     serde_json::to_string(value).unwrap_or_default()
 }
 
@@ -99,7 +99,7 @@
 /// Tier member in the settings status.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct SettingsMember {
-    /// Name of the balancer.
+    /// Name of the member's balancer.
     pub name: String,
     /// Label of the phase that the member enforces, such as `3` or `3-4`; `None` if unknown.
     pub version: Option<String>,
@@ -137,7 +137,7 @@
     pub lacks_lease: bool,
     /// Name of the leader, if known.
     pub leader: Option<String>,
-    /// Problem of this balancer's voter, if any.
+    /// Problem that prevents voting or the application of the current phase; `None` if there is none.
     #[serde(rename = "trouble", default, skip_serializing_if = "Option::is_none")]
     pub voter_problem: Option<String>,
     /// Tier members; empty if the leader does not answer.
@@ -148,7 +148,8 @@
     /// Label of the leader's phase; `None` if the leader does not answer.
     #[serde(rename = "agreed", default, skip_serializing_if = "Option::is_none")]
     pub leader_phase: Option<String>,
-    /// Balancers by digest of their file, if files differ before the first version.
+    /// Digests of the balancers' files, each with the balancers that have that file. Empty unless files
+    /// differ before the first version.
     #[serde(rename = "differ", default, skip_serializing_if = "Vec::is_empty")]
     pub differing_files: Vec<(String, Vec<String>)>,
 }
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Returns true if all members enforce this version.
+    /// Returns true if all members enforce `version` and no transition is in progress.
     pub(crate) fn is_in_force_everywhere(&self, version: u64) -> bool {
         self.phase == "settled"
             && self.in_force == version
--- a/crates/proxy/src/supervise_command.rs
+++ b/crates/proxy/src/supervise_command.rs
@@ -9,7 +9,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Time from the end of a process's drain to its SIGKILL.
+/// Time that is added to the longer of drain and class deadline to get the default time from SIGTERM to
+/// SIGKILL.
 const GRACE_MARGIN: Duration = Duration::from_secs(5);
 /// Largest accept backlog that a file can configure.
 const MAX_BACKLOG: i32 = 65_535;
--- a/crates/proxy/src/supervised.rs
+++ b/crates/proxy/src/supervised.rs
@@ -20,7 +20,7 @@
 
 /// Additional descriptors under a supervisor: a second admin listener and the control socket.
 pub const DESCRIPTORS: usize = control::DESCRIPTORS + control_socket::DESCRIPTORS;
-/// Commands of the supervisor that can be queued.
+/// Maximum number of queued commands from the supervisor.
 const MAX_QUEUED_COMMANDS: usize = 16;
 
 /// Environment of a process that was started by a supervisor.
@@ -80,19 +80,19 @@
 
 /// Command that ends a trial.
 pub enum TrialOutcome {
-    /// Accept clients, then acknowledge the command by this sender.
+    /// Accept clients, then acknowledge the command through this sender.
     Accept(SyncSender<()>),
     /// End the process.
     Shutdown,
 }
 
 impl SupervisorChannel {
-    /// Returns the listener for trial requests, at the first call only.
+    /// Returns the listener for trial requests. Calls after the first return `None`.
     pub fn take_trial_listener(&mut self) -> Option<TcpListener> {
         self.trial_listener.take()
     }
 
-    /// Returns a receiver that holds whether another process of this balancer accepts clients.
+    /// Returns a receiver whose value is true while another process of this balancer accepts clients.
     pub fn watch_sibling(&self) -> watch::Receiver<bool> {
         self.sibling.clone()
     }
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Waits for the command to shut down the whole balancer, as opposed to this process only.
+    /// Waits for the command to shut down all processes of the balancer. SIGTERM ends only this process.
     pub async fn wait_for_shutdown(&mut self) {
         loop {
             match self.commands.recv().await {
@@ -133,7 +133,7 @@
     Settings { balancers, ..settings }
 }
 
-/// Waits until a sibling process starts or stops to accept. Never returns without a supervisor.
+/// Waits until a sibling process starts or stops accepting clients. Never returns without a supervisor.
 pub async fn sibling_changed(sibling: Option<&mut watch::Receiver<bool>>) {
     if let Some(sibling) = sibling
         && sibling.changed().await.is_ok()
@@ -143,7 +143,7 @@
     std::future::pending().await
 }
 
-/// Updates the driver whenever a sibling process starts or stops to accept.
+/// Updates the driver's guarantees whenever a sibling process starts or stops accepting clients.
 pub async fn follow_sibling(settings: Settings, mut sibling: watch::Receiver<bool>, driver: Rc<Driver>) {
     while sibling.changed().await.is_ok() {
         let has_sibling = *sibling.borrow_and_update();
--- a/crates/proxy/src/tier.rs
+++ b/crates/proxy/src/tier.rs
@@ -1,4 +1,4 @@
-//! Status of a balancer's tier, and the client of the admin API.
+//! Status of a balancer's tier, and the client that commands use to call the admin API.
 
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Bytes;
@@ -17,14 +17,15 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Descriptors besides connections to peers: two sockets, the poller's, and incoming connections before their
-/// handshake.
+/// Descriptors of the tier besides peer connections: two sockets, the poller, and incoming connections that
+/// have not completed the handshake.
 const BASE_DESCRIPTORS: usize = 24;
 /// Maximum number of peers for which a balancer that is not a voter reserves descriptors.
 const MAX_BUDGETED_PEERS: usize = 20;
-/// Time limits for responses to `GET` and `POST`, and the largest response in bytes. The response to a proposal can
-/// be delayed until the lease of an unreachable member expires.
+/// Time limit for the response to a `GET`.
 const GET_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time limit for the response to a `POST`, which can be delayed until the lease of an unreachable member
+/// expires.
 const POST_TIMEOUT: Duration = Duration::from_secs(20);
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
@@ -39,7 +40,7 @@
 /// Tier member in the response to `GET /control/tier`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TierMember {
-    /// Name of the balancer.
+    /// Name of the balancer, unique in the tier.
     pub name: String,
     /// Incarnation, which grows with each start of the process.
     pub incarnation: u64,
@@ -90,7 +91,7 @@
 /// Response to `GET /control/tier`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TierStatus {
-    /// Name of the balancer.
+    /// Name of the balancer that returned the status.
     pub name: String,
     /// Incarnation of the balancer's process.
     pub incarnation: u64,
@@ -102,10 +103,10 @@
     /// Names of configured peers that are absent.
     #[serde(rename = "away")]
     pub absent_peers: Vec<String>,
-    /// Number of upstreams with gossip.
+    /// Number of upstreams about which gossip is known.
     #[serde(rename = "words")]
     pub gossiped_endpoints: usize,
-    /// Counters of the connections.
+    /// Counters of the datagrams and connections to other balancers.
     pub link: LinkCounters,
 }
 
@@ -114,7 +115,7 @@
 }
 
 impl TierStatus {
-    /// Converts a node's status.
+    /// Creates the response from the status of the local cluster node.
     pub fn from_node_status(status: &NodeStatus) -> Self {
         let local = TierMember {
             name: status.name.to_string(),
@@ -200,9 +201,9 @@
     }
 }
 
-/// Response of the admin API.
+/// Response that [`send_request`] received from an admin address.
 pub struct AdminResponse {
-    /// Status code of the response.
+    /// HTTP status code, which can be an error.
     pub status: StatusCode,
     /// Complete body of the response.
     pub body: Bytes,
--- a/crates/proxy/src/versions.rs
+++ b/crates/proxy/src/versions.rs
@@ -1,4 +1,4 @@
-//! Application of configuration versions on the serving thread, without interrupting requests.
+//! Applies configuration versions on the serving thread, without interrupting requests.
 //!
 //! A class, tenant or zone keeps its id for the life of the process, so that an id in a request in flight means
 //! the same before and after a change. Learned state, token buckets and connections survive a change.
@@ -25,7 +25,8 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// Configuration that is applied: epoch, enforcement mode, and the rollout's number and side.
+/// Identity of an applied configuration: epoch, enforcement mode, and the number and side of an applied
+/// rollout.
 type AppliedKey = (u64, EnforcementMode, Option<(u64, Side)>);
 
 /// Applies each version to the parts of the balancer that depend on it.
@@ -35,13 +36,13 @@
     has_sibling: bool,
     /// Endpoint list of the configuration; `None` if a registry provides the endpoints.
     pub lists: Option<Rc<EndpointList>>,
-    /// Reader that holds the rules of requests.
+    /// Parser of client requests. Each version replaces its rules.
     pub request_reader: Rc<RequestReader>,
-    /// Admission controller that enforces guarantees of tenants.
+    /// Admission controller, which enforces the tenants' guarantees.
     pub admission: Rc<AdmissionController>,
     /// Upstream connections, which depend on the lease.
     pub upstreams: Rc<Upstreams>,
-    /// True while the balancer rejects all requests; read by the readiness endpoint.
+    /// True while the balancer rejects all requests. The readiness endpoint reads this flag.
     pub rejects_all: Arc<AtomicBool>,
     /// Channels to the failover agent.
     pub locality_notifier: LocalityNotifier,
@@ -124,7 +125,7 @@
             let latest_staged = staged_receiver
                 .as_mut()
                 .and_then(|staged_receiver| staged_receiver.borrow_and_update().clone());
-            // A stage replaces the version that it is based on, and only while that version is fully enforced.
+            // A stage replaces its base version, and only while that version is in force and fully enforced.
             let stage = latest_staged
                 .clone()
                 .filter(|stage| mode == EnforcementMode::Current && stage.base_version == active.label);
@@ -172,8 +173,9 @@
             .send_if_modified(|current| std::mem::replace(current, acknowledgement) != acknowledgement);
     }
 
-    /// Applies a version or stage. Returns true if the endpoint list changed and the driver has yet to read it.
-    /// Settings of the driver change first: it must know every class and tenant before requests use them.
+    /// Applies a version or stage. Returns true if the endpoint list changed and the driver has not read it
+    /// yet. The driver's settings change first: the driver must know every class and tenant before requests
+    /// use them.
     fn apply(
         &mut self,
         active_version: &ActiveVersion,
