--- a/crates/proxy/src/config_reload.rs
+++ b/crates/proxy/src/config_reload.rs
@@ -36,7 +36,7 @@
     pub config: Config,
     /// Connection to the discovery service.
     pub discovery: Rc<Discovery>,
-    /// Parser of client requests. A reload replaces its rules.
+    /// Parser of client requests. A reload updates its settings.
     pub request_reader: Rc<RequestReader>,
     /// Admission controller, which enforces the tenants' guarantees.
     pub admission: Rc<AdmissionController>,
--- a/crates/proxy/src/locality_command.rs
+++ b/crates/proxy/src/locality_command.rs
@@ -118,7 +118,7 @@
                     (None, Some(address)) => Some(serde_json::from_slice(&get_body(*address, PLACES_PATH)?)?),
                     (None, None) => None,
                 };
-                // Measured round-trip times come from the status; the topology already has the configured ones.
+                // The topology already has the configured round-trip times. The status adds measured ones.
                 let mut topology = topology.clone();
                 let measured = status.iter().flat_map(|status| &status.rtts).filter(|trip| !trip.stated);
                 let measured_rtts: Vec<_> = measured
--- a/crates/proxy/src/serve/platform.rs
+++ b/crates/proxy/src/serve/platform.rs
@@ -77,8 +77,8 @@
             discovery.set_timeouts(DiscoveryTimeouts::AGENT);
         }
         let mut known = discovery.parse_cached_list(&config.cached_endpoints);
-        // Without a shared listener, no other process of this balancer runs before, beside or after this one, and
-        // no handover file is needed.
+        // Without a shared listener, no other process of this balancer runs before, beside or after this one,
+        // and no handover file is needed.
         let handover =
             if components.is_listener_shared { HandoverFile::for_balancer(&config.name) } else { None };
         let predecessor = handover.as_ref().and_then(|handover| handover.load(&discovery.names()));
