--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -39,7 +39,7 @@
 pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 5;
 /// Time limit for receiving a request.
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time limit for the response after the request is received. An admin request can wait for a lease to expire.
+/// Time limit for the response after the request is received. An admin request can wait for a lease to end.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Minimum time that a connection stays open while others wait. Clients normally send their request sooner.
 const MIN_CONNECTION_TIME: Duration = Duration::from_millis(200);
